--- a/crates/kelpworks-cli/examples/stand_ins.rs
+++ b/crates/kelpworks-cli/examples/stand_ins.rs
@@ -97,17 +97,17 @@
         Plan::Fleet(cfg) => {
             let fleet = StandIns::spawn(cfg).await?;
             println!("{}", serde_json::to_string(&fleet.view())?);
-            ended().await
+            wait_for_shutdown().await
         }
         Plan::Engine(cfg) => {
             let engine = Engine::spawn(cfg).await?;
             println!("{}", serde_json::to_string(&EngineView::of(&engine))?);
-            ended().await
+            wait_for_shutdown().await
         }
         Plan::Service(cfg) => {
             let service = PlainService::spawn(cfg).await?;
             println!("{}", serde_json::to_string(&ServiceView::of(&service))?);
-            ended().await
+            wait_for_shutdown().await
         }
     }
 }
@@ -147,9 +147,9 @@
         let given = Some(format!("{stages} stages, {replicas} replicas"));
         return Err(unknown("shape", given));
     }
-    let speed = Speed::parse(args)?;
+    let options = EngineOptions::parse(args)?;
     let mut fleet = FleetConfig::pipeline(&model, stages, replicas);
-    fleet.engines.iter_mut().for_each(|e| speed.apply(e));
+    fleet.engines.iter_mut().for_each(|e| options.apply(e));
     Ok(fleet)
 }
 
@@ -158,14 +158,14 @@
     let name: Option<String> = args.opt_value_from_str("--name")?;
     let name = name.as_deref().unwrap_or("single");
     let mut cfg = EngineConfig::new(name, vec![model.clone()]);
-    let held = args.opt_value_from_fn("--layers", range)?;
-    cfg.load(model.name(), held.unwrap_or(0..model.layers()));
+    let layers = args.opt_value_from_fn("--layers", parse_range)?;
+    cfg.load(model.name(), layers.unwrap_or(0..model.layers()));
     cfg.port = args.opt_value_from_str("--port")?.unwrap_or(0);
     cfg.weight_store = args.opt_value_from_str("--weight-store")?;
     if let Some(domain) = args.opt_value_from_str("--failure-domain")? {
         cfg.failure_domain = domain;
     }
-    Speed::parse(args)?.apply(&mut cfg);
+    EngineOptions::parse(args)?.apply(&mut cfg);
     Ok(cfg)
 }
 
@@ -181,24 +181,24 @@
     Ok(cfg)
 }
 
-fn range(text: &str) -> std::result::Result<Range<u32>, String> {
+fn parse_range(text: &str) -> std::result::Result<Range<u32>, String> {
     let ends = text.split_once("..");
     let parsed = ends.and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
     parsed.ok_or_else(|| format!("`{text}` is not like `0..8`"))
 }
 
 /// Options that hold for every engine.
-struct Speed {
+struct EngineOptions {
     iteration: Duration,
     layer_rate: f64,
     checks_fencing: bool,
 }
 
-impl Speed {
-    fn parse(args: &mut Arguments) -> Result<Speed> {
+impl EngineOptions {
+    fn parse(args: &mut Arguments) -> Result<EngineOptions> {
         let ms = args.opt_value_from_str("--iteration-ms")?.unwrap_or(0);
         let rate = args.opt_value_from_str("--layer-rate")?;
-        Ok(Speed {
+        Ok(EngineOptions {
             iteration: Duration::from_millis(ms),
             layer_rate: rate.unwrap_or(f64::INFINITY),
             checks_fencing: !args.contains("--ignores-fencing"),
@@ -213,7 +213,7 @@
 }
 
 /// Waits for SIGTERM or the end of standard input.
-async fn ended() -> Result<()> {
+async fn wait_for_shutdown() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let (tx, rx) = oneshot::channel();
     // A thread of its own, since a blocking read would hold up the end of the runtime.
--- a/crates/kelpworks-cli/src/args.rs
+++ b/crates/kelpworks-cli/src/args.rs
@@ -107,7 +107,7 @@
 /// The settings of a command that takes nothing else.
 fn settings_only(mut args: Arguments, command: &str) -> Result<PathBuf> {
     let settings = path_option(&mut args, "--settings")?;
-    no_more(args)?;
+    reject_remaining(args)?;
     let missing = || Failure::Usage(format!("{command} needs --settings FILE"));
     settings.ok_or_else(missing)
 }
@@ -163,7 +163,7 @@
     let json = args.contains("--json");
     let settings = path_option(&mut args, "--settings")?;
     let operators = operators(&mut args)?;
-    no_more(args)?;
+    reject_remaining(args)?;
     if settings.is_none() && operators.is_empty() {
         let text = "status needs --operators ADDR or --settings FILE";
         return Err(Failure::Usage(text.to_owned()));
@@ -192,14 +192,14 @@
         return Ok(Vec::new());
     };
     let address = |text: &str| {
-        let wrong = |_| Failure::Usage(format!("`{text}` is no address such as 10.0.0.1:9090"));
-        text.trim().parse().map_err(wrong)
+        let invalid = |_| Failure::Usage(format!("`{text}` is no address such as 10.0.0.1:9090"));
+        text.trim().parse().map_err(invalid)
     };
     list.split(',').map(address).collect()
 }
 
 /// Refuses what is left over.
-fn no_more(args: Arguments) -> Result<()> {
+fn reject_remaining(args: Arguments) -> Result<()> {
     match args.finish().first() {
         Some(arg) => Err(unexpected(arg)),
         None => Ok(()),
--- a/crates/kelpworks-cli/src/change.rs
+++ b/crates/kelpworks-cli/src/change.rs
@@ -6,7 +6,7 @@
 use crate::args::Change;
 use crate::failure::Failure;
 use crate::failure::Result;
-use crate::force;
+use crate::rollout;
 use kelpworks::border::object_api::Deadlines;
 use kelpworks::border::object_api::HttpObjectApi;
 use kelpworks::config::accept;
@@ -30,7 +30,7 @@
     let proposal = read_proposal(change.which, &change.file)?;
     let target = target(change)?;
     if change.dry_run {
-        return show(&target, &proposal).await;
+        return print_diff(&target, &proposal).await;
     }
     let accepted = accept::accept(&target.api, &proposal, RetryPolicy::default()).await;
     let accepted = accepted.map_err(Failure::Accept)?;
@@ -40,7 +40,7 @@
         true => println!("{noun} accepted as generation {generation}"),
         false => println!("{noun} already accepted, as of generation {generation}"),
     }
-    force::wait(generation, &target.operators, change.wait).await
+    rollout::wait(generation, &target.operators, change.wait).await
 }
 
 /// Reads the new text. What is wrong with it by itself is told before any system is asked.
@@ -87,7 +87,7 @@
 }
 
 /// Shows what the change would do.
-async fn show(target: &Target, proposal: &Proposal) -> Result<()> {
+async fn print_diff(target: &Target, proposal: &Proposal) -> Result<()> {
     let plan = accept::plan(&target.api, proposal, RetryPolicy::default()).await;
     let plan = plan.map_err(Failure::Accept)?;
     println!("against generation {}, nothing applied:", plan.generation);
--- a/crates/kelpworks-cli/src/check.rs
+++ b/crates/kelpworks-cli/src/check.rs
@@ -21,7 +21,7 @@
 }
 
 /// A register among the files.
-struct Candidate<'a> {
+struct ParsedRegister<'a> {
     path: &'a Path,
     register: Register,
 }
@@ -31,7 +31,7 @@
     let mut faults = Vec::new();
     let mut inputs = Vec::new();
     for path in files {
-        match open(path) {
+        match read_input(path) {
             Ok(input) => inputs.push(input),
             Err(e) => faults.push(e),
         }
@@ -40,7 +40,7 @@
     for input in &inputs {
         let register = register_for(input, &registers)?;
         match check(input, register) {
-            Ok(()) => println!("{}: {}", input.name, verdict(input, register)),
+            Ok(()) => println!("{}: {}", input.name, ok_message(input, register)),
             Err(e) => faults.push(e),
         }
     }
@@ -51,7 +51,7 @@
 }
 
 /// Reads a file and tells its kind.
-fn open(path: &Path) -> document::Result<Input<'_>> {
+fn read_input(path: &Path) -> document::Result<Input<'_>> {
     let name = path.display().to_string();
     let text = read_file(path)?;
     let kind = FileKind::of(&name, &text)?;
@@ -64,10 +64,10 @@
 }
 
 /// The registers that are good; the faults of the others are found again, and told, by [`check`].
-fn registers<'a>(inputs: &[Input<'a>]) -> Vec<Candidate<'a>> {
+fn registers<'a>(inputs: &[Input<'a>]) -> Vec<ParsedRegister<'a>> {
     let parse = |i: &Input<'a>| {
         let register = Register::parse(&i.name, &i.text).ok()?;
-        Some(Candidate {
+        Some(ParsedRegister {
             path: i.path,
             register,
         })
@@ -83,13 +83,13 @@
 /// The register that a file belongs to: the one beside it, or else the only one.
 fn register_for<'a>(
     input: &Input<'_>,
-    registers: &'a [Candidate<'_>],
+    registers: &'a [ParsedRegister<'_>],
 ) -> Result<Option<&'a Register>> {
-    let is_beside = |c: &&Candidate<'_>| c.path.parent() == input.path.parent();
-    let beside: Vec<_> = registers.iter().filter(is_beside).collect();
-    let candidates = match beside.is_empty() {
+    let is_in_same_directory = |c: &&ParsedRegister<'_>| c.path.parent() == input.path.parent();
+    let same_directory: Vec<_> = registers.iter().filter(is_in_same_directory).collect();
+    let candidates = match same_directory.is_empty() {
         true => registers.iter().collect(),
-        false => beside,
+        false => same_directory,
     };
     match candidates[..] {
         [] => Ok(None),
@@ -115,7 +115,7 @@
 }
 
 /// What is said of a good file.
-fn verdict(input: &Input<'_>, register: Option<&Register>) -> String {
+fn ok_message(input: &Input<'_>, register: Option<&Register>) -> String {
     let kind = input.kind.as_str();
     match (input.kind, register) {
         (FileKind::Rules, None) => format!("{kind} ok, not checked against a register"),
--- a/crates/kelpworks-cli/src/failure.rs
+++ b/crates/kelpworks-cli/src/failure.rs
@@ -12,9 +12,9 @@
 pub(crate) type Result<T> = std::result::Result<T, Failure>;
 
 /// Exit code of an outcome that failed.
-const OUTCOME: u8 = 1;
+const EXIT_FAILED_OUTCOME: u8 = 1;
 /// Exit code of bad input.
-const BAD_INPUT: u8 = 2;
+const EXIT_BAD_INPUT: u8 = 2;
 
 /// Why a command failed.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     #[error("{0}\nTry `kelpworks --help`.")]
     Usage(String),
     /// Files are at fault, one each.
-    #[error("{}", lines(.0))]
+    #[error("{}", one_per_line(.0))]
     Files(Vec<document::Error>),
     /// The register or the rules were not accepted.
     #[error(transparent)]
@@ -40,7 +40,7 @@
     },
     /// Accepted, but no daemon could be asked.
     #[error("generation {generation} is accepted, but no daemon answers: {reason}")]
-    Unseen {
+    NoAnswer {
         /// The generation that was accepted.
         generation: u64,
         /// The last error.
@@ -76,9 +76,9 @@
     /// The exit code that tells scripts what happened.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
-            Failure::Usage(_) | Failure::Files(_) | Failure::RelaySettings(_) => BAD_INPUT,
-            Failure::Accept(e) if is_bad_input(e) => BAD_INPUT,
-            _ => OUTCOME,
+            Failure::Usage(_) | Failure::Files(_) | Failure::RelaySettings(_) => EXIT_BAD_INPUT,
+            Failure::Accept(e) if is_bad_input(e) => EXIT_BAD_INPUT,
+            _ => EXIT_FAILED_OUTCOME,
         };
         ExitCode::from(code)
     }
@@ -99,7 +99,7 @@
 }
 
 /// One error a line.
-fn lines(errors: &[document::Error]) -> String {
+fn one_per_line(errors: &[document::Error]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/kelpworks-cli/src/log_writer.rs
+++ b/crates/kelpworks-cli/src/log_writer.rs
@@ -18,7 +18,7 @@
 use log::Record;
 
 /// Lines that wait, at most: some seconds of a busy daemon's, about 2 MB.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 enum Message {
     Line(Vec<u8>),
@@ -35,23 +35,23 @@
 impl QueuedWriter {
     /// A writer to `out`, which is only touched by the thread.
     pub(crate) fn new(out: impl Write + Send + 'static) -> io::Result<QueuedWriter> {
-        let (tx, rx) = sync_channel(QUEUE);
+        let (tx, rx) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&dropped);
+        let counter = Arc::clone(&dropped);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(&rx, out, &counted))?;
+            .spawn(move || write_lines(&rx, out, &counter))?;
         Ok(QueuedWriter { tx, dropped })
     }
 }
 
 fn write_lines(rx: &Receiver<Message>, mut out: impl Write, dropped: &AtomicU64) {
     for message in rx {
-        let lost = dropped.swap(0, Ordering::Relaxed);
+        let count = dropped.swap(0, Ordering::Relaxed);
         let note = format!(
-            "{{\"level\":\"WARN\",\"text\":\"log lines dropped\",\"kv\":{{\"count\":{lost}}}}}\n"
+            "{{\"level\":\"WARN\",\"text\":\"log lines dropped\",\"kv\":{{\"count\":{count}}}}}\n"
         );
-        let noted = if lost > 0 {
+        let noted = if count > 0 {
             out.write_all(note.as_bytes())
         } else {
             Ok(())
@@ -86,14 +86,14 @@
     fn flush(&self) -> io::Result<()> {
         let (tx, rx) = sync_channel(1);
         if self.tx.try_send(Message::Flush(tx)).is_ok() {
-            let _ = rx.recv_timeout(FLUSH);
+            let _ = rx.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
 /// Longest wait for the last lines at the end of the process.
-const FLUSH: std::time::Duration = std::time::Duration::from_millis(300);
+const FLUSH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
 #[cfg(test)]
 mod tests;
--- a/crates/kelpworks-cli/src/log_writer/tests.rs
+++ b/crates/kelpworks-cli/src/log_writer/tests.rs
@@ -11,13 +11,13 @@
 use log::Level;
 use log::Record;
 
-use super::QUEUE;
+use super::QUEUE_CAPACITY;
 use super::QueuedWriter;
 
 #[derive(Default)]
 struct State {
     is_open: bool,
-    taken: Vec<u8>,
+    written: Vec<u8>,
 }
 
 #[derive(Default)]
@@ -38,7 +38,7 @@
 
     fn text(&self) -> String {
         let state = self.0.state.lock().expect("no panic");
-        String::from_utf8(state.taken.clone()).expect("text")
+        String::from_utf8(state.written.clone()).expect("text")
     }
 }
 
@@ -47,7 +47,7 @@
         let state = self.0.state.lock().expect("no panic");
         let closed = |s: &mut State| !s.is_open;
         let mut state = self.0.opened.wait_while(state, closed).expect("no panic");
-        state.taken.extend_from_slice(buf);
+        state.written.extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -65,16 +65,19 @@
 }
 
 #[test]
-fn a_reader_that_stops_holds_nobody_up_and_learns_what_it_missed() {
+fn stalled_reader_blocks_no_writer_and_gets_dropped_line_count() {
     let gate = Gate::default();
     let writer = QueuedWriter::new(gate.clone()).expect("a thread");
     // One line may be in the hands of the thread, so at least these are dropped.
     let dropped = 100;
-    for i in 0..=QUEUE + dropped {
+    for i in 0..=QUEUE_CAPACITY + dropped {
         write(&writer, &format!("line {i}"));
     }
     gate.open();
-    while !gate.text().contains(&format!("\"line {}\"", QUEUE - 1)) {
+    while !gate
+        .text()
+        .contains(&format!("\"line {}\"", QUEUE_CAPACITY - 1))
+    {
         std::thread::yield_now();
     }
     write(&writer, "after");
@@ -91,11 +94,11 @@
         .and_then(|(_, n)| n.trim_end_matches('}').parse().ok());
     let count: usize = count.expect("a number");
     let lines = text.lines().filter(|l| l.contains("\"line ")).count();
-    assert_eq!(lines + count, QUEUE + dropped + 1);
+    assert_eq!(lines + count, QUEUE_CAPACITY + dropped + 1);
 }
 
 #[test]
-fn lines_come_out_in_order_after_a_flush() {
+fn flush_writes_queued_lines_in_order() {
     let gate = Gate::default();
     gate.open();
     let writer = QueuedWriter::new(gate.clone()).expect("a thread");
--- a/crates/kelpworks-cli/src/main.rs
+++ b/crates/kelpworks-cli/src/main.rs
@@ -11,10 +11,10 @@
 mod change;
 mod check;
 mod failure;
-mod force;
 mod help;
 mod log_writer;
 mod relay;
+mod rollout;
 mod serve;
 mod status;
 
--- a/crates/kelpworks-cli/src/relay.rs
+++ b/crates/kelpworks-cli/src/relay.rs
@@ -27,7 +27,7 @@
         Signals::new()?
     };
     let settings = Settings::read(file)?;
-    let _logger = start_logger(&settings.log.level, Output::Standard)?;
+    let _logger = start_logger(&settings.log.level, Output::Stdout)?;
     let eras = Eras::default();
     let store = || Objects::new(settings.store.address, Deadlines::default(), eras.clone());
     let clients = Clients {
--- a/crates/kelpworks-cli/src/force.rs
+++ b/crates/kelpworks-cli/src/rollout.rs
@@ -12,15 +12,15 @@
 use kelpworks::status::fetch;
 
 /// Pause between two questions.
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest time for one answer.
-const ANSWER: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks the daemons in order; the first that answers tells of all.
-pub(crate) async fn ask(operators: &[SocketAddr]) -> Option<StatusResult<Status>> {
+pub(crate) async fn fetch_status(operators: &[SocketAddr]) -> Option<StatusResult<Status>> {
     let mut last = None;
     for &address in operators {
-        let answer = fetch(address, ANSWER).await;
+        let answer = fetch(address, STATUS_TIMEOUT).await;
         if answer.is_ok() {
             return Some(answer);
         }
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// [`Failure::Lagging`] names those that do not have it in time; [`Failure::Unseen`] when no
+/// [`Failure::Lagging`] names those that do not have it in time; [`Failure::NoAnswer`] when no
 /// daemon could be asked. The change is accepted all the same.
 pub(crate) async fn wait(generation: u64, operators: &[SocketAddr], time: Duration) -> Result<()> {
     if operators.is_empty() || time.is_zero() {
@@ -41,9 +41,9 @@
         return Ok(());
     }
     let deadline = Instant::now() + time;
-    let mut shown = None;
+    let mut last_printed = None;
     loop {
-        let failure = match ask(operators).await {
+        let failure = match fetch_status(operators).await {
             Some(Ok(status)) => match lagging(&status, generation) {
                 Some(failure) => failure,
                 None => {
@@ -52,14 +52,14 @@
                     return Ok(());
                 }
             },
-            Some(Err(reason)) => Failure::Unseen { generation, reason },
+            Some(Err(reason)) => Failure::NoAnswer { generation, reason },
             None => return Ok(()),
         };
-        if Instant::now() + POLL >= deadline {
+        if Instant::now() + POLL_INTERVAL >= deadline {
             return Err(failure);
         }
-        show_once(&mut shown, &failure);
-        tokio::time::sleep(POLL).await;
+        print_if_changed(&mut last_printed, &failure);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -76,10 +76,10 @@
 }
 
 /// Shows progress when it differs from what was shown last.
-fn show_once(shown: &mut Option<String>, failure: &Failure) {
+fn print_if_changed(last_printed: &mut Option<String>, failure: &Failure) {
     let line = failure.to_string();
-    if shown.as_ref() != Some(&line) {
+    if last_printed.as_ref() != Some(&line) {
         eprintln!("waiting: {line}");
-        *shown = Some(line);
+        *last_printed = Some(line);
     }
 }
--- a/crates/kelpworks-cli/src/serve.rs
+++ b/crates/kelpworks-cli/src/serve.rs
@@ -13,7 +13,7 @@
 /// Runs a daemon until it is stopped.
 pub(crate) fn run(file: &Path) -> Result<()> {
     let settings = read_settings(file)?;
-    let _logger = start_logger(&settings.log_level, Output::Error)?;
+    let _logger = start_logger(&settings.log_level, Output::Stderr)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Output {
     /// To standard error: standard output carries the addresses that the daemon got.
-    Error,
+    Stderr,
     /// To standard output, by a bounded queue.
-    Standard,
+    Stdout,
 }
 
 /// Starts the log; it ends with the handle.
@@ -40,8 +40,8 @@
     let logger = Logger::try_with_str(spec)?;
     let logger = logger.format(flexi_logger::json_format);
     let logger = match output {
-        Output::Error => logger.log_to_stderr(),
-        Output::Standard => logger.log_to_writer(Box::new(QueuedWriter::new(std::io::stdout())?)),
+        Output::Stderr => logger.log_to_stderr(),
+        Output::Stdout => logger.log_to_writer(Box::new(QueuedWriter::new(std::io::stdout())?)),
     };
     Ok(logger.start()?)
 }
--- a/crates/kelpworks-cli/src/status.rs
+++ b/crates/kelpworks-cli/src/status.rs
@@ -5,7 +5,7 @@
 use crate::change::read_settings;
 use crate::failure::Failure;
 use crate::failure::Result;
-use crate::force::ask;
+use crate::rollout::fetch_status;
 
 /// Shows what the first daemon that answers knows.
 pub(crate) async fn run(query: &StatusQuery) -> Result<()> {
@@ -15,7 +15,7 @@
     };
     let operators = operators(&query.operators, settings.as_ref());
     let missing = || Failure::Usage("an operators' address is missing".to_owned());
-    let status = ask(&operators).await.ok_or_else(missing)??;
+    let status = fetch_status(&operators).await.ok_or_else(missing)??;
     match query.json {
         true => println!(
             "{}",
--- a/crates/kelpworks-cli/tests/cli_commands.rs
+++ b/crates/kelpworks-cli/tests/cli_commands.rs
@@ -56,12 +56,15 @@
 #[case::status_nowhere("status_nowhere", &["status", "--json"])]
 #[case::status_address("status_address", &["status", "--operators", "localhost"])]
 #[tokio::test]
-async fn without_a_platform(#[case] name: &str, #[case] args: &[&str]) {
+async fn commands_that_need_no_platform_print_their_result(
+    #[case] name: &str,
+    #[case] args: &[&str],
+) {
     assert_snapshot!(name, report(&kelpworks(args).await));
 }
 
 #[tokio::test]
-async fn a_register_and_rules_are_applied_in_turn() {
+async fn register_and_rules_are_applied_in_turn() {
     let platform = Platform::start().await;
     let early = platform
         .run(&["rules", "apply", "aralsky/rules.toml"])
@@ -95,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_dry_run_shows_the_difference() {
+async fn dry_run_prints_the_difference() {
     let platform = Platform::start().await;
     let args = ["register", "import", "aralsky/register.toml", "--dry-run"];
     let first = platform.run(&args).await;
@@ -121,12 +124,16 @@
 #[case::lagging("wait_lagging", "1 ms", &[SOME_AT_2])]
 #[case::not_a_status("wait_not_a_status", "1 ms", &["hello"])]
 #[tokio::test]
-async fn a_change_is_waited_for(#[case] name: &str, #[case] wait: &str, #[case] statuses: &[&str]) {
+async fn change_waits_for_the_generation_on_live_daemons(
+    #[case] name: &str,
+    #[case] wait: &str,
+    #[case] statuses: &[&str],
+) {
     let platform = Platform::start().await;
     platform
         .run(&["register", "import", "aralsky/register.toml"])
         .await;
-    platform.statuses(statuses);
+    platform.set_statuses(statuses);
     let args = ["rules", "apply", "aralsky/rules.toml"];
     assert_snapshot!(name, platform.run_and_wait(&args, wait).await);
 }
@@ -136,23 +143,27 @@
 #[case::json("status_json", &["--json"], SOME_AT_2)]
 #[case::with_object_api("status_with_object_api", &[], WITH_OBJECT_API)]
 #[tokio::test]
-async fn status_of_a_daemon(#[case] name: &str, #[case] args: &[&str], #[case] status: &str) {
+async fn status_prints_the_first_daemon_that_answers(
+    #[case] name: &str,
+    #[case] args: &[&str],
+    #[case] status: &str,
+) {
     let platform = Platform::start().await;
-    platform.statuses(&[status]);
-    let operators = format!("{},{}", dead_address(), platform.operators);
+    platform.set_statuses(&[status]);
+    let operators = format!("{},{}", closed_address(), platform.operators);
     let asked = ["status", "--operators", &operators];
     assert_snapshot!(name, report(&kelpworks(&[&asked, args].concat()).await));
 }
 
 #[tokio::test]
-async fn status_without_a_daemon_is_an_outcome() {
-    let dead = dead_address();
+async fn status_without_a_live_daemon_exits_with_1() {
+    let dead = closed_address();
     let text = report(&kelpworks(&["status", "--operators", &dead]).await);
     assert_snapshot!("status_dead", text.replace(&dead, "[address]"));
 }
 
 /// An address where nothing listens: no test binds to this one of the loopback range, so that no
 /// other test can take its port.
-fn dead_address() -> String {
+fn closed_address() -> String {
     "127.99.98.97:9".to_owned()
 }
--- a/crates/kelpworks-cli/tests/cli_faults.rs
+++ b/crates/kelpworks-cli/tests/cli_faults.rs
@@ -22,7 +22,7 @@
 const GET_BLOB: &str = "GET /objects/kelpworks.blob";
 
 /// A platform with Aralsky's register, at generation 1.
-async fn prepared() -> Platform {
+async fn platform_with_register() -> Platform {
     let platform = Platform::start().await;
     let import = platform
         .run(&["register", "import", "aralsky/register.toml"])
@@ -47,8 +47,8 @@
 #[case::head_read_silent(FaultKind::SilentBefore, GET_HEAD)]
 #[case::blob_read_cut(FaultKind::CutBody, GET_BLOB)]
 #[tokio::test]
-async fn one_fault_is_overcome(#[case] kind: FaultKind, #[case] on: &str) {
-    let platform = prepared().await;
+async fn change_is_accepted_once_despite_one_fault(#[case] kind: FaultKind, #[case] on: &str) {
+    let platform = platform_with_register().await;
     platform.object_api.faults().add(Fault::once(kind).on(on));
     let text = platform
         .run(&["rules", "apply", "aralsky/rules.toml"])
@@ -60,8 +60,8 @@
 
 /// The head is read as it stood one change ago, from a replica that lags.
 #[tokio::test]
-async fn a_stale_read_is_overcome() {
-    let platform = prepared().await;
+async fn change_is_accepted_despite_a_stale_read() {
+    let platform = platform_with_register().await;
     let apply = platform
         .run(&["rules", "apply", "aralsky/rules.toml"])
         .await;
@@ -81,12 +81,12 @@
 #[case::unavailable("outage_unavailable", ApiMode::Unavailable, Connections::Pass)]
 #[case::refused("outage_refused", ApiMode::Up, Connections::Refuse)]
 #[tokio::test]
-async fn an_outage_is_an_outcome(
+async fn object_api_outage_exits_with_1(
     #[case] name: &str,
     #[case] mode: ApiMode,
     #[case] connections: Connections,
 ) {
-    let platform = prepared().await;
+    let platform = platform_with_register().await;
     platform.object_api.set_mode(mode);
     platform.object_api.faults().connections(connections);
     let text = platform
@@ -97,14 +97,14 @@
 }
 
 /// A file of this test's own, removed when it ends.
-struct Scratch(PathBuf);
+struct ScratchFile(PathBuf);
 
-impl Scratch {
-    fn write(name: &str, text: &str) -> Scratch {
+impl ScratchFile {
+    fn write(name: &str, text: &str) -> ScratchFile {
         let file = format!("kelpworks-{}-{name}.toml", std::process::id());
         let path = std::env::temp_dir().join(file);
         fs::write(&path, text).unwrap();
-        Scratch(path)
+        ScratchFile(path)
     }
 
     fn path(&self) -> &str {
@@ -112,14 +112,14 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchFile {
     fn drop(&mut self) {
         let _gone = fs::remove_file(&self.0);
     }
 }
 
 /// An example with one of its lines changed.
-fn variant(file: &str, from: &str, to: &str) -> String {
+fn modified_example(file: &str, from: &str, to: &str) -> String {
     let text = fs::read_to_string(testdata().join(file)).unwrap();
     assert!(text.contains(from), "{from} is not in {file}");
     text.replacen(from, to, 1)
@@ -128,19 +128,19 @@
 /// Six operators at once, three on each part: each is accepted with a generation of its own, or
 /// told of the conflict; what is in force is what the winners wrote.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn racing_operators() {
-    let platform = prepared().await;
+async fn concurrent_changes_are_accepted_once_or_report_a_conflict() {
+    let platform = platform_with_register().await;
     let mut files = Vec::new();
     for n in 1..=3 {
-        let text = variant("aralsky/register.toml", "2026-11", &format!("2026-11-{n}"));
+        let text = modified_example("aralsky/register.toml", "2026-11", &format!("2026-11-{n}"));
         files.push((
             ["register", "import"],
-            Scratch::write(&format!("register-{n}"), &text),
+            ScratchFile::write(&format!("register-{n}"), &text),
         ));
-        let text = variant("aralsky/rules.toml", "0.20", &format!("0.2{n}"));
+        let text = modified_example("aralsky/rules.toml", "0.20", &format!("0.2{n}"));
         files.push((
             ["rules", "apply"],
-            Scratch::write(&format!("rules-{n}"), &text),
+            ScratchFile::write(&format!("rules-{n}"), &text),
         ));
     }
     let [a, b, c, d, e, f] = [0, 1, 2, 3, 4, 5].map(|i| {
--- a/crates/kelpworks-cli/tests/frame/mod.rs
+++ b/crates/kelpworks-cli/tests/harness/mod.rs
@@ -37,15 +37,15 @@
 const KELPWORKS: &str = env!("CARGO_BIN_EXE_kelpworks");
 const MODEL: &str = "demo";
 const LAYERS: u32 = 12;
-const FREE: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 /// Token of the paying team.
-pub(crate) const PAYING: &str = "frame-paying";
+pub(crate) const PAYING_TOKEN: &str = "frame-paying";
 /// Token of the team on trial.
-pub(crate) const TRIAL: &str = "frame-trial";
+pub(crate) const TRIAL_TOKEN: &str = "frame-trial";
 /// Pause between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Bound on a wait; never what a verdict rests on.
-const BOUND: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Shape of what runs.
 #[derive(Clone, Copy, Debug)]
@@ -104,20 +104,20 @@
 #[derive(Debug)]
 pub(crate) struct DaemonProcess {
     pub(crate) process: Process,
-    pub(crate) bound: Bound,
+    pub(crate) addresses: ListenAddresses,
 }
 
 /// Addresses that a daemon prints.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Bound {
+pub(crate) struct ListenAddresses {
     pub(crate) callers: String,
     pub(crate) operators: String,
 }
 
 /// All processes of a test; fields drop in this order.
 #[derive(Debug)]
-pub(crate) struct Frame {
+pub(crate) struct Harness {
     pub(crate) daemons: Vec<DaemonProcess>,
     pub(crate) engines: Vec<EngineProcess>,
     /// Object API, host list, weight store and plain services; its own engine is not used.
@@ -128,16 +128,16 @@
     dir: TempDir,
 }
 
-impl Frame {
+impl Harness {
     /// Starts everything, imports the register and the rules, and waits until all daemons serve.
-    pub(crate) async fn start(shape: Shape) -> Frame {
+    pub(crate) async fn start(shape: Shape) -> Harness {
         let dir = TempDir::new();
         let model = Model::new(MODEL, "1", LAYERS);
-        let platform = stand_ins(&dir.0, "platform", &["--stages", "1", "--replicas", "1"]);
+        let platform = spawn_fakes(&dir.0, "platform", &["--stages", "1", "--replicas", "1"]);
         let mut view: FleetView = serde_json::from_str(&platform.first_line).expect("a view");
-        let engines = engines(&dir.0, shape);
+        let engines = spawn_engines(&dir.0, shape);
         view.engines = engines.iter().map(|e| e.view.clone()).collect();
-        let mut frame = Frame {
+        let mut harness = Harness {
             daemons: Vec::new(),
             engines,
             platform,
@@ -149,15 +149,15 @@
                 .expect("a client"),
             dir,
         };
-        frame.set_hosts(&[]).await;
+        harness.set_host_list(&[]).await;
         for n in 0..shape.daemons {
-            frame.start_daemon(n, shape.timing);
+            harness.start_daemon(n, shape.timing);
         }
-        frame.import();
-        for daemon in &frame.daemons {
-            frame.until_serving(daemon).await;
+        harness.apply_configuration();
+        for daemon in &harness.daemons {
+            harness.wait_until_serving(daemon).await;
         }
-        frame
+        harness
     }
 
     fn start_daemon(&mut self, n: usize, timing: &str) {
@@ -165,9 +165,9 @@
         let addresses = DaemonAddresses {
             name: &name,
             failure_domain: "domain-0",
-            callers: FREE,
-            operators: FREE,
-            peers: FREE,
+            callers: ANY_PORT,
+            operators: ANY_PORT,
+            peers: ANY_PORT,
         };
         let file = self.dir.0.join(format!("{name}.toml"));
         let text = documents::settings(&self.view, addresses, timing);
@@ -175,17 +175,17 @@
         let mut command = Command::new(KELPWORKS);
         command.arg("serve").arg("--settings").arg(&file);
         let process = Process::spawn(command, self.dir.0.join(format!("{name}.log")));
-        let bound = serde_json::from_str(&process.first_line).expect("the addresses");
-        self.daemons.push(DaemonProcess { process, bound });
+        let addresses = serde_json::from_str(&process.first_line).expect("the addresses");
+        self.daemons.push(DaemonProcess { process, addresses });
     }
 
     /// Puts the configuration, as an operator does.
-    fn import(&self) {
+    fn apply_configuration(&self) {
         let models = std::slice::from_ref(&self.model);
         let register = documents::register(&self.view, models);
         self.apply("register", "import", &register);
-        let paying = digest_of(PAYING).to_string();
-        let trial = digest_of(TRIAL).to_string();
+        let paying = digest_of(PAYING_TOKEN).to_string();
+        let trial = digest_of(TRIAL_TOKEN).to_string();
         let team = |name, class, token_sha256| Team {
             name,
             class,
@@ -196,19 +196,23 @@
             team("merchandisers", "paying", &paying),
             team("trial-sellers", "trial", &trial),
         ];
-        let once = NonIdempotentCall {
+        let call = NonIdempotentCall {
             service: "jobs",
             method: "POST",
             path: "/certificates",
         };
-        self.apply("rules", "apply", &documents::rules(0.5, &teams, &[once]));
+        self.apply("rules", "apply", &documents::rules(0.5, &teams, &[call]));
     }
 
     /// Runs `kelpworks NOUN VERB` and waits until the change is in force on every daemon.
     pub(crate) fn apply(&self, noun: &str, verb: &str, text: &str) {
         let file = self.dir.0.join(format!("{noun}.toml"));
         std::fs::write(&file, text).expect("a file");
-        let operators: Vec<&str> = self.daemons.iter().map(|d| &*d.bound.operators).collect();
+        let operators: Vec<&str> = self
+            .daemons
+            .iter()
+            .map(|d| &*d.addresses.operators)
+            .collect();
         let mut command = Command::new(KELPWORKS);
         command
             .args([noun, verb])
@@ -221,15 +225,15 @@
     }
 
     /// Waits until a daemon answers a request: it is ready, and every stage has a live replica.
-    async fn until_serving(&self, daemon: &DaemonProcess) {
-        let url = format!("http://{}/readyz", daemon.bound.operators);
-        self.until("a daemon is ready", async || {
+    async fn wait_until_serving(&self, daemon: &DaemonProcess) {
+        let url = format!("http://{}/readyz", daemon.addresses.operators);
+        self.wait_until("a daemon is ready", async || {
             let answer = self.client.get(&url).send().await;
             answer.is_ok_and(|a| a.status().is_success())
         })
         .await;
-        let caller = self.caller_of(daemon, PAYING);
-        self.until("a daemon has a path", async || {
+        let caller = self.caller_of(daemon, PAYING_TOKEN);
+        self.wait_until("a daemon has a path", async || {
             let answer = caller.complete("first", 1).await;
             answer.is_ok_and(|a| matches!(a.end, crate::caller::End::Whole(_)))
         })
@@ -237,30 +241,30 @@
     }
 
     /// Waits, within a bound, until something is so.
-    pub(crate) async fn until(&self, what: &str, is_so: impl AsyncFn() -> bool) {
+    pub(crate) async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let wait = async {
-            while !is_so().await {
-                tokio::time::sleep(LOOK).await;
+            while !condition().await {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(BOUND, wait).await;
+        let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
         assert!(waited.is_ok(), "not within the bound: {what}");
     }
 
     /// A caller of the paying team at the `n`th daemon.
     pub(crate) fn caller(&self, n: usize) -> Caller {
-        self.caller_of(&self.daemons[n], PAYING)
+        self.caller_of(&self.daemons[n], PAYING_TOKEN)
     }
 
     /// A caller at a daemon.
     pub(crate) fn caller_of(&self, daemon: &DaemonProcess, token: &str) -> Caller {
-        let base = format!("http://{}", daemon.bound.callers);
+        let base = format!("http://{}", daemon.addresses.callers);
         Caller::new(&base, token, MODEL)
     }
 
     /// Status of `/readyz` at the `n`th daemon; `None` when it does not answer.
-    pub(crate) async fn ready(&self, n: usize) -> Option<u16> {
-        let url = format!("http://{}/readyz", self.daemons[n].bound.operators);
+    pub(crate) async fn readyz_status(&self, n: usize) -> Option<u16> {
+        let url = format!("http://{}/readyz", self.daemons[n].addresses.operators);
         let answer = self.client.get(&url).send().await.ok()?;
         Some(answer.status().as_u16())
     }
@@ -296,7 +300,7 @@
     }
 
     /// Sets the host list: all hosts live but those named.
-    pub(crate) async fn set_hosts(&self, leaving: &[&str]) {
+    pub(crate) async fn set_host_list(&self, leaving: &[&str]) {
         let host = |name: &str, address: String, domain: &str| HostEntry {
             name: name.to_owned(),
             address,
@@ -311,11 +315,12 @@
         let services = self.view.services.iter();
         let services = services.map(|s| host(&s.name, s.address.to_string(), &s.failure_domain));
         let hosts: Vec<HostEntry> = engines.chain(services).collect();
-        self.fake(&self.view.host_list, "hosts", &hosts).await;
+        self.control_fake(&self.view.host_list, "hosts", &hosts)
+            .await;
     }
 
     /// Orders something of a stand-in.
-    pub(crate) async fn fake<T: Serialize>(&self, base: &str, what: &str, body: &T) {
+    pub(crate) async fn control_fake<T: Serialize>(&self, base: &str, what: &str, body: &T) {
         let url = format!("{base}/fake/{what}");
         let answer = self.client.post(url).json(body).send().await;
         let answer = answer.expect("the stand-in lives");
@@ -324,7 +329,7 @@
 }
 
 /// Starts every replica of every stage in a process of its own.
-fn engines(dir: &Path, shape: Shape) -> Vec<EngineProcess> {
+fn spawn_engines(dir: &Path, shape: Shape) -> Vec<EngineProcess> {
     let mut engines = Vec::new();
     for stage in 0..shape.stages {
         let first = stage * LAYERS / shape.stages;
@@ -346,7 +351,7 @@
                 "--iteration-ms",
                 &iteration,
             ];
-            let process = stand_ins(dir, &name, &args);
+            let process = spawn_fakes(dir, &name, &args);
             let view = serde_json::from_str(&process.first_line).expect("a view");
             engines.push(EngineProcess { process, view });
         }
@@ -355,7 +360,7 @@
 }
 
 /// Starts the example `stand_ins`, which `cargo test` builds beside the binary.
-fn stand_ins(dir: &Path, name: &str, args: &[&str]) -> Process {
+fn spawn_fakes(dir: &Path, name: &str, args: &[&str]) -> Process {
     let beside = Path::new(KELPWORKS).parent().expect("a directory");
     let program = beside.join("examples").join("stand_ins");
     assert!(
--- a/crates/kelpworks-cli/tests/frame/process.rs
+++ b/crates/kelpworks-cli/tests/harness/process.rs
@@ -18,9 +18,9 @@
 use rustix::process::kill_process;
 
 /// Bound on a start or an end; never what a verdict rests on.
-const BOUND: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Lines of a log that a failed test shows.
-const LOG_TAIL: usize = 30;
+const LOG_TAIL_LINES: usize = 30;
 
 /// A running child; killed when dropped.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
             log,
             first_line: String::new(),
         };
-        let first = rx.recv_timeout(BOUND);
+        let first = rx.recv_timeout(WAIT_TIMEOUT);
         process.first_line = first.unwrap_or_else(|e| panic!("{command:?}: no first line: {e}"));
         process
     }
@@ -73,7 +73,7 @@
 
     /// Waits until it has ended by itself.
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("a child can be asked") {
                 return status;
@@ -96,7 +96,7 @@
         if thread::panicking() {
             let log = self.log();
             let lines: Vec<&str> = log.lines().collect();
-            let tail = &lines[lines.len().saturating_sub(LOG_TAIL)..];
+            let tail = &lines[lines.len().saturating_sub(LOG_TAIL_LINES)..];
             eprintln!("-- {}\n{}", self.log.display(), tail.join("\n"));
         }
     }
--- a/crates/kelpworks-cli/tests/frame/streams.rs
+++ b/crates/kelpworks-cli/tests/harness/streams.rs
@@ -2,7 +2,7 @@
 
 use futures_util::future::join_all;
 
-use super::Frame;
+use super::Harness;
 use crate::caller::Answer;
 use crate::caller::End;
 use crate::caller::Streamed;
@@ -10,9 +10,9 @@
 /// Tokens of an answer.
 pub(crate) const MAX_TOKENS: u32 = 40;
 /// Streams of one set.
-const STREAMS: usize = 6;
+const STREAMS_PER_SET: usize = 6;
 /// Tokens that each stream has seen before the test goes on.
-const SEEN: usize = 2;
+const INITIAL_TOKENS: usize = 2;
 
 /// Streams whose prompts begin with the same label.
 #[derive(Debug)]
@@ -30,15 +30,15 @@
 
 impl Streams {
     /// Starts streams at the `daemon`th daemon and reads the first tokens of each.
-    pub(crate) async fn begin(frame: &Frame, daemon: usize, label: &str) -> Streams {
-        let caller = frame.caller(daemon);
+    pub(crate) async fn begin(harness: &Harness, daemon: usize, label: &str) -> Streams {
+        let caller = harness.caller(daemon);
         let mut streams = Vec::new();
-        for n in 0..STREAMS {
+        for n in 0..STREAMS_PER_SET {
             let prompt = prompt(label, n);
             streams.push(caller.stream(&prompt, MAX_TOKENS).await.expect("a stream"));
         }
         for stream in &mut streams {
-            stream.read_tokens(SEEN).await;
+            stream.read_tokens(INITIAL_TOKENS).await;
         }
         Streams {
             label: label.to_owned(),
@@ -68,9 +68,9 @@
     }
 
     /// Asserts that all are whole and equal to the model computed directly.
-    pub(crate) fn assert_whole(&self, frame: &Frame) {
+    pub(crate) fn assert_complete(&self, harness: &Harness) {
         for (n, answer) in self.answers.iter().enumerate() {
-            let text = frame.model.answer_text(&self.prompt(n), MAX_TOKENS);
+            let text = harness.model.answer_text(&self.prompt(n), MAX_TOKENS);
             assert_eq!(answer.text, text, "{answer:?}");
             assert!(matches!(answer.end, End::Whole(_)), "{:?}", answer.end);
         }
--- a/crates/kelpworks-cli/tests/proc_freeze.rs
+++ b/crates/kelpworks-cli/tests/proc_freeze.rs
@@ -2,36 +2,36 @@
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
-mod frame;
+mod harness;
 
 use rustix::process::Signal;
 
-use frame::Frame;
-use frame::Shape;
-use frame::streams::Streams;
+use harness::Harness;
+use harness::Shape;
+use harness::streams::Streams;
 
 /// A frozen engine keeps its connections and answers nothing: it is found by the progress
 /// deadline. What it still does when it goes on changes no answer, and it serves again.
 #[tokio::test]
-async fn a_frozen_engine_costs_no_answer() {
-    let frame = Frame::start(Shape::default()).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    let victim = frame.engine_of(streams.request(0), "engine-1").await;
-    frame.engines[victim].process.signal(Signal::STOP);
-    streams.rest().await.assert_whole(&frame);
-    let log = frame.daemons[0].process.log();
+async fn frozen_engine_loses_no_answer_and_serves_again_once_resumed() {
+    let harness = Harness::start(Shape::default()).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    let victim = harness.engine_of(streams.request(0), "engine-1").await;
+    harness.engines[victim].process.signal(Signal::STOP);
+    streams.rest().await.assert_complete(&harness);
+    let log = harness.daemons[0].process.log();
     assert!(log.contains("stage failed"), "the freeze struck a session");
 
-    let thawed = Streams::begin(&frame, 0, "thawed").await;
-    frame.engines[victim].process.signal(Signal::CONT);
-    thawed.rest().await.assert_whole(&frame);
-    let before = frame.ledger(victim).await.totals.runs;
-    frame
-        .until("the engine serves again", async || {
-            let answer = frame.caller(0).complete("once more", 2).await;
-            let text = frame.model.answer_text("once more", 2);
+    let thawed = Streams::begin(&harness, 0, "thawed").await;
+    harness.engines[victim].process.signal(Signal::CONT);
+    thawed.rest().await.assert_complete(&harness);
+    let before = harness.ledger(victim).await.totals.runs;
+    harness
+        .wait_until("the engine serves again", async || {
+            let answer = harness.caller(0).complete("once more", 2).await;
+            let text = harness.model.answer_text("once more", 2);
             assert_eq!(answer.expect("an answer").text, text);
-            frame.ledger(victim).await.totals.runs > before
+            harness.ledger(victim).await.totals.runs > before
         })
         .await;
 }
@@ -39,28 +39,28 @@
 /// The first stage freezes between its step and the fetch of its output: the next stage, which
 /// waits for that output, is not to blame.
 #[tokio::test]
-async fn a_frozen_first_stage_costs_no_answer() {
-    let frame = Frame::start(Shape::default()).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    let victim = frame.engine_of(streams.request(0), "engine-0").await;
-    frame.engines[victim].process.signal(Signal::STOP);
-    streams.rest().await.assert_whole(&frame);
+async fn frozen_first_stage_loses_no_answer() {
+    let harness = Harness::start(Shape::default()).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    let victim = harness.engine_of(streams.request(0), "engine-0").await;
+    harness.engines[victim].process.signal(Signal::STOP);
+    streams.rest().await.assert_complete(&harness);
 }
 
 /// A daemon that was paused goes on with its streams where it stood.
 #[tokio::test]
-async fn a_paused_daemon_goes_on() {
-    let frame = Frame::start(Shape::default()).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    frame.daemons[0].process.signal(Signal::STOP);
-    let idle = frame.engine_of(streams.request(0), "engine-2").await;
-    frame
-        .until("the engines have run what was sent", async || {
-            let before = frame.ledger(idle).await.totals.runs;
+async fn paused_daemon_resumes_its_streams() {
+    let harness = Harness::start(Shape::default()).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    harness.daemons[0].process.signal(Signal::STOP);
+    let idle = harness.engine_of(streams.request(0), "engine-2").await;
+    harness
+        .wait_until("the engines have run what was sent", async || {
+            let before = harness.ledger(idle).await.totals.runs;
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-            frame.ledger(idle).await.totals.runs == before
+            harness.ledger(idle).await.totals.runs == before
         })
         .await;
-    frame.daemons[0].process.signal(Signal::CONT);
-    streams.rest().await.assert_whole(&frame);
+    harness.daemons[0].process.signal(Signal::CONT);
+    streams.rest().await.assert_complete(&harness);
 }
--- a/crates/kelpworks-cli/tests/proc_leave.rs
+++ b/crates/kelpworks-cli/tests/proc_leave.rs
@@ -2,67 +2,67 @@
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
-mod frame;
+mod harness;
 
 use std::collections::HashSet;
 
 use rstest::rstest;
 
-use frame::Frame;
-use frame::Shape;
-use frame::streams::Streams;
+use harness::Harness;
+use harness::Shape;
+use harness::streams::Streams;
 use kelpworks_fakes::ApiMode;
 
 /// Who says that an upstream leaves.
 #[derive(Clone, Copy, Debug)]
-enum Says {
+enum LeaveSource {
     HostList,
     Itself,
 }
 
 /// Requests sent after the daemon has seen it.
-const LATER: usize = 8;
+const LATER_REQUESTS: usize = 8;
 
 /// Once the daemon knows that an engine leaves, the engine gets no new session; the sessions on
 /// it move at a token boundary and end whole.
 #[rstest]
-#[case::host_list(Says::HostList)]
-#[case::itself(Says::Itself)]
+#[case::host_list(LeaveSource::HostList)]
+#[case::itself(LeaveSource::Itself)]
 #[tokio::test]
-async fn a_leaving_engine_gets_no_new_session(#[case] says: Says) {
-    let frame = Frame::start(Shape::default()).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    let victim = frame.engine_of(streams.request(0), "engine-1").await;
-    let view = &frame.engines[victim].view;
-    match says {
-        Says::HostList => frame.set_hosts(&[&view.name]).await,
-        Says::Itself => frame.fake(&view.url, "draining", &true).await,
+async fn leaving_engine_gets_no_new_session_and_its_sessions_complete(#[case] source: LeaveSource) {
+    let harness = Harness::start(Shape::default()).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    let victim = harness.engine_of(streams.request(0), "engine-1").await;
+    let view = &harness.engines[victim].view;
+    match source {
+        LeaveSource::HostList => harness.set_host_list(&[&view.name]).await,
+        LeaveSource::Itself => harness.control_fake(&view.url, "draining", &true).await,
     }
-    frame
-        .until("a session moves off", async || {
-            let log = frame.daemons[0].process.log();
+    harness
+        .wait_until("a session moves off", async || {
+            let log = harness.daemons[0].process.log();
             log.contains("upstream leaving")
         })
         .await;
     let mut later = HashSet::new();
-    for n in 0..LATER {
+    for n in 0..LATER_REQUESTS {
         let prompt = format!("later {n}");
-        let answer = frame
+        let answer = harness
             .caller(0)
             .complete(&prompt, 4)
             .await
             .expect("an answer");
-        assert_eq!(answer.text, frame.model.answer_text(&prompt, 4));
+        assert_eq!(answer.text, harness.model.answer_text(&prompt, 4));
         later.insert(answer.request);
     }
-    let ledger = frame.ledger(victim).await;
+    let ledger = harness.ledger(victim).await;
     let new: Vec<_> = ledger
         .runs
         .iter()
         .filter(|r| later.contains(&r.session))
         .collect();
     assert!(new.is_empty(), "new work on a leaving engine: {new:?}");
-    streams.rest().await.assert_whole(&frame);
+    streams.rest().await.assert_complete(&harness);
 }
 
 /// The object API is away: requests go on, those under way and new ones.
@@ -70,19 +70,21 @@
 #[case::unavailable(ApiMode::Unavailable)]
 #[case::silent(ApiMode::Silent)]
 #[tokio::test]
-async fn serving_goes_on_without_the_object_api(#[case] mode: ApiMode) {
-    let frame = Frame::start(Shape::default()).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    frame.fake(&frame.view.object_api, "mode", &mode).await;
-    for n in 0..LATER {
+async fn requests_are_served_during_an_object_api_outage(#[case] mode: ApiMode) {
+    let harness = Harness::start(Shape::default()).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    harness
+        .control_fake(&harness.view.object_api, "mode", &mode)
+        .await;
+    for n in 0..LATER_REQUESTS {
         let prompt = format!("later {n}");
-        let answer = frame
+        let answer = harness
             .caller(0)
             .complete(&prompt, 4)
             .await
             .expect("an answer");
-        assert_eq!(answer.text, frame.model.answer_text(&prompt, 4));
+        assert_eq!(answer.text, harness.model.answer_text(&prompt, 4));
     }
-    streams.rest().await.assert_whole(&frame);
-    assert_eq!(frame.ready(0).await, Some(200));
+    streams.rest().await.assert_complete(&harness);
+    assert_eq!(harness.readyz_status(0).await, Some(200));
 }
--- a/crates/kelpworks-cli/tests/proc_stop.rs
+++ b/crates/kelpworks-cli/tests/proc_stop.rs
@@ -2,61 +2,61 @@
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
-mod frame;
+mod harness;
 
 use rustix::process::Signal;
 
 use caller::End;
-use frame::Frame;
-use frame::Shape;
-use frame::streams::Streams;
+use harness::Harness;
+use harness::Shape;
+use harness::streams::Streams;
 use kelpworks_fakes::EngineConfig;
 
-async fn assert_engines_are_free(frame: &Frame) {
+async fn assert_engine_caches_are_free(harness: &Harness) {
     let whole = EngineConfig::new("any", Vec::new()).kv_capacity;
-    for n in 0..frame.engines.len() {
-        assert_eq!(frame.state(n).await.load.kv_free, whole);
+    for n in 0..harness.engines.len() {
+        assert_eq!(harness.state(n).await.load.kv_free, whole);
     }
 }
 
 /// The balancer's check fails first, while requests are still taken; those in flight finish;
 /// then the process ends with success, and the engines hold nothing of it.
 #[tokio::test]
-async fn a_planned_stop_cuts_nobody_off() {
+async fn planned_stop_completes_requests_in_flight() {
     let shape = Shape {
         timing: "balancer_notice = \"4 s\"\nstate_poll = \"200 ms\"",
         ..Shape::default()
     };
-    let mut frame = Frame::start(shape).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    frame.daemons[0].process.signal(Signal::TERM);
-    frame
-        .until("the balancer's check fails", async || {
-            frame.ready(0).await == Some(503)
+    let mut harness = Harness::start(shape).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    harness.daemons[0].process.signal(Signal::TERM);
+    harness
+        .wait_until("the balancer's check fails", async || {
+            harness.readyz_status(0).await == Some(503)
         })
         .await;
-    let late = Streams::begin(&frame, 0, "late").await;
-    streams.rest().await.assert_whole(&frame);
-    late.rest().await.assert_whole(&frame);
-    let status = frame.daemons[0].process.wait();
+    let late = Streams::begin(&harness, 0, "late").await;
+    streams.rest().await.assert_complete(&harness);
+    late.rest().await.assert_complete(&harness);
+    let status = harness.daemons[0].process.wait();
     assert_eq!(status.code(), Some(0));
-    assert_engines_are_free(&frame).await;
+    assert_engine_caches_are_free(&harness).await;
 }
 
 /// A second signal ends the daemon at once; callers get a verdict, not a cut.
 #[tokio::test]
-async fn a_second_signal_ends_at_once_with_verdicts() {
+async fn second_signal_stops_at_once_and_reports_verdicts() {
     let shape = Shape {
         iteration_ms: 200,
         ..Shape::default()
     };
-    let mut frame = Frame::start(shape).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    let process = &frame.daemons[0].process;
+    let mut harness = Harness::start(shape).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    let process = &harness.daemons[0].process;
     process.signal(Signal::TERM);
-    frame
-        .until("the balancer's check fails", async || {
-            frame.ready(0).await == Some(503)
+    harness
+        .wait_until("the balancer's check fails", async || {
+            harness.readyz_status(0).await == Some(503)
         })
         .await;
     process.signal(Signal::TERM);
@@ -66,28 +66,28 @@
         };
         assert_eq!(body.error.verdict, "may-have-run");
     }
-    assert_eq!(frame.daemons[0].process.wait().code(), Some(0));
-    assert_engines_are_free(&frame).await;
+    assert_eq!(harness.daemons[0].process.wait().code(), Some(0));
+    assert_engine_caches_are_free(&harness).await;
 }
 
 /// Requests that outlast the balancer's notice finish all the same; new ones find the address
 /// closed, and nothing of them runs.
 #[tokio::test]
-async fn a_drain_waits_for_what_is_in_flight() {
+async fn drain_waits_for_requests_in_flight_and_refuses_new_ones() {
     let shape = Shape {
         iteration_ms: 20,
         timing: "balancer_notice = \"50 ms\"\nstate_poll = \"200 ms\"",
         ..Shape::default()
     };
-    let mut frame = Frame::start(shape).await;
-    let streams = Streams::begin(&frame, 0, "kettle").await;
-    frame.daemons[0].process.signal(Signal::TERM);
-    frame
-        .until("the address is closed", async || {
-            frame.caller(0).complete("new", 1).await.is_err()
+    let mut harness = Harness::start(shape).await;
+    let streams = Streams::begin(&harness, 0, "kettle").await;
+    harness.daemons[0].process.signal(Signal::TERM);
+    harness
+        .wait_until("the address is closed", async || {
+            harness.caller(0).complete("new", 1).await.is_err()
         })
         .await;
-    streams.rest().await.assert_whole(&frame);
-    assert_eq!(frame.daemons[0].process.wait().code(), Some(0));
-    assert_engines_are_free(&frame).await;
+    streams.rest().await.assert_complete(&harness);
+    assert_eq!(harness.daemons[0].process.wait().code(), Some(0));
+    assert_engine_caches_are_free(&harness).await;
 }
--- a/crates/kelpworks-cli/tests/relay_entries.rs
+++ b/crates/kelpworks-cli/tests/relay_entries.rs
@@ -9,14 +9,14 @@
 use serde_json::Value;
 use serde_json::json;
 
-use relay_site::BOUND;
 use relay_site::Site;
+use relay_site::WAIT_TIMEOUT;
 use relay_site::engine::Engine;
-use relay_site::engine::is_whole;
+use relay_site::engine::covers_all_layers;
 
 /// Waits until a condition holds, publishing what engines hold as their heartbeats would.
-async fn until(site: &Site, mut holds: impl AsyncFnMut() -> bool) {
-    let end = tokio::time::Instant::now() + BOUND;
+async fn wait_until(site: &Site, mut holds: impl AsyncFnMut() -> bool) {
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(
             tokio::time::Instant::now() < end,
@@ -53,7 +53,7 @@
 #[case::layers_backwards("layers", json!({"from": 9, "to": 3, "version": 1}))]
 #[case::layers_are_text("layers", json!("0-12"))]
 #[tokio::test]
-async fn an_entry_that_is_off_names_nobody_and_the_others_hold(
+async fn invalid_entry_is_ignored_and_valid_entries_stay_in_use(
     #[case] field: &str,
     #[case] value: Value,
 ) {
@@ -85,26 +85,26 @@
     assert_eq!(runs.len(), 8);
     assert!(
         runs.iter()
-            .all(|r| is_whole(&r.hops) && !r.path.contains(&"stranger".to_owned()))
+            .all(|r| covers_all_layers(&r.hops) && !r.path.contains(&"stranger".to_owned()))
     );
 }
 
 /// Objects and bytes that are no object of the store, in its lists and watch events.
 #[tokio::test]
-async fn objects_that_cant_be_read_spoil_only_themselves() {
+async fn unreadable_objects_do_not_affect_other_objects() {
     let mut site = Site::start("unreadable", 1).await;
     let spec = site.engines.all()[0].entry();
     let nameless = json!({"metadata": {"revision": 3}, "spec": spec});
     let odd = json!({"metadata": {"name": "odd", "revision": "three"}, "spec": spec});
     let text = json!({"metadata": {"name": "text", "revision": 4}, "spec": "\u{0}\u{fffd}"});
     // By a watch: the first can't be passed over by name, so the daemon lists anew.
-    site.store.put_whole("nameless", nameless);
-    site.store.put_whole("odd", odd);
-    site.store.put_whole("text", text);
+    site.store.put_raw_object("nameless", nameless);
+    site.store.put_raw_object("odd", odd);
+    site.store.put_raw_object("text", text);
     site.store
         .put_bytes(b"{\"metadata\":{\"name\":\"bytes\xff\xfe\"},\"spec\":1e999}");
     site.store.put_bytes(b"[[[[]]]]");
-    site.store.forget_history();
+    site.store.compact_history();
     site.store.put("servers", "s-0", {
         let mut app = site.app.entry();
         app["seq"] = json!(2);
@@ -120,16 +120,16 @@
     }
     // A daemon that starts reads the whole list.
     let address = site.store.address;
-    let budget = relay_site::daemon::Budget::default();
+    let budget = relay_site::daemon::RetryBudget::default();
     let late = relay_site::daemon::Relay::start("unreadable", 1, address, &site.daemons, &budget);
     site.daemons.insert(0, late);
-    until(&site, async || is_served(&site, "late").await).await;
+    wait_until(&site, async || is_served(&site, "late").await).await;
     assert!(site.daemons[0].log().contains("can't be read"));
 }
 
 /// A known upstream whose entry turns bad is used no more from then on.
 #[tokio::test]
-async fn an_entry_that_turns_bad_names_nobody() {
+async fn entry_that_becomes_invalid_is_no_longer_used() {
     let site = Site::start("turns-bad", 1).await;
     let daemon = &site.daemons[0];
     let get = async |id: &str| {
@@ -140,9 +140,9 @@
     let mut app = site.app.entry();
     app["state"] = json!("retired");
     site.store.put("servers", "s-0", app);
-    until(&site, async || get("after").await == 503).await;
+    wait_until(&site, async || get("after").await == 503).await;
     site.store.put("servers", "s-0", site.app.entry());
-    until(&site, async || get("again").await == 200).await;
+    wait_until(&site, async || get("again").await == 200).await;
     let warned = daemon.log().matches("upstream left out").count();
     assert_eq!(warned, 1, "a line for the change, not for each read");
 }
@@ -153,22 +153,30 @@
 #[case::one(1)]
 #[case::all(4)]
 #[tokio::test]
-async fn engines_that_start_again_are_given_layers_anew(#[case] count: usize) {
+async fn restarted_engines_are_assigned_layers_again(#[case] count: usize) {
     let site = Site::start(&format!("again-{count}"), 1).await;
     assert!(is_served(&site, "before").await);
     let engines = site.engines.all();
     for engine in &engines[..count] {
-        engine.start_again();
+        engine.restart();
     }
-    until(&site, async || engines.iter().all(|e| e.held().is_some())).await;
-    until(&site, async || is_served(&site, "after").await).await;
+    wait_until(&site, async || {
+        engines.iter().all(|e| e.loaded_layers().is_some())
+    })
+    .await;
+    wait_until(&site, async || is_served(&site, "after").await).await;
     assert!(engines[..count].iter().all(|e| e.orders() == 1));
-    assert!(site.engines.runs().iter().all(|r| is_whole(&r.hops)));
+    assert!(
+        site.engines
+            .runs()
+            .iter()
+            .all(|r| covers_all_layers(&r.hops))
+    );
 }
 
 /// Beside an engine's entry stands that of the one which had its address before.
 #[tokio::test]
-async fn an_older_entry_at_an_engines_address_is_not_used() {
+async fn older_entry_at_the_same_address_is_not_used() {
     let site = Site::start("two-entries", 1).await;
     for engine in site.engines.all() {
         let mut old = engine.entry();
@@ -196,7 +204,7 @@
 /// An entry that claims an engine's address, with a later start than the engine's own: the first
 /// request for it is refused by the engine, and none after it.
 #[tokio::test]
-async fn an_answer_that_names_another_upstream_settles_who_has_the_address() {
+async fn answer_that_names_another_upstream_determines_the_address_owner() {
     let site = Site::start("settled", 1).await;
     let daemon = &site.daemons[0];
     for engine in site.engines.all() {
@@ -206,7 +214,7 @@
         site.store.put("servers", &name, claim);
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
-    until(&site, async || is_served(&site, "first").await).await;
+    wait_until(&site, async || is_served(&site, "first").await).await;
     let refused = daemon.log().matches("refused by the upstream").count();
     site.engines.clear_runs();
     for i in 0..6 {
@@ -224,13 +232,13 @@
 /// A refusal that a later engine of the path gave, with its own name on it, says nothing of the first
 /// engine's address.
 #[tokio::test]
-async fn a_refusal_by_a_later_engine_leaves_the_first_one_its_address() {
+async fn refusal_by_a_later_engine_keeps_the_address_owner_of_the_first() {
     let site = Site::start("later-engine", 1).await;
     let daemon = &site.daemons[0];
     let engines = site.engines.all();
-    let is_never_first = |e: &&Engine| e.held().is_some_and(|(from, _)| from > 0);
+    let is_never_first = |e: &&Engine| e.loaded_layers().is_some_and(|(from, _)| from > 0);
     for engine in engines.iter().filter(is_never_first) {
-        engine.give_up_layers();
+        engine.unload_layers();
     }
     for i in 0..6 {
         let _ = daemon.stream(&format!("later-{i}"), 4).await;
--- a/crates/kelpworks-cli/tests/relay_faults.rs
+++ b/crates/kelpworks-cli/tests/relay_faults.rs
@@ -7,73 +7,73 @@
 use reqwest::Method;
 use rstest::rstest;
 
-use relay_site::BOUND;
 use relay_site::Site;
+use relay_site::WAIT_TIMEOUT;
 use relay_site::configuration;
-use relay_site::daemon::Budget;
 use relay_site::daemon::Relay;
+use relay_site::daemon::RetryBudget;
 use relay_site::engine::Engine;
 use relay_site::engine::Fault;
 use relay_site::engine::Run;
-use relay_site::engine::is_whole;
+use relay_site::engine::covers_all_layers;
 use relay_site::route;
 
 /// Changes of path that engines accepted.
-const REROUTES: &str = "kelpworks_reroutes_total{outcome=\"accepted\"}";
+const REROUTES_METRIC: &str = "kelpworks_reroutes_total{outcome=\"accepted\"}";
 /// Repeats that a daemon has used.
-const REPEATS: &str = "kelpworks_repeats_total{outcome=\"taken\"}";
+const RETRIES_METRIC: &str = "kelpworks_repeats_total{outcome=\"taken\"}";
 
 #[rstest]
 #[case::cut("cut", Fault::Cut(3))]
-#[case::silent("silent", Fault::Silent(3, Duration::from_secs(20)))]
+#[case::silent("silent", Fault::Stall(3, Duration::from_secs(20)))]
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_without_a_gap_or_a_repeat(
+async fn failed_stream_resumes_on_another_engine_without_missing_or_duplicate_events(
     #[case] name: &str,
     #[case] fault: Fault,
 ) {
     let site = Site::start(&format!("resume-{name}"), 1).await;
-    site.engines.fault_everywhere(fault);
-    let rest = site.daemons[0].begin("r-1", 12).await;
-    site.engines.heal();
+    site.engines.inject_fault_everywhere(fault);
+    let rest = site.daemons[0].start_stream("r-1", 12).await;
+    site.engines.clear_faults();
     let body = rest.await;
     let ids = body.lines().filter_map(|l| l.strip_prefix("id: "));
     let ids: Vec<u64> = ids.map(|id| id.parse().expect("a number")).collect();
     assert_eq!(ids, (1..=12).collect::<Vec<u64>>());
     let runs = site.engines.runs();
     assert!(runs.len() >= 2, "{runs:?}");
-    assert!(runs.iter().all(|r| is_whole(&r.hops)), "{runs:?}");
+    assert!(runs.iter().all(|r| covers_all_layers(&r.hops)), "{runs:?}");
     assert_eq!(runs[1].after, 3, "{runs:?}");
 }
 
 #[tokio::test]
-async fn a_stream_passes_an_engine_that_stopped_by_without_a_repeat() {
+async fn stream_is_rerouted_around_a_stalled_engine_without_a_retry() {
     let domain = ["hall-a", "hall-a"];
-    let site = Site::start_in("reroute", 1, Budget::default(), &domain).await;
+    let site = Site::start_in_domains("reroute", 1, RetryBudget::default(), &domain).await;
     let daemon = &site.daemons[0];
     let mut streams = Vec::new();
-    let stopped = loop {
+    let stalled = loop {
         let id = format!("p-{}", streams.len());
-        streams.push(tokio::spawn(daemon.begin(&id, 150).await));
-        if let Some(inner) = inner_engine(&site.engines.runs()) {
+        streams.push(tokio::spawn(daemon.start_stream(&id, 150).await));
+        if let Some(inner) = find_inner_engine(&site.engines.runs()) {
             break inner;
         }
         assert!(streams.len() < 40, "{:?}", site.engines.runs());
     };
-    let before = daemon.counter(REPEATS).await;
-    site.engines.stop(&stopped);
+    let before = daemon.counter(RETRIES_METRIC).await;
+    site.engines.stall(&stalled);
     let count = streams.len();
     for stream in streams {
         let body = stream.await.expect("no panic");
         assert_eq!(body.matches("id: ").count(), 150, "{}", daemon.log());
     }
     assert_eq!(site.engines.runs().len(), count, "no request ran again");
-    assert_eq!(daemon.counter(REPEATS).await, before);
-    assert!(daemon.counter(REROUTES).await > 0);
+    assert_eq!(daemon.counter(RETRIES_METRIC).await, before);
+    assert!(daemon.counter(REROUTES_METRIC).await > 0);
 }
 
 /// An engine that some paths pass, but none first, while other paths show that the first engines of
 /// these work: without them the daemon can't tell which one stopped.
-fn inner_engine(runs: &[Run]) -> Option<String> {
+fn find_inner_engine(runs: &[Run]) -> Option<String> {
     let mut later = runs.iter().flat_map(|r| &r.path[1..]);
     let is_inner = |engine: &&String| {
         let passes = |r: &&Run| r.path.contains(engine);
@@ -86,15 +86,15 @@
 
 /// Such a stream was once cut off: it was dropped before a repeat was asked for, and refused.
 #[tokio::test]
-async fn a_silent_stream_is_kept_when_no_repeat_is_allowed() {
-    let none = Budget {
+async fn stalled_stream_is_kept_when_the_retry_budget_is_empty() {
+    let none = RetryBudget {
         window: "10 s",
         ratio: 0.0,
         slack: 0.0,
     };
-    let site = Site::start_with("kept", 1, none).await;
+    let site = Site::start_with_budget("kept", 1, none).await;
     let pause = Duration::from_millis(700);
-    site.engines.fault_everywhere(Fault::Silent(3, pause));
+    site.engines.inject_fault_everywhere(Fault::Stall(3, pause));
     let answer = site.daemons[0].stream("k-1", 12).await.expect("an answer");
     assert_eq!(answer.ids(), (1..=12).collect::<Vec<u64>>());
     assert_eq!(site.engines.runs().len(), 1);
@@ -102,19 +102,19 @@
 
 /// Such a stream was once cut off: the attempt that was to go on was refused.
 #[tokio::test]
-async fn a_silent_stream_is_gone_back_to_when_the_next_attempt_is_refused() {
-    let one = Budget {
+async fn stalled_stream_is_resumed_when_the_next_attempt_is_refused() {
+    let one = RetryBudget {
         window: "1 s",
         ratio: 0.0,
         slack: 1.2,
     };
-    let site = Site::start_with("back", 1, one).await;
+    let site = Site::start_with_budget("back", 1, one).await;
     // Until then the daemon shares the one repeat with others that it assumes.
     tokio::time::sleep(Duration::from_millis(3_300)).await;
     let pause = Duration::from_millis(900);
-    site.engines.fault_everywhere(Fault::Silent(3, pause));
-    let rest = site.daemons[0].begin("b-1", 12).await;
-    site.engines.fault_everywhere(Fault::Refused);
+    site.engines.inject_fault_everywhere(Fault::Stall(3, pause));
+    let rest = site.daemons[0].start_stream("b-1", 12).await;
+    site.engines.inject_fault_everywhere(Fault::Refuse);
     let body = rest.await;
     assert_eq!(
         body.matches("id: ").count(),
@@ -126,17 +126,17 @@
 
 /// Seen once: requests that found no path used up the repeats that streams needed to go on.
 #[tokio::test]
-async fn a_request_without_a_path_is_refused_and_uses_no_repeat() {
+async fn request_without_a_path_is_refused_and_consumes_no_retry() {
     let site = Site::start("no-path", 1).await;
     for engine in site.engines.all() {
         site.store.delete("servers", &engine.instance);
     }
     let daemon = &site.daemons[0];
-    until(async || daemon.stream("n-1", 4).await.is_ok_and(|a| a.status == 503)).await;
-    let before = daemon.counter(REPEATS).await;
+    wait_until(async || daemon.stream("n-1", 4).await.is_ok_and(|a| a.status == 503)).await;
+    let before = daemon.counter(RETRIES_METRIC).await;
     let answer = daemon.stream("n-2", 4).await.expect("an answer");
     assert_eq!((answer.status, answer.retry_after.is_some()), (503, true));
-    assert_eq!(daemon.counter(REPEATS).await, before);
+    assert_eq!(daemon.counter(RETRIES_METRIC).await, before);
 }
 
 #[rstest]
@@ -144,7 +144,7 @@
 #[case::another_request("/once/foreign", 502, 1)]
 #[case::refused("/once/full", 503, 0)]
 #[tokio::test]
-async fn a_call_runs_at_most_once_and_refusals_are_true(
+async fn non_idempotent_call_runs_at_most_once_and_a_refused_one_not_at_all(
     #[case] path: &str,
     #[case] status: u16,
     #[case] ran: u32,
@@ -154,18 +154,18 @@
     let req = daemon.request(Method::POST, path, "o-1").body("x");
     let answer = daemon.send(req).await.expect("an answer");
     assert_eq!(answer.status, status);
-    assert_eq!(site.app.ran("o-1"), ran);
+    assert_eq!(site.app.run_count("o-1"), ran);
     assert_eq!(answer.retry_after.is_some(), status == 503);
 }
 
 /// Seen once: engines left the registration and worked on, and a third one got the request.
 #[tokio::test]
-async fn engines_that_leave_the_registration_still_count_as_tried() {
+async fn deregistered_engines_still_count_as_tried() {
     let domains = ["hall-a", "hall-b", "hall-c"];
-    let site = Site::start_in("tried", 1, Budget::default(), &domains).await;
+    let site = Site::start_in_domains("tried", 1, RetryBudget::default(), &domains).await;
     let pause = Duration::from_millis(1_500);
     site.engines
-        .fault_everywhere(Fault::SilentThenCut(2, pause));
+        .inject_fault_everywhere(Fault::StallThenCut(2, pause));
     let firsts = async || {
         let mut firsts: Vec<String> = site.engines.runs().into_iter().map(|r| r.first).collect();
         firsts.sort_unstable();
@@ -176,42 +176,42 @@
         firsts
     };
     let caller = tokio::spawn(site.daemons[0].stream_request("f-1", 12).send());
-    until(async || firsts().await.len() == 2).await;
+    wait_until(async || firsts().await.len() == 2).await;
     tokio::time::sleep(pause * 2).await;
     assert_eq!(firsts().await.len(), 2);
     caller.abort();
 }
 
 #[tokio::test]
-async fn work_ends_soon_after_its_caller_has_left() {
+async fn engine_work_ends_soon_after_the_caller_disconnects() {
     let site = Site::start("left", 1).await;
-    let rest = site.daemons[0].begin("l-1", 2_000).await;
-    assert_eq!(site.engines.working(), 1);
+    let rest = site.daemons[0].start_stream("l-1", 2_000).await;
+    assert_eq!(site.engines.active_streams(), 1);
     drop(rest);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert_eq!(site.engines.working(), 0);
+    assert_eq!(site.engines.active_streams(), 0);
 }
 
 #[tokio::test]
-async fn a_daemon_that_the_store_turns_away_hears_changes_from_a_peer() {
+async fn daemon_cut_off_from_the_store_gets_changes_from_a_peer() {
     let mut site = Site::start("peers", 1).await;
     let (second, handle) = site.store.second_address().await;
-    let relay = Relay::start("peers", 1, second, &site.daemons, &Budget::default());
+    let relay = Relay::start("peers", 1, second, &site.daemons, &RetryBudget::default());
     site.daemons.push(relay);
     let cut_off = &site.daemons[1];
-    until(async || get(cut_off, "/often/x").await == Ok(200)).await;
+    wait_until(async || get_status(cut_off, "/often/x").await == Ok(200)).await;
     handle.stop_forceful();
     let mut newer = configuration(9);
     newer["routes"] = serde_json::json!([route("often", "/later/", "idempotent", "app")]);
     site.store.put("config", "main", newer);
-    until(async || get(cut_off, "/later/x").await == Ok(200)).await;
-    assert_eq!(get(cut_off, "/often/x").await, Ok(404));
+    wait_until(async || get_status(cut_off, "/later/x").await == Ok(200)).await;
+    assert_eq!(get_status(cut_off, "/often/x").await, Ok(404));
 }
 
 /// Seen once: the watches of all daemons were lost in an outage, right after a change, and later changes
 /// were missed until those watches had waited for 22 s.
 #[tokio::test]
-async fn a_change_after_an_outage_of_the_store_is_in_force_without_a_failed_call() {
+async fn change_after_a_store_outage_takes_effect_without_a_failed_call() {
     let site = Site::start("unanswered", 3).await;
     let put = |version: u64, prefix: &str| {
         let mut newer = configuration(version);
@@ -220,15 +220,15 @@
     };
     let in_force = async |path: &str| {
         for daemon in &site.daemons {
-            until(async || get(daemon, path).await == Ok(200)).await;
+            wait_until(async || get_status(daemon, path).await == Ok(200)).await;
         }
     };
     put(9, "/second/");
     in_force("/second/x").await;
     // The change itself ended the watches; the next ones are lost.
-    site.store.set_unanswering(true);
+    site.store.set_hanging(true);
     tokio::time::sleep(Duration::from_millis(600)).await;
-    site.store.set_unanswering(false);
+    site.store.set_hanging(false);
     put(12, "/third/");
     in_force("/third/x").await;
 }
@@ -248,7 +248,9 @@
 #[case::everything(Missing::Everything)]
 #[case::registrations(Missing::Registrations)]
 #[tokio::test]
-async fn a_daemon_that_starts_answers_what_came_before_it_knew_anything(#[case] missing: Missing) {
+async fn starting_daemon_answers_requests_that_came_before_its_first_store_reply(
+    #[case] missing: Missing,
+) {
     let mut site = Site::start(&format!("young-{missing:?}"), 1).await;
     match missing {
         Missing::Everything => site.store.set_down(true),
@@ -260,24 +262,29 @@
         }
     }
     let name = format!("young-{missing:?}");
-    let young = Relay::start(&name, 1, site.store.address, &[], &Budget::default());
-    site.daemons.push(young);
-    let young = &site.daemons[1];
-    until(async || tokio::net::TcpStream::connect(young.callers).await.is_ok()).await;
-    let stream = tokio::spawn(young.stream_request("y-1", 4).send());
-    let call = tokio::spawn(young.request(Method::GET, "/often/x", "y-2").send());
+    let starting = Relay::start(&name, 1, site.store.address, &[], &RetryBudget::default());
+    site.daemons.push(starting);
+    let starting = &site.daemons[1];
+    wait_until(async || {
+        tokio::net::TcpStream::connect(starting.callers)
+            .await
+            .is_ok()
+    })
+    .await;
+    let stream = tokio::spawn(starting.stream_request("y-1", 4).send());
+    let call = tokio::spawn(starting.request(Method::GET, "/often/x", "y-2").send());
     tokio::time::sleep(Duration::from_millis(200)).await;
     site.store.set_down(false);
     site.heartbeat();
     site.store.put("servers", "s-0", site.app.entry());
     for waiting in [stream, call] {
         let answer = waiting.await.expect("no panic").expect("an answer");
-        assert_eq!(answer.status(), 200, "{}", young.log());
+        assert_eq!(answer.status(), 200, "{}", starting.log());
     }
 }
 
 #[tokio::test]
-async fn service_goes_on_while_the_store_is_down() {
+async fn streams_are_served_while_the_store_is_down() {
     let site = Site::start("store-down", 2).await;
     site.store.set_down(true);
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -290,34 +297,34 @@
 /// Seen once: an engine died while the store was down, and its layers were placed nowhere for eight
 /// seconds, since nobody could hold the lease.
 #[tokio::test]
-async fn layers_are_placed_while_the_store_is_down_and_the_holder_of_the_lease_is_gone() {
+async fn layers_are_placed_while_the_store_is_down_and_the_lease_holder_is_gone() {
     let mut site = Site::start("stand-in", 3).await;
     let holds = |d: &Relay| d.log().contains("\"reason\":\"acquired\"");
-    until(async || site.daemons.iter().any(holds)).await;
+    wait_until(async || site.daemons.iter().any(holds)).await;
     let holder = site.daemons.iter().position(holds).expect("a holder");
     drop(site.daemons.remove(holder));
     let engine = Engine::start(&site.engines, "e-new", "hall-a").await;
     site.store.put("servers", &engine.instance, engine.entry());
-    let knows = |d: &Relay| d.log().contains("e-new");
-    until(async || site.daemons.iter().all(knows)).await;
+    let knows_engine = |d: &Relay| d.log().contains("e-new");
+    wait_until(async || site.daemons.iter().all(knows_engine)).await;
     site.store.set_down(true);
-    until(async || engine.held().is_some()).await;
-    let told = |d: &Relay| {
+    wait_until(async || engine.loaded_layers().is_some()).await;
+    let knows_layers = |d: &Relay| {
         let log = d.log();
         log.contains("layers loaded") || log.contains("layers reported by peer")
     };
-    until(async || site.daemons.iter().all(told)).await;
+    wait_until(async || site.daemons.iter().all(knows_layers)).await;
     assert_eq!(engine.orders(), 1);
 }
 
-async fn get(daemon: &Relay, path: &str) -> Result<u16, String> {
+async fn get_status(daemon: &Relay, path: &str) -> Result<u16, String> {
     let req = daemon.request(Method::GET, path, "g-1");
     let answer = daemon.send(req).await.map_err(|e| e.to_string())?;
     Ok(answer.status)
 }
 
-async fn until(check: impl AsyncFn() -> bool) {
-    let end = tokio::time::Instant::now() + BOUND;
+async fn wait_until(check: impl AsyncFn() -> bool) {
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !check().await {
         assert!(tokio::time::Instant::now() < end, "it did not come to pass");
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -325,14 +332,14 @@
 }
 
 /// Waits until every daemon has a version of the configuration in force.
-async fn until_in_force(site: &Site, version: u64) {
+async fn wait_until_in_force(site: &Site, version: u64) {
     for daemon in &site.daemons {
         let in_force = async {
             while daemon.counter("kelpworks_config_version").await < version {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        let in_time = tokio::time::timeout(BOUND, in_force).await;
+        let in_time = tokio::time::timeout(WAIT_TIMEOUT, in_force).await;
         assert!(in_time.is_ok(), "version {version}: {}", daemon.log());
     }
 }
@@ -340,18 +347,18 @@
 /// A store that comes back from an older copy gives revisions out again: daemons that watch on from one of
 /// these would miss what is written now, and take nothing that looks older than what they hold.
 #[tokio::test]
-async fn changes_are_in_force_after_the_store_came_back_from_an_older_copy() {
+async fn changes_take_effect_after_the_store_is_restored_from_an_older_copy() {
     let site = Site::start("restored", 3).await;
-    site.store.take_copy();
+    site.store.take_snapshot();
     for version in 4..=9 {
         site.store.put("config", "main", configuration(version));
-        until_in_force(&site, version).await;
+        wait_until_in_force(&site, version).await;
     }
     site.store.restore();
     for version in [9, 10] {
         site.store.put("config", "main", configuration(version));
     }
-    until_in_force(&site, 10).await;
+    wait_until_in_force(&site, 10).await;
     for daemon in &site.daemons {
         assert_eq!(daemon.counter("kelpworks_store_era").await, 1);
     }
--- a/crates/kelpworks-cli/tests/relay_limits.rs
+++ b/crates/kelpworks-cli/tests/relay_limits.rs
@@ -15,36 +15,36 @@
 use relay_site::engine::Engine;
 
 /// The limit that an upstream announces, in requests a second.
-const LIMIT: f64 = 2.0;
-const LIMIT_TEXT: &str = "2.0";
+const LIMIT_PER_SECOND: f64 = 2.0;
+const LIMIT_HEADER_VALUE: &str = "2.0";
 /// Any span of this length counts.
-const WINDOW: Duration = Duration::from_secs(4);
+const RATE_WINDOW: Duration = Duration::from_secs(4);
 /// Time after the first announcement from which the limit has to hold.
-const GRACE: Duration = Duration::from_secs(3);
+const GRACE_PERIOD: Duration = Duration::from_secs(3);
 /// Requests in a window that are allowed beyond what the limit allows.
 const BURST: f64 = 5.0;
 /// How far above its rate a limit may be exceeded.
 const TOLERANCE: f64 = 1.5;
 /// Time for which callers go on.
-const LOAD: Duration = Duration::from_secs(9);
+const LOAD_DURATION: Duration = Duration::from_secs(9);
 /// Pause of a caller between two requests to a daemon.
-const PAUSE: Duration = Duration::from_millis(60);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The most arrivals in any window that begins at one of them, from a moment on.
-fn most_in_a_window(arrivals: &[Arrival], from: Instant) -> usize {
+fn max_arrivals_per_window(arrivals: &[Arrival], from: Instant) -> usize {
     let times = arrivals.iter().map(|a| a.at);
     let late: Vec<Instant> = times.filter(|&at| at >= from).collect();
     let count = |&first: &Instant| {
         let within = late
             .iter()
-            .filter(|&&at| at >= first && at - first <= WINDOW);
+            .filter(|&&at| at >= first && at - first <= RATE_WINDOW);
         within.count()
     };
     late.iter().map(count).max().unwrap_or(0)
 }
 
-fn allowed() -> usize {
-    (TOLERANCE * LIMIT * WINDOW.as_secs_f64() + BURST) as usize
+fn max_allowed_arrivals() -> usize {
+    (TOLERANCE * LIMIT_PER_SECOND * RATE_WINDOW.as_secs_f64() + BURST) as usize
 }
 
 /// Sends a request to each daemon in turn, all the while, and returns the answers.
@@ -52,13 +52,13 @@
     site: &Site,
     send: impl Fn(&Relay, String) -> F,
 ) -> Vec<Answer> {
-    let until = Instant::now() + LOAD;
+    let until = Instant::now() + LOAD_DURATION;
     let mut calls = Vec::new();
     while Instant::now() < until {
         for daemon in &site.daemons {
             calls.push(tokio::spawn(send(daemon, format!("l-{}", calls.len()))));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let mut answers = Vec::new();
     for call in calls {
@@ -87,22 +87,22 @@
 
 /// Guards against daemons that send an engine more requests than it says it takes.
 #[tokio::test]
-async fn an_engine_gets_no_more_requests_than_the_limit_that_it_announces() {
+async fn engine_gets_no_more_requests_than_its_announced_limit() {
     let site = Site::start("limit-engine", 3).await;
     for (i, daemon) in site.daemons.iter().cycle().take(12).enumerate() {
         let answer = daemon.stream(&format!("w-{i}"), 2).await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
     let engine = first_engine(&site);
-    engine.limit().announce(Some(LIMIT_TEXT));
-    let named = Instant::now();
+    engine.limit().announce(Some(LIMIT_HEADER_VALUE));
+    let announced_at = Instant::now();
     let answers = load(&site, stream).await;
     let arrivals = engine.limit().arrivals();
-    let most = most_in_a_window(&arrivals, named + GRACE);
+    let most = max_arrivals_per_window(&arrivals, announced_at + GRACE_PERIOD);
     assert!(
-        most <= allowed(),
+        most <= max_allowed_arrivals(),
         "{most} in a window, {} allowed",
-        allowed()
+        max_allowed_arrivals()
     );
     let served = answers.iter().filter(|a| a.status == 200).count();
     assert_eq!(served, answers.len(), "other engines take what it doesn't");
@@ -110,17 +110,17 @@
 
 /// Guards against daemons that send a plain service more requests than it says it takes.
 #[tokio::test]
-async fn a_service_gets_no_more_requests_than_the_limit_that_it_announces() {
+async fn service_gets_no_more_requests_than_its_announced_limit() {
     let site = Site::start("limit-service", 3).await;
-    site.app.limit().announce(Some(LIMIT_TEXT));
-    let named = Instant::now();
+    site.app.limit().announce(Some(LIMIT_HEADER_VALUE));
+    let announced_at = Instant::now();
     let answers = load(&site, call).await;
     let arrivals = site.app.limit().arrivals();
-    let most = most_in_a_window(&arrivals, named + GRACE);
+    let most = max_arrivals_per_window(&arrivals, announced_at + GRACE_PERIOD);
     assert!(
-        most <= allowed(),
+        most <= max_allowed_arrivals(),
         "{most} in a window, {} allowed",
-        allowed()
+        max_allowed_arrivals()
     );
     let is_promise = |a: &&Answer| a.status == 503 && a.retry_after.is_some();
     let refused = answers.iter().filter(is_promise).count();
@@ -130,12 +130,12 @@
 
 /// Guards against a limit that outlasts its announcement.
 #[tokio::test]
-async fn a_limit_ends_with_the_first_answer_without_it() {
+async fn limit_ends_with_the_first_answer_that_omits_it() {
     let site = Site::start("limit-ends", 1).await;
-    site.app.limit().announce(Some(LIMIT_TEXT));
+    site.app.limit().announce(Some(LIMIT_HEADER_VALUE));
     load(&site, call).await;
     site.app.limit().announce(None);
-    tokio::time::sleep(GRACE).await;
+    tokio::time::sleep(GRACE_PERIOD).await;
     let daemon = &site.daemons[0];
     let ending = call(daemon, "e-1".to_owned()).await;
     assert_eq!(ending.status, 200);
--- a/crates/kelpworks-cli/tests/relay_calm.rs
+++ b/crates/kelpworks-cli/tests/relay_requests.rs
@@ -8,15 +8,15 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use relay_site::BOUND;
 use relay_site::HOST;
 use relay_site::Site;
+use relay_site::WAIT_TIMEOUT;
 use relay_site::configuration;
-use relay_site::engine::is_whole;
+use relay_site::engine::covers_all_layers;
 use relay_site::route;
 
 #[tokio::test]
-async fn streams_run_every_layer_once_and_in_order() {
+async fn stream_runs_every_layer_once_and_in_order() {
     let site = Site::start("streams", 2).await;
     for (i, daemon) in site.daemons.iter().enumerate() {
         let answer = daemon
@@ -28,11 +28,11 @@
     }
     let runs = site.engines.runs();
     assert_eq!(runs.len(), 2);
-    assert!(runs.iter().all(|r| is_whole(&r.hops)), "{runs:?}");
+    assert!(runs.iter().all(|r| covers_all_layers(&r.hops)), "{runs:?}");
 }
 
 #[tokio::test]
-async fn plain_calls_carry_the_team_and_not_the_key() {
+async fn service_call_carries_the_team_and_not_its_key() {
     let site = Site::start("plain", 1).await;
     let daemon = &site.daemons[0];
     let req = daemon.request(Method::GET, "/often/x?y=1", "p-1");
@@ -45,7 +45,7 @@
 #[case::no_key("GET", "/often/x", false, 401)]
 #[case::large("POST", "/once/x", true, 413)]
 #[tokio::test]
-async fn improper_requests_get_the_right_status(
+async fn invalid_request_gets_the_matching_status(
     #[case] method: Method,
     #[case] path: &str,
     #[case] with_key: bool,
@@ -66,39 +66,39 @@
 }
 
 #[tokio::test]
-async fn a_configuration_takes_force_and_an_older_one_does_not() {
+async fn newer_configuration_takes_effect_and_an_older_one_does_not() {
     let site = Site::start("config", 1).await;
     let daemon = &site.daemons[0];
     let mut newer = configuration(9);
     newer["routes"] = serde_json::json!([route("often", "/later/", "idempotent", "app")]);
     site.store.put("config", "main", newer);
-    until(async || get(daemon, "/later/x").await == 200).await;
-    assert_eq!(get(daemon, "/often/x").await, 404);
+    wait_until(async || get_status(daemon, "/later/x").await == 200).await;
+    assert_eq!(get_status(daemon, "/often/x").await, 404);
     site.store.put("config", "main", configuration(4));
     tokio::time::sleep(Duration::from_millis(600)).await;
-    assert_eq!(get(daemon, "/later/x").await, 200);
+    assert_eq!(get_status(daemon, "/later/x").await, 200);
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_streams() {
+async fn planned_stop_completes_running_streams() {
     let mut site = Site::start("stop", 1).await;
-    let rest = site.daemons[0].begin("t-1", 200).await;
+    let rest = site.daemons[0].start_stream("t-1", 200).await;
     site.daemons[0].signal(Signal::TERM);
     let body = rest.await;
     assert_eq!(body.matches("id: ").count(), 200);
     let readiness = format!("http://{}/readyz", site.daemons[0].readiness);
     let ready = reqwest::get(readiness).await.map(|r| r.status().as_u16());
     assert!(!matches!(ready, Ok(200)), "{ready:?}");
-    assert!(site.daemons[0].ended().await);
+    assert!(site.daemons[0].wait_for_exit().await);
 }
 
-async fn get(daemon: &relay_site::daemon::Relay, path: &str) -> u16 {
+async fn get_status(daemon: &relay_site::daemon::Relay, path: &str) -> u16 {
     let req = daemon.request(Method::GET, path, "g-1");
     daemon.send(req).await.expect("an answer").status
 }
 
-async fn until(check: impl AsyncFn() -> bool) {
-    let end = tokio::time::Instant::now() + BOUND;
+async fn wait_until(check: impl AsyncFn() -> bool) {
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !check().await {
         assert!(tokio::time::Instant::now() < end, "it did not come to pass");
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/kelpworks-cli/tests/relay_site/daemon.rs
+++ b/crates/kelpworks-cli/tests/relay_site/daemon.rs
@@ -18,22 +18,22 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-use super::BOUND;
 use super::HOST;
 use super::KEY;
+use super::WAIT_TIMEOUT;
 
 /// The fleet's bound on repeats.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Budget {
+pub(crate) struct RetryBudget {
     pub(crate) window: &'static str,
     pub(crate) ratio: f64,
     pub(crate) slack: f64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     /// A short window, since a daemon has its fixed part only after its first one.
-    fn default() -> Budget {
-        Budget {
+    fn default() -> RetryBudget {
+        RetryBudget {
             window: "1 s",
             ratio: 0.2,
             slack: 200.0,
@@ -76,11 +76,11 @@
         number: usize,
         store: SocketAddr,
         others: &[Relay],
-        budget: &Budget,
+        budget: &RetryBudget,
     ) -> Relay {
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("relay-{test}-{number}"));
         std::fs::create_dir_all(&dir).expect("a directory");
-        let [callers, readiness, operators, peers] = own_addresses();
+        let [callers, readiness, operators, peers] = unique_addresses();
         let seeds: Vec<String> = others.iter().map(|o| format!("\"{}\"", o.peers)).collect();
         let domain = ["hall-a", "hall-b"][number % 2];
         let settings = format!(
@@ -115,7 +115,7 @@
     }
 
     /// Starts the daemon again, once its process has ended.
-    pub(crate) fn start_again(&mut self) {
+    pub(crate) fn restart(&mut self) {
         let out = File::options().append(true).open(&self.log);
         self.child = spawn(&self.settings, out.expect("a log file"));
     }
@@ -127,7 +127,7 @@
     }
 
     /// Whether the process has ended.
-    pub(crate) fn has_ended(&mut self) -> bool {
+    pub(crate) fn has_exited(&mut self) -> bool {
         let status = self.child.try_wait().expect("a child can be asked");
         status.is_some()
     }
@@ -142,8 +142,8 @@
     }
 
     /// Waits until it has ended; whether it ended well.
-    pub(crate) async fn ended(&mut self) -> bool {
-        let until = tokio::time::Instant::now() + BOUND;
+    pub(crate) async fn wait_for_exit(&mut self) -> bool {
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child can be asked") {
                 return status.success();
@@ -195,12 +195,16 @@
     }
 
     /// Reads a stream's first piece, to know that it is under way; the rest comes by the future.
-    pub(crate) async fn begin(
+    pub(crate) async fn start_stream(
         &self,
         id: &str,
         events: u64,
     ) -> impl Future<Output = String> + use<> {
-        let res = self.stream_request(id, events).timeout(BOUND).send().await;
+        let res = self
+            .stream_request(id, events)
+            .timeout(WAIT_TIMEOUT)
+            .send()
+            .await;
         let mut pieces = res.expect("an answer").bytes_stream();
         let first = pieces.next().await.expect("a piece").expect("bytes");
         async move {
@@ -215,7 +219,7 @@
 
 /// Sends a request and reads the whole answer.
 pub(crate) async fn send(req: RequestBuilder) -> reqwest::Result<Answer> {
-    let res = req.timeout(BOUND).send().await?;
+    let res = req.timeout(WAIT_TIMEOUT).send().await?;
     let retry_after = res.headers().get("retry-after").cloned();
     Ok(Answer {
         status: res.status().as_u16(),
@@ -244,7 +248,7 @@
 
 /// Addresses that nobody else takes: an address of the loopback range for each daemon of each test
 /// process. A free port of 127.0.0.1 can be taken by another test before the daemon listens on it.
-fn own_addresses() -> [SocketAddr; 4] {
+fn unique_addresses() -> [SocketAddr; 4] {
     static DAEMONS: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = DAEMONS.fetch_add(1, Ordering::Relaxed);
--- a/crates/kelpworks-cli/tests/relay_site/engine.rs
+++ b/crates/kelpworks-cli/tests/relay_site/engine.rs
@@ -29,22 +29,22 @@
 use super::LAYERS;
 
 /// Time between two events of a stream.
-const EVENT: Duration = Duration::from_millis(10);
-const ATTEMPT: &str = "x-kelpworks-attempt-id";
-const STAMP: &str = "x-kelpworks-server-stamp";
-const LIMIT: &str = "server-limit";
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
+const ATTEMPT_HEADER: &str = "x-kelpworks-attempt-id";
+const STAMP_HEADER: &str = "x-kelpworks-server-stamp";
+const LIMIT_HEADER: &str = "server-limit";
 
 /// What goes wrong, once, with the next request that is first sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// The stream falls silent after so many events, and goes on after this time.
-    Silent(u64, Duration),
+    Stall(u64, Duration),
     /// The connection is closed in the middle of an event after so many.
     Cut(u64),
     /// Silent after so many events, and cut after this time.
-    SilentThenCut(u64, Duration),
+    StallThenCut(u64, Duration),
     /// Refused without having run.
-    Refused,
+    Refuse,
 }
 
 /// A run of a request.
@@ -68,15 +68,15 @@
     pub(crate) instance: String,
     pub(crate) domain: String,
     address: Mutex<Option<SocketAddr>>,
-    held: Mutex<Option<(u16, u16)>>,
+    loaded_layers: Mutex<Option<(u16, u16)>>,
     orders: AtomicU64,
     /// When it started, in milliseconds of the Unix epoch.
-    born: AtomicU64,
+    started_at_ms: AtomicU64,
     fault: Mutex<Option<Fault>>,
     /// Streams that it is working on.
-    working: AtomicU64,
+    active_streams: AtomicU64,
     /// It has stopped: streams that pass it stand still.
-    stopped: AtomicBool,
+    stalled: AtomicBool,
     limit: Limit,
 }
 
@@ -104,31 +104,31 @@
         self.arrivals.lock().expect("no panic").clone()
     }
 
-    fn arrived(&self, req: &Request, res: &mut Response) {
+    fn record(&self, req: &Request, res: &mut Response) {
         let arrival = Arrival {
-            request: req.header::<String>(ATTEMPT).unwrap_or_default(),
+            request: req.header::<String>(ATTEMPT_HEADER).unwrap_or_default(),
             at: Instant::now(),
         };
         self.arrivals.lock().expect("no panic").push(arrival);
         if let Some(per_second) = &*self.announced.lock().expect("no panic") {
-            let _ = res.add_header(LIMIT, per_second, true);
+            let _ = res.add_header(LIMIT_HEADER, per_second, true);
         }
     }
 }
 
 /// A stream that an engine is working on, until dropped.
-struct Work(Engine);
+struct ActiveStream(Engine);
 
-impl Work {
-    fn begin(engine: &Engine) -> Work {
-        engine.working.fetch_add(1, Ordering::Relaxed);
-        Work(engine.clone())
+impl ActiveStream {
+    fn begin(engine: &Engine) -> ActiveStream {
+        engine.active_streams.fetch_add(1, Ordering::Relaxed);
+        ActiveStream(engine.clone())
     }
 }
 
-impl Drop for Work {
+impl Drop for ActiveStream {
     fn drop(&mut self) {
-        self.0.working.fetch_sub(1, Ordering::Relaxed);
+        self.0.active_streams.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -168,34 +168,34 @@
     }
 
     /// The next request of any engine that comes first goes wrong; each engine takes part once.
-    pub(crate) fn fault_everywhere(&self, fault: Fault) {
+    pub(crate) fn inject_fault_everywhere(&self, fault: Fault) {
         for engine in self.all() {
             engine.set_fault(Some(fault));
         }
     }
 
     /// Stops an engine.
-    pub(crate) fn stop(&self, instance: &str) {
+    pub(crate) fn stall(&self, instance: &str) {
         let all = self.all();
         let mut named = all.iter().filter(|e| e.instance == instance);
-        named.next().expect("a known engine").set_stopped(true);
+        named.next().expect("a known engine").set_stalled(true);
     }
 
     /// Whether a request's path passes an engine that has stopped.
-    fn stands_still(&self, request: &str) -> bool {
+    fn passes_stalled_engine(&self, request: &str) -> bool {
         let paths = self.paths.lock().expect("no panic");
         let mut parts = paths.get(request).into_iter().flatten();
-        parts.any(|(e, _)| e.stopped.load(Ordering::Relaxed))
+        parts.any(|(e, _)| e.stalled.load(Ordering::Relaxed))
     }
 
     /// Streams that engines are working on.
-    pub(crate) fn working(&self) -> u64 {
-        let working = |e: &Engine| e.working.load(Ordering::Relaxed);
-        self.all().iter().map(working).sum()
+    pub(crate) fn active_streams(&self) -> u64 {
+        let count = |e: &Engine| e.active_streams.load(Ordering::Relaxed);
+        self.all().iter().map(count).sum()
     }
 
     /// Ends all faults that have not struck.
-    pub(crate) fn heal(&self) {
+    pub(crate) fn clear_faults(&self) {
         for engine in self.all() {
             engine.set_fault(None);
         }
@@ -208,19 +208,19 @@
             instance: instance.to_owned(),
             domain: domain.to_owned(),
             address: Mutex::default(),
-            held: Mutex::default(),
+            loaded_layers: Mutex::default(),
             orders: AtomicU64::new(0),
-            born: AtomicU64::new(1_700_000_000_000),
+            started_at_ms: AtomicU64::new(1_700_000_000_000),
             fault: Mutex::default(),
-            working: AtomicU64::new(0),
-            stopped: AtomicBool::new(false),
+            active_streams: AtomicU64::new(0),
+            stalled: AtomicBool::new(false),
             limit: Limit::default(),
         }));
-        let serve = Serve {
+        let handler = EngineHandler {
             engine: engine.clone(),
             registry: registry.clone(),
         };
-        let (address, _) = super::serve(Router::with_path("{**rest}").goal(serve)).await;
+        let (address, _) = super::serve(Router::with_path("{**rest}").goal(handler)).await;
         *engine.address.lock().expect("no panic") = Some(address);
         let mut engines = registry.engines.lock().expect("no panic");
         engines.insert(address, engine.clone());
@@ -228,7 +228,7 @@
     }
 
     /// Lets others reach it by another address from now on, as that of a link before it.
-    pub(crate) fn move_behind(&self, registry: &Registry, address: SocketAddr) {
+    pub(crate) fn set_address(&self, registry: &Registry, address: SocketAddr) {
         *self.address.lock().expect("no panic") = Some(address);
         let mut engines = registry.engines.lock().expect("no panic");
         engines.insert(address, self.clone());
@@ -242,7 +242,7 @@
     /// Its entry in the store.
     pub(crate) fn entry(&self) -> Value {
         let address = self.address();
-        let layers = match *self.held.lock().expect("no panic") {
+        let layers = match *self.loaded_layers.lock().expect("no panic") {
             Some((from, to)) => json!({ "from": from, "to": to, "version": 1 }),
             None => Value::Null,
         };
@@ -250,30 +250,30 @@
             "service": "llm", "address": address.to_string(), "zone": self.domain,
             "version": "v1", "slots": 64, "state": "ready", "cold-left-ms": 0,
             "layers": layers, "route-kind": "big", "seq": 1,
-            "born": self.born.load(Ordering::Relaxed)
+            "born": self.started_at_ms.load(Ordering::Relaxed)
         })
     }
 
     /// Lets streams that pass it stand still, or go on.
-    pub(crate) fn set_stopped(&self, stopped: bool) {
-        self.stopped.store(stopped, Ordering::Relaxed);
+    pub(crate) fn set_stalled(&self, stalled: bool) {
+        self.stalled.store(stalled, Ordering::Relaxed);
     }
 
     /// Gives its layers up without a word.
-    pub(crate) fn give_up_layers(&self) {
-        *self.held.lock().expect("no panic") = None;
+    pub(crate) fn unload_layers(&self) {
+        *self.loaded_layers.lock().expect("no panic") = None;
     }
 
     /// Starts again under its id: it holds nothing and has begun no order.
-    pub(crate) fn start_again(&self) {
-        *self.held.lock().expect("no panic") = None;
+    pub(crate) fn restart(&self) {
+        *self.loaded_layers.lock().expect("no panic") = None;
         self.orders.store(0, Ordering::Relaxed);
-        self.born.fetch_add(60_000, Ordering::Relaxed);
+        self.started_at_ms.fetch_add(60_000, Ordering::Relaxed);
     }
 
     /// Layers that it holds.
-    pub(crate) fn held(&self) -> Option<(u16, u16)> {
-        *self.held.lock().expect("no panic")
+    pub(crate) fn loaded_layers(&self) -> Option<(u16, u16)> {
+        *self.loaded_layers.lock().expect("no panic")
     }
 
     /// Orders that it has begun.
@@ -290,23 +290,23 @@
         *self.fault.lock().expect("no panic") = fault;
     }
 
-    fn holds(&self, from: u16, to: u16) -> bool {
-        let held = *self.held.lock().expect("no panic");
-        held.is_some_and(|(f, t)| f <= from && to <= t)
+    fn has_loaded(&self, from: u16, to: u16) -> bool {
+        let loaded = *self.loaded_layers.lock().expect("no panic");
+        loaded.is_some_and(|(f, t)| f <= from && to <= t)
     }
 }
 
-struct Serve {
+struct EngineHandler {
     engine: Engine,
     registry: Registry,
 }
 
-impl Serve {
+impl EngineHandler {
     fn report(&self) -> Value {
-        let held = *self.engine.held.lock().expect("no panic");
-        let layers = held.map(|(from, to)| json!({ "from": from, "to": to }));
+        let loaded = *self.engine.loaded_layers.lock().expect("no panic");
+        let layers = loaded.map(|(from, to)| json!({ "from": from, "to": to }));
         let orders = self.engine.orders.load(Ordering::Relaxed);
-        let born = self.engine.born.load(Ordering::Relaxed);
+        let born = self.engine.started_at_ms.load(Ordering::Relaxed);
         json!({ "busy": false, "seq": orders, "layers": layers, "born": born })
     }
 
@@ -320,7 +320,7 @@
             return StatusCode::CONFLICT;
         }
         let layer = |key: &str| order[key].as_u64().expect("a layer") as u16;
-        *self.engine.held.lock().expect("no panic") = Some((layer("from"), layer("to")));
+        *self.engine.loaded_layers.lock().expect("no panic") = Some((layer("from"), layer("to")));
         self.engine.orders.fetch_add(1, Ordering::Relaxed);
         StatusCode::ACCEPTED
     }
@@ -337,7 +337,7 @@
         };
         let is_first_kept = old[0].1 == new[0].1 && old[0].0.instance == new[0].0.instance;
         assert!(is_first_kept, "the first part was changed");
-        assert!(is_whole(&ranges(&new)), "a path with gaps");
+        assert!(covers_all_layers(&ranges(&new)), "a path with gaps");
         *old = new;
         StatusCode::ACCEPTED
     }
@@ -351,7 +351,7 @@
             let range = (from.parse().expect("a layer"), to.parse().expect("a layer"));
             let engines = self.registry.engines.lock().expect("no panic");
             match engines.get(&address.parse().expect("an address")) {
-                Some(engine) if engine.holds(range.0, range.1) => {
+                Some(engine) if engine.has_loaded(range.0, range.1) => {
                     parts.push((engine.clone(), range));
                 }
                 _ => return Err(address.to_owned()),
@@ -361,10 +361,10 @@
     }
 
     fn stream(&self, req: &Request, res: &mut Response) {
-        self.engine.limit.arrived(req, res);
+        self.engine.limit.record(req, res);
         let field = |name: &str| req.header::<String>(name).unwrap_or_default();
-        let request = field(ATTEMPT);
-        let _ = res.add_header(ATTEMPT, request.clone(), true);
+        let request = field(ATTEMPT_HEADER);
+        let _ = res.add_header(ATTEMPT_HEADER, request.clone(), true);
         let own = &self.engine.instance;
         if field("x-kelpworks-expect-instance") != *own {
             let _ = res.add_header("x-kelpworks-instance-id", own, true);
@@ -373,7 +373,7 @@
         }
         let path = self.parts(&field("x-kelpworks-hops"));
         let fault = self.engine.fault.lock().expect("no panic").take();
-        let refused = fault == Some(Fault::Refused);
+        let is_refused = fault == Some(Fault::Refuse);
         let parts = match path {
             Ok(parts) => parts,
             Err(at) => {
@@ -388,7 +388,7 @@
                 return;
             }
         };
-        if refused {
+        if is_refused {
             let _ = res.add_header("x-kelpworks-not-executed", "1", true);
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
@@ -413,30 +413,34 @@
         paths.insert(request.clone(), parts);
         drop(paths);
         self.registry.runs.lock().expect("no panic").push(run);
-        let _ = res.add_header(STAMP, format!("stamp-of-{}", self.engine.instance), true);
+        let _ = res.add_header(
+            STAMP_HEADER,
+            format!("stamp-of-{}", self.engine.instance),
+            true,
+        );
         let _ = res.add_header("content-type", "text/event-stream", true);
-        let work = Work::begin(&self.engine);
+        let work = ActiveStream::begin(&self.engine);
         let registry = self.registry.clone();
-        let pieces = stream::iter(after + 1..=events).then(move |id| {
+        let event_stream = stream::iter(after + 1..=events).then(move |id| {
             let _work = &work;
             let (registry, request) = (registry.clone(), request.clone());
             async move {
-                while registry.stands_still(&request) {
-                    tokio::time::sleep(EVENT).await;
+                while registry.passes_stalled_engine(&request) {
+                    tokio::time::sleep(EVENT_INTERVAL).await;
                 }
-                piece(id, after, fault).await
+                event(id, after, fault).await
             }
         });
-        res.stream(pieces);
+        res.stream(event_stream);
     }
 }
 
 /// An event; an error cuts the stream off.
-async fn piece(id: u64, after: u64, fault: Option<Fault>) -> std::io::Result<Bytes> {
-    tokio::time::sleep(EVENT).await;
+async fn event(id: u64, after: u64, fault: Option<Fault>) -> std::io::Result<Bytes> {
+    tokio::time::sleep(EVENT_INTERVAL).await;
     match fault {
-        Some(Fault::Silent(n, pause)) if id == after + n + 1 => tokio::time::sleep(pause).await,
-        Some(Fault::SilentThenCut(n, pause)) if id == after + n + 1 => {
+        Some(Fault::Stall(n, pause)) if id == after + n + 1 => tokio::time::sleep(pause).await,
+        Some(Fault::StallThenCut(n, pause)) if id == after + n + 1 => {
             tokio::time::sleep(pause).await;
             return Err(std::io::Error::other("cut"));
         }
@@ -447,7 +451,7 @@
 }
 
 #[async_trait]
-impl Handler for Serve {
+impl Handler for EngineHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -472,7 +476,7 @@
 }
 
 /// Whether a path runs every layer once and in order.
-pub(crate) fn is_whole(hops: &[(u16, u16)]) -> bool {
+pub(crate) fn covers_all_layers(hops: &[(u16, u16)]) -> bool {
     let ends = hops.iter().map(|h| h.1);
     let starts = std::iter::once(0).chain(ends);
     let joined = hops.iter().zip(starts).all(|(hop, start)| hop.0 == start);
@@ -480,9 +484,9 @@
 }
 
 /// What goes wrong at the plain service with a request that holds this word in its path.
-const RESET: &str = "reset";
-const FULL: &str = "full";
-const FOREIGN: &str = "foreign";
+const RESET_SUFFIX: &str = "reset";
+const REFUSE_SUFFIX: &str = "full";
+const FOREIGN_SUFFIX: &str = "foreign";
 
 /// A plain service; the word at the end of a path says how it answers.
 #[derive(Clone, Debug)]
@@ -490,24 +494,24 @@
     instance: String,
     address: SocketAddr,
     /// Attempts that ran, by request.
-    ran: Arc<Mutex<HashMap<String, u32>>>,
+    run_counts: Arc<Mutex<HashMap<String, u32>>>,
     limit: Arc<Limit>,
 }
 
 impl App {
     pub(crate) async fn start(instance: &str) -> App {
-        let ran: Arc<Mutex<HashMap<String, u32>>> = Arc::default();
+        let run_counts: Arc<Mutex<HashMap<String, u32>>> = Arc::default();
         let limit: Arc<Limit> = Arc::default();
-        let handler = Plain {
+        let handler = AppHandler {
             instance: instance.to_owned(),
-            ran: Arc::clone(&ran),
+            run_counts: Arc::clone(&run_counts),
             limit: Arc::clone(&limit),
         };
         let (address, _) = super::serve(Router::with_path("{**rest}").goal(handler)).await;
         App {
             instance: instance.to_owned(),
             address,
-            ran,
+            run_counts,
             limit,
         }
     }
@@ -520,7 +524,7 @@
     }
 
     /// Lets others reach it by another address from now on.
-    pub(crate) fn move_behind(&mut self, address: SocketAddr) {
+    pub(crate) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
@@ -535,20 +539,20 @@
     }
 
     /// How often a request ran.
-    pub(crate) fn ran(&self, request: &str) -> u32 {
-        let ran = self.ran.lock().expect("no panic");
-        ran.get(request).copied().unwrap_or(0)
+    pub(crate) fn run_count(&self, request: &str) -> u32 {
+        let run_counts = self.run_counts.lock().expect("no panic");
+        run_counts.get(request).copied().unwrap_or(0)
     }
 }
 
-struct Plain {
+struct AppHandler {
     instance: String,
-    ran: Arc<Mutex<HashMap<String, u32>>>,
+    run_counts: Arc<Mutex<HashMap<String, u32>>>,
     limit: Arc<Limit>,
 }
 
 #[async_trait]
-impl Handler for Plain {
+impl Handler for AppHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -556,8 +560,8 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        self.limit.arrived(req, res);
-        let request = req.header::<String>(ATTEMPT).unwrap_or_default();
+        self.limit.record(req, res);
+        let request = req.header::<String>(ATTEMPT_HEADER).unwrap_or_default();
         let expected = req.header::<String>("x-kelpworks-expect-instance");
         assert_eq!(expected.as_deref(), Some(&*self.instance));
         assert!(
@@ -565,23 +569,23 @@
             "the key was passed on"
         );
         let path = req.uri().path().to_owned();
-        if path.ends_with(FULL) {
+        if path.ends_with(REFUSE_SUFFIX) {
             let _ = res.add_header("x-kelpworks-not-executed", "1", true);
-            let _ = res.add_header(ATTEMPT, request, true);
+            let _ = res.add_header(ATTEMPT_HEADER, request, true);
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
         }
-        let mut ran = self.ran.lock().expect("no panic");
-        *ran.entry(request.clone()).or_default() += 1;
-        drop(ran);
-        let echoed = if path.ends_with(FOREIGN) {
+        let mut run_counts = self.run_counts.lock().expect("no panic");
+        *run_counts.entry(request.clone()).or_default() += 1;
+        drop(run_counts);
+        let echoed = if path.ends_with(FOREIGN_SUFFIX) {
             "another".to_owned()
         } else {
             request
         };
-        let _ = res.add_header(ATTEMPT, echoed, true);
-        let _ = res.add_header(STAMP, "stamp", true);
-        if path.ends_with(RESET) {
+        let _ = res.add_header(ATTEMPT_HEADER, echoed, true);
+        let _ = res.add_header(STAMP_HEADER, "stamp", true);
+        if path.ends_with(RESET_SUFFIX) {
             let lost = stream::iter([Err::<Bytes, _>(std::io::Error::other("lost"))]);
             res.stream(lost);
             return;
--- a/crates/kelpworks-cli/tests/relay_site/mod.rs
+++ b/crates/kelpworks-cli/tests/relay_site/mod.rs
@@ -31,7 +31,7 @@
 /// Key of the only team.
 pub(crate) const KEY: &str = "key-of-team-a";
 /// Bound on what must happen; never what a verdict rests on.
-pub(crate) const BOUND: Duration = Duration::from_secs(15);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Serves a router on a free loopback port; ends with the handle's `stop_forceful`.
 pub(crate) async fn serve(router: Router) -> (SocketAddr, ServerHandle) {
@@ -45,7 +45,7 @@
 }
 
 /// The window of the default bound on repeats: daemons have their part once it is over.
-const FIRST_WINDOW: Duration = Duration::from_secs(1);
+const DEFAULT_BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// The configuration of the site.
 pub(crate) fn configuration(version: u64) -> Value {
@@ -98,18 +98,22 @@
     /// Starts a store, engines in two failure domains, a plain service and daemons, and waits
     /// until the daemons can serve.
     pub(crate) async fn start(name: &str, daemons: usize) -> Site {
-        Site::start_with(name, daemons, daemon::Budget::default()).await
+        Site::start_with_budget(name, daemons, daemon::RetryBudget::default()).await
     }
 
-    pub(crate) async fn start_with(name: &str, daemons: usize, budget: daemon::Budget) -> Site {
-        Site::start_in(name, daemons, budget, &["hall-a", "hall-b"]).await
+    pub(crate) async fn start_with_budget(
+        name: &str,
+        daemons: usize,
+        budget: daemon::RetryBudget,
+    ) -> Site {
+        Site::start_in_domains(name, daemons, budget, &["hall-a", "hall-b"]).await
     }
 
     /// As [`Site::start`], with two engines in each of some failure domains.
-    pub(crate) async fn start_in(
+    pub(crate) async fn start_in_domains(
         name: &str,
         daemons: usize,
-        budget: daemon::Budget,
+        budget: daemon::RetryBudget,
         domains: &[&str],
     ) -> Site {
         let store = Store::start().await;
@@ -132,8 +136,8 @@
             let relay = Relay::start(name, i, site.store.address, &site.daemons, &budget);
             site.daemons.push(relay);
         }
-        site.until_served().await;
-        tokio::time::sleep(FIRST_WINDOW).await;
+        site.wait_until_served().await;
+        tokio::time::sleep(DEFAULT_BUDGET_WINDOW).await;
         site
     }
 
@@ -145,8 +149,8 @@
     }
 
     /// Waits until a stream is answered by every daemon.
-    async fn until_served(&self) {
-        let until = tokio::time::Instant::now() + BOUND;
+    async fn wait_until_served(&self) {
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         for i in 0..self.daemons.len() {
             loop {
                 self.heartbeat();
--- a/crates/kelpworks-cli/tests/relay_site/store.rs
+++ b/crates/kelpworks-cli/tests/relay_site/store.rs
@@ -41,19 +41,19 @@
     changed: Notify,
     down: AtomicBool,
     /// Writes are carried out and not answered.
-    loses_replies: AtomicBool,
+    drops_replies: AtomicBool,
     /// Calls are taken and never answered; those taken before are.
-    unanswering: AtomicBool,
+    hanging: AtomicBool,
     /// Changes up to this revision are forgotten.
-    forgotten: AtomicU64,
+    compacted_revision: AtomicU64,
     /// How often it came back from an older copy.
     era: AtomicU64,
     /// The copy that it comes back from.
-    copy: Mutex<State>,
+    snapshot: Mutex<State>,
 }
 
 /// How long a reply that is lost is held back: longer than callers wait.
-const LOST: Duration = Duration::from_secs(5);
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(5);
 
 /// A running store.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
     }
 
     /// Writes an upstream's object whose fields are all the writer's own.
-    pub(crate) fn put_whole(&self, name: &str, object: Value) {
+    pub(crate) fn put_raw_object(&self, name: &str, object: Value) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.revision += 1;
         let change = (state.revision, "servers".to_owned(), object.clone(), false);
@@ -123,38 +123,40 @@
     }
 
     /// Carries writes out without an answer.
-    pub(crate) fn set_loses_replies(&self, loses: bool) {
-        self.inner.loses_replies.store(loses, Ordering::Relaxed);
+    pub(crate) fn set_drops_replies(&self, drops: bool) {
+        self.inner.drops_replies.store(drops, Ordering::Relaxed);
     }
 
     /// Takes calls and never answers them, whatever becomes of the store; those taken before are
     /// answered.
-    pub(crate) fn set_unanswering(&self, unanswering: bool) {
-        self.inner.unanswering.store(unanswering, Ordering::Relaxed);
+    pub(crate) fn set_hanging(&self, hanging: bool) {
+        self.inner.hanging.store(hanging, Ordering::Relaxed);
     }
 
     /// Forgets what has changed so far; watches from before it have to list anew.
-    pub(crate) fn forget_history(&self) {
+    pub(crate) fn compact_history(&self) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.history.clear();
         let revision = state.revision;
         drop(state);
-        self.inner.forgotten.store(revision, Ordering::Relaxed);
+        self.inner
+            .compacted_revision
+            .store(revision, Ordering::Relaxed);
     }
 
     /// Takes a copy of all objects, in place of the one before.
-    pub(crate) fn take_copy(&self) {
+    pub(crate) fn take_snapshot(&self) {
         let state = self.inner.state.lock().expect("no panic").clone();
-        *self.inner.copy.lock().expect("no panic") = state;
+        *self.inner.snapshot.lock().expect("no panic") = state;
     }
 
     /// Comes back from the copy, in a new era: what was written since is gone, and revisions after it are
     /// given out again.
     pub(crate) fn restore(&self) {
-        let copy = self.inner.copy.lock().expect("no panic").clone();
+        let snapshot = self.inner.snapshot.lock().expect("no panic").clone();
         let mut state = self.inner.state.lock().expect("no panic");
         self.inner.era.fetch_add(1, Ordering::SeqCst);
-        *state = copy;
+        *state = snapshot;
         drop(state);
         self.inner.changed.notify_waiters();
     }
@@ -242,9 +244,9 @@
     fn write(&self, kind: &str, name: &str, body: &Value, create: bool) -> (StatusCode, Value) {
         let mut state = self.inner.state.lock().expect("no panic");
         let key = (kind.to_owned(), name.to_owned());
-        let standing = state.objects.get(&key).cloned();
+        let existing = state.objects.get(&key).cloned();
         let condition = body["metadata"]["revision"].as_u64();
-        match (&standing, create) {
+        match (&existing, create) {
             (None, false) => return (StatusCode::NOT_FOUND, json!({})),
             (Some((revision, spec)), true) => {
                 return (StatusCode::CONFLICT, object(name, *revision, spec));
@@ -270,7 +272,7 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        if self.inner.unanswering.load(Ordering::Relaxed) {
+        if self.inner.hanging.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
         if self.inner.down.load(Ordering::Relaxed) {
@@ -281,7 +283,7 @@
         let (kind, name) = path.split_once('/').unwrap_or((path.as_str(), ""));
         let (status, body) = match (req.method().clone(), name) {
             (Method::GET, "") => match req.query::<u64>("watch") {
-                Some(from) if from < self.inner.forgotten.load(Ordering::Relaxed) => {
+                Some(from) if from < self.inner.compacted_revision.load(Ordering::Relaxed) => {
                     (StatusCode::GONE, json!({}))
                 }
                 Some(from) => {
@@ -305,8 +307,8 @@
                 let body: Value = req.parse_json().await.expect("a JSON body");
                 let named = body["metadata"]["name"].as_str().unwrap_or(name).to_owned();
                 let written = self.write(kind, &named, &body, method == Method::POST);
-                if self.inner.loses_replies.load(Ordering::Relaxed) {
-                    tokio::time::sleep(LOST).await;
+                if self.inner.drops_replies.load(Ordering::Relaxed) {
+                    tokio::time::sleep(LOST_REPLY_DELAY).await;
                 }
                 written
             }
--- a/crates/kelpworks-cli/tests/soak/callers.rs
+++ b/crates/kelpworks-cli/tests/soak/callers.rs
@@ -21,22 +21,22 @@
 use crate::site::Soak;
 
 /// How long callers wait for an answer, in milliseconds as they say it.
-const DEADLINE: &str = "8000";
+const DEADLINE_MS: &str = "8000";
 /// And how long they do wait, with room for a paused daemon.
-const WAIT: Duration = Duration::from_secs(12);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
 /// Pause between two requests of a caller.
-const PAUSE: std::ops::Range<u64> = 5..60;
+const PAUSE_MS: std::ops::Range<u64> = 5..60;
 /// Events of a stream.
-const EVENTS: std::ops::Range<u64> = 3..60;
+const EVENTS_PER_STREAM: std::ops::Range<u64> = 3..60;
 
 /// What a request was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Stream,
     /// May run only once.
-    Once,
+    NonIdempotent,
     /// May run again.
-    Often,
+    Idempotent,
 }
 
 /// A request and what became of it.
@@ -47,7 +47,7 @@
     /// `None` when no head of an answer came.
     pub(crate) status: Option<StatusCode>,
     /// Whether it ended with a whole answer.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
     /// Why it got none.
     pub(crate) error: Option<String>,
 }
@@ -60,25 +60,30 @@
     client: Client,
     rng: StdRng,
     /// Whether only planned work is under way, so that no request may be lost.
-    planned: bool,
+    planned_only: bool,
 }
 
 impl Caller {
-    pub(crate) fn new(soak: &Arc<Soak>, daemon: usize, number: usize, planned: bool) -> Caller {
+    pub(crate) fn new(
+        soak: &Arc<Soak>,
+        daemon: usize,
+        number: usize,
+        planned_only: bool,
+    ) -> Caller {
         Caller {
             soak: Arc::clone(soak),
             name: format!("d{daemon}-c{number}"),
             daemon: soak.daemons[daemon].callers,
             client: client(),
             rng: StdRng::seed_from_u64((daemon * 100 + number) as u64),
-            planned,
+            planned_only,
         }
     }
 }
 
 /// A client that keeps its connections.
 pub(crate) fn client() -> Client {
-    let client = Client::builder().no_proxy().timeout(WAIT);
+    let client = Client::builder().no_proxy().timeout(CLIENT_TIMEOUT);
     client.build().expect("a client")
 }
 
@@ -94,7 +99,7 @@
     let req = client.request(method, format!("http://{daemon}{path}"));
     let req = req.header("host", HOST).bearer_auth(key);
     req.header("x-kelpworks-attempt-id", id)
-        .header("x-kelpworks-deadline-ms", DEADLINE)
+        .header("x-kelpworks-deadline-ms", DEADLINE_MS)
 }
 
 /// Sends requests until it is told to stop.
@@ -104,8 +109,8 @@
         number += 1;
         let id = format!("{}-{number}", caller.name);
         let kind = match caller.rng.random_range(0..4) {
-            0 => Kind::Once,
-            1 => Kind::Often,
+            0 => Kind::NonIdempotent,
+            1 => Kind::Idempotent,
             _ => Kind::Stream,
         };
         let sent = match kind {
@@ -116,9 +121,9 @@
         let connected = sent.status.is_some();
         caller.soak.sent.lock().expect("no panic").push(sent);
         let pause = match connected {
-            true => caller.rng.random_range(PAUSE),
+            true => caller.rng.random_range(PAUSE_MS),
             // The daemon is down; callers try again a little later.
-            false => PAUSE.end,
+            false => PAUSE_MS.end,
         };
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
@@ -130,7 +135,7 @@
             id: id.to_owned(),
             kind,
             status: None,
-            whole: false,
+            complete: false,
             error: None,
         }
     }
@@ -139,7 +144,7 @@
     async fn call(&self, id: &str, kind: Kind) -> Sent {
         let mut sent = self.sent(id, kind);
         let (method, path) = match kind {
-            Kind::Once => (Method::POST, format!("/once/{id}")),
+            Kind::NonIdempotent => (Method::POST, format!("/once/{id}")),
             _ => (Method::GET, format!("/often/{id}")),
         };
         let req = request(&self.client, self.daemon, method, &path, id, KEY);
@@ -151,17 +156,17 @@
             }
         };
         sent.status = Some(res.status());
-        let signed = is_signed(&res);
+        let stamped = has_server_stamp(&res);
         match res.text().await {
             Ok(body) if sent.status == Some(StatusCode::OK) => {
                 let own = format!("{path} for team-a");
-                if body != own || !signed {
+                if body != own || !stamped {
                     self.soak
-                        .broke(format!("{id}: signed {signed}, got `{body}`"));
+                        .record_violation(format!("{id}: signed {stamped}, got `{body}`"));
                 }
-                sent.whole = true;
+                sent.complete = true;
             }
-            Ok(_) => sent.whole = true,
+            Ok(_) => sent.complete = true,
             Err(e) => sent.error = Some(format!("{e:?}")),
         }
         sent
@@ -170,7 +175,7 @@
     /// A stream: its events come in order from the first, and it ends only after the last.
     async fn stream(&mut self, id: &str) -> Sent {
         let mut sent = self.sent(id, Kind::Stream);
-        let events = self.rng.random_range(EVENTS);
+        let events = self.rng.random_range(EVENTS_PER_STREAM);
         let method = Method::POST;
         let req = request(&self.client, self.daemon, method, "/stream/x", id, KEY);
         let req = req.header("x-kelpworks-token-count", format!("10,{events}"));
@@ -183,30 +188,30 @@
         };
         sent.status = Some(res.status());
         if res.status() != StatusCode::OK {
-            sent.whole = true;
+            sent.complete = true;
             return sent;
         }
-        let signed = is_signed(&res);
+        let stamped = has_server_stamp(&res);
         let mut text = Vec::new();
-        let mut pieces = res.bytes_stream();
-        while let Some(piece) = pieces.next().await {
-            match piece {
-                Ok(piece) => text.extend_from_slice(&piece),
+        let mut chunks = res.bytes_stream();
+        while let Some(chunk) = chunks.next().await {
+            match chunk {
+                Ok(chunk) => text.extend_from_slice(&chunk),
                 Err(e) => sent.error = Some(format!("{e:?}")),
             }
         }
-        sent.whole = sent.error.is_none();
+        sent.complete = sent.error.is_none();
         let text = String::from_utf8_lossy(&text);
         let ids: Vec<&str> = text
             .lines()
             .filter_map(|l| l.strip_prefix("id: "))
             .collect();
         let in_order = ids.iter().zip(1..).all(|(id, n)| **id == n.to_string());
-        let is_end = !sent.whole || ids.len() as u64 == events;
-        if !in_order || !is_end || !signed {
-            let whole = sent.whole;
-            self.soak.broke(format!(
-                "{id}: of {events} events came {ids:?}, whole {whole}, signed {signed}"
+        let is_end = !sent.complete || ids.len() as u64 == events;
+        if !in_order || !is_end || !stamped {
+            let complete = sent.complete;
+            self.soak.record_violation(format!(
+                "{id}: of {events} events came {ids:?}, whole {complete}, signed {stamped}"
             ));
         }
         sent
@@ -215,22 +220,22 @@
     /// Under planned work alone every request that a daemon took gets a whole answer or a refusal
     /// that says that it has not run.
     fn check_planned(&self, sent: &Sent) {
-        if !self.planned {
+        if !self.planned_only {
             return;
         }
-        let unsure = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
-        let was_unsure = sent.status.is_some_and(|s| unsure.contains(&s));
-        let ran = self.soak.app.ran(&sent.id) > 0 || {
+        let ambiguous = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
+        let is_ambiguous = sent.status.is_some_and(|s| ambiguous.contains(&s));
+        let ran = self.soak.app.run_count(&sent.id) > 0 || {
             let runs = self.soak.registry.runs();
             runs.iter().any(|r| r.request == sent.id)
         };
-        if was_unsure || (ran && !sent.whole) {
+        if is_ambiguous || (ran && !sent.complete) {
             self.soak
-                .broke(format!("lost under planned work: {sent:?}"));
+                .record_violation(format!("lost under planned work: {sent:?}"));
         }
     }
 }
 
-fn is_signed(res: &Response) -> bool {
+fn has_server_stamp(res: &Response) -> bool {
     res.headers().contains_key("x-kelpworks-server-stamp")
 }
--- a/crates/kelpworks-cli/tests/soak/checks.rs
+++ b/crates/kelpworks-cli/tests/soak/checks.rs
@@ -14,47 +14,47 @@
 use crate::callers::Kind;
 use crate::callers::client;
 use crate::callers::request;
-use crate::faults::still_runs;
+use crate::faults::check_still_running;
 use crate::limits;
-use crate::relay_site::BOUND;
 use crate::relay_site::KEY;
-use crate::relay_site::engine::is_whole;
-use crate::site::BUDGET;
+use crate::relay_site::WAIT_TIMEOUT;
+use crate::relay_site::engine::covers_all_layers;
+use crate::site::BUDGET_WINDOW;
 use crate::site::EVEN_KEY;
+use crate::site::RETRY_BUDGET;
 use crate::site::Soak;
-use crate::site::WINDOW;
-use crate::site::own_path;
+use crate::site::version_path;
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A promise that a request has not run and never will.
-fn promises_not_run(status: StatusCode) -> bool {
+fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
 /// Every daemon serves each kind of request, counts as ready, and has the last configuration in
 /// force, some time after nothing is wrong any more.
-pub(crate) async fn until_all_serve(soak: &Soak, when: &str) {
+pub(crate) async fn wait_until_all_serve(soak: &Soak, when: &str) {
     let client = client();
     for i in 0..soak.daemons.len() {
-        let until = Instant::now() + BOUND;
-        while let Err(why) = serves(soak, &client, i).await {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while let Err(why) = check_serves(soak, &client, i).await {
             if Instant::now() >= until {
-                soak.broke(format!("daemon {i} does not serve {when}: {why}"));
+                soak.record_violation(format!("daemon {i} does not serve {when}: {why}"));
                 break;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn serves(soak: &Soak, client: &Client, i: usize) -> Result<(), String> {
+async fn check_serves(soak: &Soak, client: &Client, i: usize) -> Result<(), String> {
     let daemon = &soak.daemons[i];
     let ready = client.get(format!("http://{}/", daemon.readiness)).send();
     expect(ready.await, StatusCode::OK, "readiness")?;
     let version = soak.version.load(Ordering::Relaxed);
-    let own = own_path(version);
+    let own = version_path(version);
     let key_status = match version.is_multiple_of(2) {
         true => StatusCode::OK,
         false => StatusCode::UNAUTHORIZED,
@@ -104,13 +104,13 @@
     let mut newest = (0, 0);
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let latest = soak.version.load(Ordering::Relaxed);
         for version in [latest, latest.saturating_sub(1)] {
             number += 1;
             let incarnation = daemon.incarnation.load(Ordering::SeqCst);
             let id = format!("v{i}-{number}");
-            let path = own_path(version);
+            let path = version_path(version);
             let req = request(&client, daemon.callers, Method::GET, &path, &id, KEY);
             let status = req.send().await.map(|res| res.status());
             let same = daemon.incarnation.load(Ordering::SeqCst) == incarnation;
@@ -119,7 +119,7 @@
             }
             if newest.0 == incarnation && version < newest.1 {
                 let shown = newest.1;
-                soak.broke(format!("daemon {i} went from version {shown} to {version}"));
+                soak.record_violation(format!("daemon {i} went from version {shown} to {version}"));
             }
             let shown = match newest.0 == incarnation {
                 true => version.max(newest.1),
@@ -131,81 +131,82 @@
 }
 
 /// What shows at the end of a run.
-pub(crate) async fn last(soak: &Soak) {
+pub(crate) async fn check_at_end(soak: &Soak) {
     for i in 0..soak.daemons.len() {
         let mut relay = soak.daemons[i].relay.lock().await;
-        still_runs(soak, i, &mut relay);
+        check_still_running(soak, i, &mut relay);
     }
-    at_most_once(soak);
-    layers_in_order(soak);
-    repeats_within_the_bound(soak);
-    limits::kept(soak);
-    most_were_served(soak);
+    check_at_most_once(soak);
+    check_layer_order(soak);
+    check_retry_budget(soak);
+    limits::check(soak);
+    check_enough_were_served(soak);
 }
 
 /// What may run once ran once at most, and what was refused did not run.
-fn at_most_once(soak: &Soak) {
+fn check_at_most_once(soak: &Soak) {
     let sent = soak.sent.lock().expect("no panic");
-    for sent in sent.iter().filter(|s| s.kind == Kind::Once) {
-        let ran = soak.app.ran(&sent.id);
-        let refused = sent.status.is_some_and(promises_not_run);
+    for sent in sent.iter().filter(|s| s.kind == Kind::NonIdempotent) {
+        let ran = soak.app.run_count(&sent.id);
+        let refused = sent.status.is_some_and(guarantees_not_run);
         if ran > 1 || (refused && ran > 0) {
-            soak.broke(format!("ran {ran} times: {sent:?}"));
+            soak.record_violation(format!("ran {ran} times: {sent:?}"));
         }
     }
 }
 
 /// Every stream ran all layers once and in order.
-fn layers_in_order(soak: &Soak) {
+fn check_layer_order(soak: &Soak) {
     for run in soak.registry.runs() {
-        if !is_whole(&run.hops) {
-            soak.broke(format!("a path with gaps: {run:?}"));
+        if !covers_all_layers(&run.hops) {
+            soak.record_violation(format!("a path with gaps: {run:?}"));
         }
     }
 }
 
 /// In no window the engines got more arrivals beyond the first of their request than the bound
 /// allows.
-fn repeats_within_the_bound(soak: &Soak) {
+fn check_retry_budget(soak: &Soak) {
     let runs = soak.registry.runs();
     let mut seen: HashMap<&str, u32> = HashMap::new();
-    let mut repeats: Vec<Instant> = Vec::new();
+    let mut retries: Vec<Instant> = Vec::new();
     let mut firsts: Vec<Instant> = Vec::new();
     for run in &runs {
         let times = seen.entry(&run.request).or_default();
         *times += 1;
         match *times {
             1 => firsts.push(run.at),
-            _ => repeats.push(run.at),
+            _ => retries.push(run.at),
         }
     }
     let within = |all: &[Instant], from: Instant, span: Duration| {
         let inside = |at: &&Instant| **at >= from && **at < from + span;
         all.iter().filter(inside).count() as f64
     };
-    for &from in &repeats {
-        let count = within(&repeats, from, WINDOW);
-        let before = from.checked_sub(WINDOW).unwrap_or(from);
-        let requests = within(&firsts, from, WINDOW).max(within(&firsts, before, WINDOW));
-        let allowed = BUDGET.ratio * requests + BUDGET.slack;
+    for &from in &retries {
+        let count = within(&retries, from, BUDGET_WINDOW);
+        let before = from.checked_sub(BUDGET_WINDOW).unwrap_or(from);
+        let requests =
+            within(&firsts, from, BUDGET_WINDOW).max(within(&firsts, before, BUDGET_WINDOW));
+        let allowed = RETRY_BUDGET.ratio * requests + RETRY_BUDGET.slack;
         if count > allowed {
-            soak.broke(format!("{count} repeats in a window, {allowed:.1} allowed"));
+            soak.record_violation(format!("{count} repeats in a window, {allowed:.1} allowed"));
             return;
         }
     }
 }
 
 /// A run in which hardly anything is answered would show nothing.
-fn most_were_served(soak: &Soak) {
+fn check_enough_were_served(soak: &Soak) {
     let sent = soak.sent.lock().expect("no panic");
     let reached = sent.iter().filter(|s| s.status.is_some()).count();
     let served = sent
         .iter()
-        .filter(|s| s.whole && s.status == Some(StatusCode::OK))
+        .filter(|s| s.complete && s.status == Some(StatusCode::OK))
         .count();
     if served * 2 < reached || served < 50 {
         let all = sent.len();
-        soak.broke(format!(
+        soak.record_violation(format!(
             "of {all} requests {reached} were taken and {served} served"
         ));
     }
--- a/crates/kelpworks-cli/tests/soak/limits.rs
+++ b/crates/kelpworks-cli/tests/soak/limits.rs
@@ -1,7 +1,7 @@
 //! Checks the aggregate request rate at engines that announce a limit.
 //!
 //! Requests of a daemon are counted once the daemon has received an answer with the limit, except while it is
-//! killed, paused or stopped and for [`GRACE`] afterwards. Windows close to a fault of the engine's link are
+//! killed, paused or stopped and for [`GRACE_PERIOD`] afterwards. Windows close to a fault of the engine's link are
 //! skipped: delayed requests arrive in a burst.
 
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use crate::site::Soak;
 
 /// Any span of this length counts.
-const WINDOW: Duration = Duration::from_secs(4);
+const RATE_WINDOW: Duration = Duration::from_secs(4);
 /// Time after the first announcement from which a limit has to be kept, and for which a daemon is excused
 /// after a disturbance.
-const GRACE: Duration = Duration::from_secs(3);
+const GRACE_PERIOD: Duration = Duration::from_secs(3);
 /// Time after which a daemon that got an answer has noted its limit.
-const TOLD: Duration = Duration::from_secs(1);
+const LIMIT_NOTED_AFTER: Duration = Duration::from_secs(1);
 /// How far above its rate a limit may be exceeded, and requests that are allowed besides.
 const TOLERANCE: f64 = 1.5;
 const BURST: f64 = 5.0;
 
 /// A limit that was announced, until the moment at which it ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Announced {
+pub(crate) struct AnnouncedLimit {
     pub(crate) engine: usize,
     pub(crate) per_second: f64,
     pub(crate) from: Instant,
@@ -35,76 +35,76 @@
 
 /// What is disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Who {
+enum Target {
     Daemon(usize),
     Engine(usize),
 }
 
 /// A fault while it lasts; noted when dropped.
 pub(crate) struct Disturbance {
-    who: Who,
+    target: Target,
     from: Instant,
-    all: Arc<Mutex<Vec<(Who, Instant, Instant)>>>,
+    all: Arc<Mutex<Vec<(Target, Instant, Instant)>>>,
 }
 
 impl Drop for Disturbance {
     fn drop(&mut self) {
         let mut all = self.all.lock().expect("no panic");
-        all.push((self.who, self.from, Instant::now()));
+        all.push((self.target, self.from, Instant::now()));
     }
 }
 
 /// Limits and disturbances of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
-    announced: Mutex<Vec<Announced>>,
-    disturbed: Arc<Mutex<Vec<(Who, Instant, Instant)>>>,
+    announced: Mutex<Vec<AnnouncedLimit>>,
+    disturbed: Arc<Mutex<Vec<(Target, Instant, Instant)>>>,
 }
 
 impl Limits {
-    pub(crate) fn announced(&self, announced: Announced) {
+    pub(crate) fn announced(&self, announced: AnnouncedLimit) {
         self.announced.lock().expect("no panic").push(announced);
     }
 
     /// Notes a fault that bears on limits.
     pub(crate) fn disturb(&self, fault: Fault) -> Option<Disturbance> {
-        let who = match fault {
-            Fault::Kill(i) | Fault::Pause(i) | Fault::Stop(i) => Who::Daemon(i),
-            Fault::EngineLink(i, _) | Fault::EngineStops(i) | Fault::EngineLeaves(i) => {
-                Who::Engine(i)
+        let target = match fault {
+            Fault::Kill(i) | Fault::Pause(i) | Fault::Stop(i) => Target::Daemon(i),
+            Fault::EngineLink(i, _) | Fault::EngineStalls(i) | Fault::EngineDeregisters(i) => {
+                Target::Engine(i)
             }
             _ => return None,
         };
         Some(Disturbance {
-            who,
+            target,
             from: Instant::now(),
             all: Arc::clone(&self.disturbed),
         })
     }
 
-    fn is_disturbed(&self, who: Who, from: Instant, to: Instant) -> bool {
+    fn is_disturbed(&self, target: Target, from: Instant, to: Instant) -> bool {
         let all = self.disturbed.lock().expect("no panic");
-        let mut of_it = all.iter().filter(|d| d.0 == who);
-        of_it.any(|&(_, begun, ended)| begun <= to && ended >= from)
+        let mut of_target = all.iter().filter(|d| d.0 == target);
+        of_target.any(|&(_, from_then, ended)| from_then <= to && ended >= from)
     }
 
     /// Whether a daemon that sent a request is bound by a limit then.
-    fn binds(&self, limit: &Announced, arrival: &Arrival, all: &[Arrival]) -> bool {
+    fn binds(&self, limit: &AnnouncedLimit, arrival: &Arrival, all: &[Arrival]) -> bool {
         let Some(daemon) = sender(&arrival.request) else {
             return false;
         };
-        let Some(calm_since) = arrival.at.checked_sub(GRACE) else {
+        let Some(calm_since) = arrival.at.checked_sub(GRACE_PERIOD) else {
             return false;
         };
-        if self.is_disturbed(Who::Daemon(daemon), calm_since, arrival.at) {
+        if self.is_disturbed(Target::Daemon(daemon), calm_since, arrival.at) {
             return false;
         }
-        let told = |a: &&Arrival| {
-            let is_before = a.at >= limit.from && a.at + TOLD <= arrival.at;
+        let announcements = |a: &&Arrival| {
+            let is_before = a.at >= limit.from && a.at + LIMIT_NOTED_AFTER <= arrival.at;
             is_before && sender(&a.request) == Some(daemon)
         };
-        let mut told = all.iter().filter(told);
-        told.any(|a| !self.is_disturbed(Who::Daemon(daemon), a.at, arrival.at))
+        let mut announcements = all.iter().filter(announcements);
+        announcements.any(|a| !self.is_disturbed(Target::Daemon(daemon), a.at, arrival.at))
     }
 }
 
@@ -117,30 +117,30 @@
 }
 
 /// No engine got more requests than the limit that it announced allows.
-pub(crate) fn kept(soak: &Soak) {
+pub(crate) fn check(soak: &Soak) {
     let announced = soak.limits.announced.lock().expect("no panic").clone();
     for limit in announced {
         let arrivals = soak.engines[limit.engine].engine.limit().arrivals();
         let counts = |a: &&Arrival| {
-            let is_due = a.at >= limit.from + GRACE && a.at <= limit.to;
+            let is_due = a.at >= limit.from + GRACE_PERIOD && a.at <= limit.to;
             is_due && soak.limits.binds(&limit, a, &arrivals)
         };
         let bound: Vec<Instant> = arrivals.iter().filter(counts).map(|a| a.at).collect();
-        let allowed = TOLERANCE * limit.per_second * WINDOW.as_secs_f64() + BURST;
+        let allowed = TOLERANCE * limit.per_second * RATE_WINDOW.as_secs_f64() + BURST;
         for &first in &bound {
-            let before = first.checked_sub(WINDOW).unwrap_or(first);
+            let before = first.checked_sub(RATE_WINDOW).unwrap_or(first);
             if soak
                 .limits
-                .is_disturbed(Who::Engine(limit.engine), before, first + WINDOW)
+                .is_disturbed(Target::Engine(limit.engine), before, first + RATE_WINDOW)
             {
                 continue;
             }
             let within = bound
                 .iter()
-                .filter(|&&at| at >= first && at <= first + WINDOW);
+                .filter(|&&at| at >= first && at <= first + RATE_WINDOW);
             let count = within.count() as f64;
             if count > allowed {
-                soak.broke(format!(
+                soak.record_violation(format!(
                     "{count} requests in a window, {allowed:.1} allowed: {limit:?}"
                 ));
                 break;
--- a/crates/kelpworks-cli/tests/soak/main.rs
+++ b/crates/kelpworks-cli/tests/soak/main.rs
@@ -36,11 +36,11 @@
 const DAEMONS: usize = 3;
 
 /// Plays a seed; the promises that were broken.
-async fn play(seed: u64, daemons: usize, length: Duration) -> Vec<String> {
+async fn run_seed(seed: u64, daemons: usize, length: Duration) -> Vec<String> {
     let plan = Plan::draw(seed, daemons, length);
     let soak = Soak::start(seed, daemons).await;
-    let broken = soak.play(&plan).await;
-    broken
+    let violations = soak.run(&plan).await;
+    violations
         .into_iter()
         .map(|b| format!("seed {seed}: {b}"))
         .collect()
@@ -51,28 +51,28 @@
 #[case::unplanned(1)]
 #[case::more_unplanned(2)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_drawn_faults(#[case] seed: u64) {
-    let broken = play(seed, DAEMONS, Duration::from_secs(6)).await;
-    assert!(broken.is_empty(), "{broken:#?}");
+async fn guarantees_hold_under_random_faults(#[case] seed: u64) {
+    let violations = run_seed(seed, DAEMONS, Duration::from_secs(6)).await;
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
     value.map_or(default, |v| v.parse().expect("a number"))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "takes minutes; by hand with seeds of one's own"]
-async fn by_hand() {
-    let from = number("SOAK_FROM", 1_000);
-    let seeds = number("SOAK_SEEDS", 50);
-    let daemons = number("SOAK_DAEMONS", 4) as usize;
-    let length = Duration::from_secs(number("SOAK_SECONDS", 12));
-    let mut broken = Vec::new();
+async fn guarantees_hold_for_seeds_from_the_environment() {
+    let from = env_number("SOAK_FROM", 1_000);
+    let seeds = env_number("SOAK_SEEDS", 50);
+    let daemons = env_number("SOAK_DAEMONS", 4) as usize;
+    let length = Duration::from_secs(env_number("SOAK_SECONDS", 12));
+    let mut violations = Vec::new();
     for seed in from..from + seeds {
-        let found = play(seed, daemons, length).await;
+        let found = run_seed(seed, daemons, length).await;
         println!("seed {seed}: {} broken {found:#?}", found.len());
-        broken.extend(found);
+        violations.extend(found);
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/kelpworks-cli/tests/soak/plan.rs
+++ b/crates/kelpworks-cli/tests/soak/plan.rs
@@ -13,13 +13,13 @@
 /// Engines of a run.
 pub(crate) const ENGINES: usize = 6;
 /// Mean time between two faults: most overlap with one or two others.
-const BETWEEN: Duration = Duration::from_millis(350);
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(350);
 /// One seed in so many draws planned work only: then nothing at all may be lost.
-const PLANNED_ONLY: u64 = 4;
+const PLANNED_ONLY_EVERY: u64 = 4;
 /// One unplanned seed in so many has the store come back from older copies.
-const RESTORED_IN: u64 = 2;
+const RESTORES_EVERY: u64 = 2;
 /// One unplanned seed in so many has none of its engines announce a limit.
-const UNLIMITED_IN: u64 = 3;
+const NO_LIMITS_EVERY: u64 = 3;
 
 /// Something that goes wrong, or is done on purpose.
 #[derive(Clone, Copy, Debug)]
@@ -27,11 +27,11 @@
     /// The store answers 503.
     StoreDown,
     /// Writes to the store are carried out and not answered.
-    StoreLosesReplies,
+    StoreDropsReplies,
     /// Calls to the store are taken and never answered.
-    StoreUnanswering,
+    StoreHangs,
     /// The store forgets its history.
-    StoreForgets,
+    StoreCompactsHistory,
     /// The store loses what was written while this lasts, by coming back from a copy.
     StoreRestored,
     /// The link between a daemon and the store.
@@ -41,13 +41,13 @@
     /// The link before the plain service.
     AppLink(LinkState),
     /// All streams that pass an engine stand still.
-    EngineStops(usize),
+    EngineStalls(usize),
     /// The next stream that an engine takes goes wrong.
     EngineFails(usize, engine::Fault),
     /// An engine's registration goes, and comes back.
-    EngineLeaves(usize),
+    EngineDeregisters(usize),
     /// An engine announces a limit of so many requests a second.
-    EngineLimits(usize, f64),
+    EngineAnnouncesLimit(usize, f64),
     /// A daemon's process is killed and started again.
     Kill(usize),
     /// A daemon's process stands still.
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Step {
     pub(crate) at: Duration,
-    pub(crate) lasts: Duration,
+    pub(crate) duration: Duration,
     pub(crate) fault: Fault,
 }
 
@@ -81,7 +81,7 @@
     /// The plan of a seed; the same each time.
     pub(crate) fn draw(seed: u64, daemons: usize, length: Duration) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
-        let planned = seed.is_multiple_of(PLANNED_ONLY);
+        let planned = seed.is_multiple_of(PLANNED_ONLY_EVERY);
         let mut at = Duration::from_millis(200);
         let mut steps = Vec::new();
         while at < length {
@@ -89,14 +89,18 @@
                 true => draw_planned(&mut rng, daemons),
                 false => draw_fault(&mut rng, daemons),
             };
-            let lasts = Duration::from_millis(rng.random_range(200..2_000));
-            steps.push(Step { at, lasts, fault });
-            at += BETWEEN.mul_f64(rng.random_range(0.1..1.9));
+            let duration = Duration::from_millis(rng.random_range(200..2_000));
+            steps.push(Step {
+                at,
+                duration,
+                fault,
+            });
+            at += MEAN_FAULT_INTERVAL.mul_f64(rng.random_range(0.1..1.9));
         }
-        if !planned && seed.is_multiple_of(RESTORED_IN) {
+        if !planned && seed.is_multiple_of(RESTORES_EVERY) {
             steps.extend(draw_restores(&mut rng, length));
         }
-        if !planned && !seed.is_multiple_of(UNLIMITED_IN) {
+        if !planned && !seed.is_multiple_of(NO_LIMITS_EVERY) {
             steps.extend(draw_limits(&mut rng, length));
         }
         Plan {
@@ -112,7 +116,7 @@
     let count = rng.random_range(1..=2);
     let mut draw = || Step {
         at: length.mul_f64(rng.random_range(0.1..0.7)),
-        lasts: Duration::from_millis(rng.random_range(200..2_000)),
+        duration: Duration::from_millis(rng.random_range(200..2_000)),
         fault: Fault::StoreRestored,
     };
     (0..count).map(|_| draw()).collect()
@@ -124,8 +128,8 @@
     let count = rng.random_range(1..=2);
     let mut draw = |engine| Step {
         at: length.mul_f64(rng.random_range(0.0..0.3)),
-        lasts: Duration::from_millis(rng.random_range(5_000..9_000)),
-        fault: Fault::EngineLimits(engine, rng.random_range(0.3..8.0)),
+        duration: Duration::from_millis(rng.random_range(5_000..9_000)),
+        fault: Fault::EngineAnnouncesLimit(engine, rng.random_range(0.3..8.0)),
     };
     (0..count).map(|i| draw((first + i) % ENGINES)).collect()
 }
@@ -144,17 +148,17 @@
     let engine = rng.random_range(0..ENGINES);
     match rng.random_range(0..17) {
         0 => Fault::StoreDown,
-        1 => Fault::StoreLosesReplies,
-        2 => Fault::StoreForgets,
+        1 => Fault::StoreDropsReplies,
+        2 => Fault::StoreCompactsHistory,
         3 | 4 => Fault::StoreLink(daemon, draw_link(rng)),
         5 | 6 => Fault::EngineLink(engine, draw_link(rng)),
         7 => Fault::AppLink(draw_link(rng)),
-        8 => Fault::EngineStops(engine),
+        8 => Fault::EngineStalls(engine),
         9 => Fault::EngineFails(engine, draw_failure(rng)),
-        10 => Fault::EngineLeaves(engine),
+        10 => Fault::EngineDeregisters(engine),
         11 => Fault::Kill(daemon),
         12 => Fault::Pause(daemon),
-        13 => Fault::StoreUnanswering,
+        13 => Fault::StoreHangs,
         _ => draw_planned(rng, daemons),
     }
 }
@@ -174,9 +178,9 @@
     let events = rng.random_range(1..6);
     let pause = Duration::from_millis(rng.random_range(300..1_500));
     match rng.random_range(0..4) {
-        0 => engine::Fault::Silent(events, pause),
+        0 => engine::Fault::Stall(events, pause),
         1 => engine::Fault::Cut(events),
-        2 => engine::Fault::SilentThenCut(events, pause),
-        _ => engine::Fault::Refused,
+        2 => engine::Fault::StallThenCut(events, pause),
+        _ => engine::Fault::Refuse,
     }
 }
--- a/crates/kelpworks-cli/tests/soak/site.rs
+++ b/crates/kelpworks-cli/tests/soak/site.rs
@@ -21,11 +21,11 @@
 use crate::limits::Limits;
 use crate::plan::ENGINES;
 use crate::plan::Plan;
-use crate::relay_site::BOUND;
 use crate::relay_site::KEY;
+use crate::relay_site::WAIT_TIMEOUT;
 use crate::relay_site::configuration;
-use crate::relay_site::daemon::Budget;
 use crate::relay_site::daemon::Relay;
+use crate::relay_site::daemon::RetryBudget;
 use crate::relay_site::engine::App;
 use crate::relay_site::engine::Engine;
 use crate::relay_site::engine::Registry;
@@ -33,17 +33,17 @@
 use crate::relay_site::store::Store;
 
 /// The fleet's bound on repeats.
-pub(crate) const BUDGET: Budget = Budget {
+pub(crate) const RETRY_BUDGET: RetryBudget = RetryBudget {
     window: "2 s",
     ratio: 0.2,
     slack: 60.0,
 };
 /// The same window.
-pub(crate) const WINDOW: Duration = Duration::from_secs(2);
+pub(crate) const BUDGET_WINDOW: Duration = Duration::from_secs(2);
 /// Time between two registrations of engines.
-const HEARTBEAT: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Callers a daemon.
-const CALLERS: usize = 4;
+const CALLERS_PER_DAEMON: usize = 4;
 /// Key that only configurations of even versions hold.
 pub(crate) const EVEN_KEY: &str = "key-of-even-versions";
 
@@ -58,7 +58,7 @@
 }
 
 /// An engine and the link before it.
-pub(crate) struct EngineAt {
+pub(crate) struct LinkedEngine {
     pub(crate) engine: Engine,
     pub(crate) link: Link,
     /// Whether it registers itself.
@@ -69,7 +69,7 @@
 pub(crate) struct Soak {
     pub(crate) store: Store,
     pub(crate) registry: Registry,
-    pub(crate) engines: Vec<EngineAt>,
+    pub(crate) engines: Vec<LinkedEngine>,
     pub(crate) app: App,
     pub(crate) app_link: Link,
     pub(crate) daemons: Vec<Daemon>,
@@ -82,16 +82,16 @@
     /// What callers sent and got.
     pub(crate) sent: Mutex<Vec<Sent>>,
     /// Promises that were broken.
-    pub(crate) broken: Mutex<Vec<String>>,
+    pub(crate) violations: Mutex<Vec<String>>,
     pub(crate) started: Instant,
 }
 
 /// The configuration of a version: its own route, and a key that goes and comes.
-pub(crate) fn document(version: u64) -> Value {
+pub(crate) fn configuration_document(version: u64) -> Value {
     let mut document = configuration(version);
     let own = route(
         &format!("own-{version}"),
-        &own_path(version),
+        &version_path(version),
         "idempotent",
         "app",
     );
@@ -105,7 +105,7 @@
 }
 
 /// Prefix of the route that only this version has.
-pub(crate) fn own_path(version: u64) -> String {
+pub(crate) fn version_path(version: u64) -> String {
     format!("/own-{version}/")
 }
 
@@ -113,15 +113,15 @@
     /// Starts the site of a seed, and waits until every daemon serves.
     pub(crate) async fn start(seed: u64, daemons: usize) -> Arc<Soak> {
         let store = Store::start().await;
-        store.put("config", "main", document(3));
+        store.put("config", "main", configuration_document(3));
         let registry = Registry::default();
         let mut engines = Vec::new();
         for i in 0..ENGINES {
             let domain = ["hall-a", "hall-b"][i % 2];
             let engine = Engine::start(&registry, &format!("e-{i}"), domain).await;
             let link = Link::spawn(engine.address()).await.expect("a link");
-            engine.move_behind(&registry, link.addr());
-            engines.push(EngineAt {
+            engine.set_address(&registry, link.addr());
+            engines.push(LinkedEngine {
                 engine,
                 link,
                 registers: AtomicBool::new(true),
@@ -129,14 +129,14 @@
         }
         let mut app = App::start("s-0").await;
         let app_link = Link::spawn(app.address()).await.expect("a link");
-        app.move_behind(app_link.addr());
+        app.set_address(app_link.addr());
         store.put("servers", "s-0", app.entry());
         let mut running: Vec<Relay> = Vec::new();
         let mut links = Vec::new();
         for i in 0..daemons {
             let link = Link::spawn(store.address).await.expect("a link");
             let name = format!("soak-{seed}");
-            running.push(Relay::start(&name, i, link.addr(), &running, &BUDGET));
+            running.push(Relay::start(&name, i, link.addr(), &running, &RETRY_BUDGET));
             links.push(link);
         }
         let daemons = running.into_iter().zip(links).map(|(relay, store)| Daemon {
@@ -157,7 +157,7 @@
             limits: Limits::default(),
             restoring: tokio::sync::Mutex::default(),
             sent: Mutex::default(),
-            broken: Mutex::default(),
+            violations: Mutex::default(),
             started: Instant::now(),
         });
         soak.heartbeat();
@@ -174,27 +174,27 @@
     }
 
     /// Notes a broken promise, with the time.
-    pub(crate) fn broke(&self, what: String) {
+    pub(crate) fn record_violation(&self, what: String) {
         let at = self.started.elapsed().as_secs_f64();
-        let mut broken = self.broken.lock().expect("no panic");
-        broken.push(format!("{at:.3} s: {what}"));
+        let mut violations = self.violations.lock().expect("no panic");
+        violations.push(format!("{at:.3} s: {what}"));
     }
 
     /// Plays a plan and checks the promises; those that were broken.
-    pub(crate) async fn play(self: &Arc<Soak>, plan: &Plan) -> Vec<String> {
+    pub(crate) async fn run(self: &Arc<Soak>, plan: &Plan) -> Vec<String> {
         let mut background = JoinSet::new();
         let soak = Arc::clone(self);
         background.spawn(async move {
             loop {
-                tokio::time::sleep(HEARTBEAT).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 soak.heartbeat();
             }
         });
-        checks::until_all_serve(self, "at the start").await;
+        checks::wait_until_all_serve(self, "at the start").await;
         let stop = Arc::new(AtomicBool::new(false));
         let mut work = JoinSet::new();
         for daemon in 0..self.daemons.len() {
-            for number in 0..CALLERS {
+            for number in 0..CALLERS_PER_DAEMON {
                 let caller = Caller::new(self, daemon, number, plan.planned);
                 work.spawn(callers::run(caller, Arc::clone(&stop)));
             }
@@ -204,20 +204,20 @@
                 Arc::clone(&stop),
             ));
         }
-        faults::carry_out(self, plan).await;
-        checks::until_all_serve(self, "after the faults").await;
+        faults::run_plan(self, plan).await;
+        checks::wait_until_all_serve(self, "after the faults").await;
         stop.store(true, Ordering::Relaxed);
-        let ended = tokio::time::timeout(BOUND * 2, async {
+        let ended = tokio::time::timeout(WAIT_TIMEOUT * 2, async {
             while let Some(done) = work.join_next().await {
                 done.expect("no panic of a caller");
             }
         });
         if ended.await.is_err() {
-            self.broke("callers got no answer long after their deadline".to_owned());
+            self.record_violation("callers got no answer long after their deadline".to_owned());
         }
-        checks::last(self).await;
+        checks::check_at_end(self).await;
         background.abort_all();
-        let broken = self.broken.lock().expect("no panic");
-        broken.clone()
+        let violations = self.violations.lock().expect("no panic");
+        violations.clone()
     }
 }
--- a/crates/kelpworks-cli/tests/support/mod.rs
+++ b/crates/kelpworks-cli/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use kelpworks_fakes::ObjectApiConfig;
 
 /// Stands for the platform's address in snapshots.
-const ADDRESS: &str = "[address]";
+const ADDRESS_PLACEHOLDER: &str = "[address]";
 
 /// A platform that serves until the test ends.
 pub(crate) struct Platform {
@@ -46,7 +46,7 @@
     }
 
     /// Replies of `GET /status`, in order; the last one stays.
-    pub(crate) fn statuses(&self, statuses: &[&str]) {
+    pub(crate) fn set_statuses(&self, statuses: &[&str]) {
         let mut queue = self.statuses.lock().unwrap();
         *queue = statuses.iter().map(ToString::to_string).collect();
     }
@@ -69,7 +69,7 @@
         let operators = self.operators.to_string();
         let rest = ["--operators", &operators, "--wait", wait];
         let text = self.run(&[args, &rest].concat()).await;
-        text.replace(&operators, ADDRESS)
+        text.replace(&operators, ADDRESS_PLACEHOLDER)
     }
 }
 
