--- a/crates/kelpworks-cli/examples/stand_ins.rs
+++ b/crates/kelpworks-cli/examples/stand_ins.rs
@@ -1,9 +1,9 @@
-//! The stand-ins in a process of their own.
+//! Runs the fakes of outside systems in a process of their own.
 //!
 //! `cargo run --example stand_ins -- --stages 3 --replicas 2` starts a whole set and prints one
-//! line of JSON with all addresses once they work. `-- --only engine --name e --layers 0..8
-//! --port 4000` starts a single engine, so that a test can kill or freeze it. Ends when its
-//! standard input closes, or on SIGTERM.
+//! line of JSON with all addresses once the fakes serve. `-- --only engine --name e --layers 0..8
+//! --port 4000` starts a single engine, so that a test can kill or freeze it. The process exits
+//! when its standard input closes, or on SIGTERM.
 
 use std::io::Read;
 use std::io::stdin;
@@ -69,7 +69,7 @@
     Signal(#[from] std::io::Error),
 }
 
-/// What is to run, from the command line.
+/// The fakes to start.
 enum Plan {
     Fleet(FleetConfig),
     Engine(EngineConfig),
@@ -187,7 +187,7 @@
     parsed.ok_or_else(|| format!("`{text}` is not like `0..8`"))
 }
 
-/// Options that hold for every engine.
+/// Options that apply to every engine.
 struct EngineOptions {
     iteration: Duration,
     layer_rate: f64,
@@ -216,7 +216,7 @@
 async fn wait_for_shutdown() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let (tx, rx) = oneshot::channel();
-    // A thread of its own, since a blocking read would hold up the end of the runtime.
+    // Reads on a separate thread, since a blocking read would delay the shutdown of the runtime.
     thread::spawn(move || {
         let _ = stdin().read_to_end(&mut Vec::new());
         let _ = tx.send(());
--- a/crates/kelpworks-cli/src/args.rs
+++ b/crates/kelpworks-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line, read into typed commands.
+//! Parses the command line into typed commands.
 
 use std::ffi::OsStr;
 use std::ffi::OsString;
@@ -14,29 +14,23 @@
 use kelpworks::config::accept::name_of;
 use kelpworks::units::Span;
 
-/// How long a change is waited for.
+/// Time to wait until a change is in force on every daemon, when `--wait` is absent.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
 
-/// A command.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// `--help`.
     Help,
-    /// `--version`.
     Version,
-    /// `serve`.
     Serve {
-        /// The settings.
+        /// Path of the settings file.
         settings: PathBuf,
     },
-    /// `relay`.
     Relay {
-        /// The settings.
+        /// Path of the settings file.
         settings: PathBuf,
     },
-    /// `check`.
     Check {
-        /// The files, at least one.
+        /// Files to check; at least one.
         files: Vec<PathBuf>,
     },
     /// `register import` and `rules apply`.
@@ -48,38 +42,38 @@
 /// A change of the register or the rules.
 #[derive(Debug)]
 pub(crate) struct Change {
-    /// What to change.
+    /// Whether the register or the rules change.
     pub(crate) which: Which,
-    /// The file with its new text.
+    /// File with the new text.
     pub(crate) file: PathBuf,
-    /// Only show the difference.
+    /// Only print the difference; nothing is applied.
     pub(crate) dry_run: bool,
-    /// Settings to take addresses from.
+    /// Settings file that supplies the addresses that no option gives.
     pub(crate) settings: Option<PathBuf>,
-    /// The object API; goes before the settings.
+    /// URL of the object API; overrides the settings.
     pub(crate) object_api: Option<String>,
-    /// Daemons to ask; go before the settings.
+    /// Operators' addresses of the daemons to query; override the settings.
     pub(crate) operators: Vec<SocketAddr>,
-    /// How long to wait until it is in force everywhere.
+    /// Longest wait until the change is in force on every daemon.
     pub(crate) wait: Duration,
 }
 
-/// A question for the status.
+/// Options of `status`.
 #[derive(Debug)]
 pub(crate) struct StatusQuery {
     /// Print JSON.
     pub(crate) json: bool,
-    /// Settings to take the operators' address from.
+    /// Settings file that supplies the operators' address when no option gives one.
     pub(crate) settings: Option<PathBuf>,
-    /// Daemons to ask; go before the settings.
+    /// Operators' addresses of the daemons to query; override the settings.
     pub(crate) operators: Vec<SocketAddr>,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// [`Failure::Usage`] for anything that is not understood, an option of another command too.
+/// [`Failure::Usage`] for an unknown command or argument, including an option of another command.
 pub(crate) fn parse(args: Vec<OsString>) -> Result<Command> {
     let mut args = Arguments::from_vec(args);
     if args.contains(["-h", "--help"]) {
@@ -104,7 +98,7 @@
     }
 }
 
-/// The settings of a command that takes nothing else.
+/// Parses the arguments of a command that takes `--settings` only.
 fn settings_only(mut args: Arguments, command: &str) -> Result<PathBuf> {
     let settings = path_option(&mut args, "--settings")?;
     reject_remaining(args)?;
@@ -175,7 +169,7 @@
     }))
 }
 
-/// The next word that is no option.
+/// Returns the next argument that is not an option.
 fn subcommand(args: &mut Arguments) -> Result<Option<String>> {
     args.subcommand().map_err(usage)
 }
@@ -185,7 +179,7 @@
     args.opt_value_from_os_str(name, to_path).map_err(usage)
 }
 
-/// The addresses of `--operators`, divided by commas.
+/// Returns the comma-separated addresses of `--operators`; empty when the option is absent.
 fn operators(args: &mut Arguments) -> Result<Vec<SocketAddr>> {
     let list: Option<String> = args.opt_value_from_str("--operators").map_err(usage)?;
     let Some(list) = list else {
@@ -198,7 +192,7 @@
     list.split(',').map(address).collect()
 }
 
-/// Refuses what is left over.
+/// Rejects arguments that no option has consumed.
 fn reject_remaining(args: Arguments) -> Result<()> {
     match args.finish().first() {
         Some(arg) => Err(unexpected(arg)),
--- a/crates/kelpworks-cli/src/change.rs
+++ b/crates/kelpworks-cli/src/change.rs
@@ -19,13 +19,13 @@
 use kelpworks::rules::Rules;
 use kelpworks::settings::Settings;
 
-/// The systems that a change talks to.
+/// The object API and the daemons that a change contacts.
 struct Target {
     api: HttpObjectApi,
     operators: Vec<SocketAddr>,
 }
 
-/// Applies a change, or shows what it would do.
+/// Applies a change, or prints what it would do on a dry run.
 pub(crate) async fn run(change: &Change) -> Result<()> {
     let proposal = read_proposal(change.which, &change.file)?;
     let target = target(change)?;
@@ -43,7 +43,8 @@
     rollout::wait(generation, &target.operators, change.wait).await
 }
 
-/// Reads the new text. What is wrong with it by itself is told before any system is asked.
+/// Reads and parses the new text, so that its own errors are reported before any system is
+/// contacted.
 fn read_proposal(which: Which, file: &Path) -> Result<Proposal> {
     let name = file.display().to_string();
     let text = read_file(file)?;
@@ -54,7 +55,7 @@
     Ok(Proposal::new(which, &name, text))
 }
 
-/// Where to apply the change: options go before the settings.
+/// Returns the systems to apply the change to; options override the settings.
 fn target(change: &Change) -> Result<Target> {
     let settings = match &change.settings {
         Some(file) => Some(read_settings(file)?),
@@ -71,14 +72,13 @@
     })
 }
 
-/// Reads a settings file.
 pub(crate) fn read_settings(file: &Path) -> Result<Settings> {
     let name = file.display().to_string();
     let text = read_file(file)?;
     Ok(Settings::parse(&name, &text)?)
 }
 
-/// The daemons to ask: those given, or else the one of the settings.
+/// Returns the operators' addresses to query: those given, or else the one of the settings.
 pub(crate) fn operators(given: &[SocketAddr], settings: Option<&Settings>) -> Vec<SocketAddr> {
     match settings {
         Some(s) if given.is_empty() => vec![s.listen.operators],
@@ -86,7 +86,7 @@
     }
 }
 
-/// Shows what the change would do.
+/// Prints the difference between the accepted configuration and the proposal, and applies nothing.
 async fn print_diff(target: &Target, proposal: &Proposal) -> Result<()> {
     let plan = accept::plan(&target.api, proposal, RetryPolicy::default()).await;
     let plan = plan.map_err(Failure::Accept)?;
--- a/crates/kelpworks-cli/src/check.rs
+++ b/crates/kelpworks-cli/src/check.rs
@@ -12,7 +12,7 @@
 use kelpworks::rules::Rules;
 use kelpworks::settings::Settings;
 
-/// A file whose kind is known.
+/// A file that was read, with its kind.
 struct Input<'a> {
     path: &'a Path,
     name: String,
@@ -20,13 +20,13 @@
     kind: FileKind,
 }
 
-/// A register among the files.
+/// A valid register among the files.
 struct ParsedRegister<'a> {
     path: &'a Path,
     register: Register,
 }
 
-/// Checks all files and names the first fault of each.
+/// Checks all files and reports the first error of each.
 pub(crate) fn run(files: &[PathBuf]) -> Result<()> {
     let mut faults = Vec::new();
     let mut inputs = Vec::new();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads a file and tells its kind.
+/// Reads a file and determines its kind.
 fn read_input(path: &Path) -> document::Result<Input<'_>> {
     let name = path.display().to_string();
     let text = read_file(path)?;
@@ -63,7 +63,7 @@
     })
 }
 
-/// The registers that are good; the faults of the others are found again, and told, by [`check`].
+/// Returns the valid registers. [`check`] reports the errors of the others.
 fn registers<'a>(inputs: &[Input<'a>]) -> Vec<ParsedRegister<'a>> {
     let parse = |i: &Input<'a>| {
         let register = Register::parse(&i.name, &i.text).ok()?;
@@ -80,7 +80,7 @@
         .collect()
 }
 
-/// The register that a file belongs to: the one beside it, or else the only one.
+/// Returns the register to check a file against: the one in its directory, or else the only one.
 fn register_for<'a>(
     input: &Input<'_>,
     registers: &'a [ParsedRegister<'_>],
@@ -102,7 +102,7 @@
     }
 }
 
-/// Checks one file.
+/// Parses a file, and checks it against the register if there is one.
 fn check(input: &Input<'_>, register: Option<&Register>) -> document::Result<()> {
     let (name, text) = (&input.name, &input.text);
     match (input.kind, register) {
@@ -114,7 +114,7 @@
     }
 }
 
-/// What is said of a good file.
+/// Returns the text to print for a valid file.
 fn ok_message(input: &Input<'_>, register: Option<&Register>) -> String {
     let kind = input.kind.as_str();
     match (input.kind, register) {
--- a/crates/kelpworks-cli/src/failure.rs
+++ b/crates/kelpworks-cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! How a command ends when it does not succeed.
+//! Errors of commands and their exit codes.
 
 use std::io;
 use std::process::ExitCode;
@@ -8,12 +8,11 @@
 use kelpworks::config::accept;
 use kelpworks::config::document;
 
-/// The result of a command.
 pub(crate) type Result<T> = std::result::Result<T, Failure>;
 
-/// Exit code of an outcome that failed.
+/// Exit code of a failed outcome: a conflict, a daemon that lags, an outage.
 const EXIT_FAILED_OUTCOME: u8 = 1;
-/// Exit code of bad input.
+/// Exit code of bad input; nothing was applied.
 const EXIT_BAD_INPUT: u8 = 2;
 
 /// Why a command failed.
@@ -21,16 +20,16 @@
 #[derive(Error)]
 #[non_exhaustive]
 pub(crate) enum Failure {
-    /// The command line is not understood.
+    /// The command line is invalid.
     #[error("{0}\nTry `kelpworks --help`.")]
     Usage(String),
-    /// Files are at fault, one each.
+    /// Files are invalid; one error per file.
     #[error("{}", one_per_line(.0))]
     Files(Vec<document::Error>),
     /// The register or the rules were not accepted.
     #[error(transparent)]
     Accept(accept::Error),
-    /// Accepted, but not in force everywhere within the time.
+    /// The change is accepted, but is not in force on every daemon within the wait.
     #[error("generation {generation} is accepted, but not in force yet on: {}", .lagging.join(", "))]
     Lagging {
         /// The generation that was accepted.
@@ -38,18 +37,18 @@
         /// Names of the daemons that lag.
         lagging: Vec<String>,
     },
-    /// Accepted, but no daemon could be asked.
+    /// The change is accepted, but no daemon answered a query for its status.
     #[error("generation {generation} is accepted, but no daemon answers: {reason}")]
     NoAnswer {
         /// The generation that was accepted.
         generation: u64,
-        /// The last error.
+        /// The error of the last daemon that was queried.
         reason: kelpworks::status::Error,
     },
     /// No daemon answers.
     #[error(transparent)]
     Status(#[from] kelpworks::status::Error),
-    /// The machine refused something.
+    /// The operating system refused an operation, such as the start of a thread.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The logger cannot start.
@@ -73,7 +72,7 @@
 }
 
 impl Failure {
-    /// The exit code that tells scripts what happened.
+    /// Returns the exit code for scripts.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Failure::Usage(_) | Failure::Files(_) | Failure::RelaySettings(_) => EXIT_BAD_INPUT,
@@ -90,7 +89,7 @@
     }
 }
 
-/// Whether the proposal can never be accepted as it stands.
+/// Whether a retry can't succeed until the proposal is changed or a register is imported.
 fn is_bad_input(error: &accept::Error) -> bool {
     matches!(
         error,
@@ -98,7 +97,7 @@
     )
 }
 
-/// One error a line.
+/// Joins errors, one per line.
 fn one_per_line(errors: &[document::Error]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
--- a/crates/kelpworks-cli/src/log_writer.rs
+++ b/crates/kelpworks-cli/src/log_writer.rs
@@ -1,7 +1,8 @@
-//! Log lines on standard output that never hold the daemon up.
+//! A log writer that never blocks the daemon.
 //!
-//! Lines go through a bounded queue to a thread of their own. When whoever reads them stops, the
-//! queue fills and further lines are dropped; how many is said in the first line after it.
+//! Lines pass through a bounded queue to a dedicated thread. When the reader of the log stalls, the
+//! queue fills and further lines are dropped; before the next line from the queue, the thread
+//! writes a line with their number.
 
 use std::io;
 use std::io::Write;
@@ -17,23 +18,23 @@
 use flexi_logger::writers::LogWriter;
 use log::Record;
 
-/// Lines that wait, at most: some seconds of a busy daemon's, about 2 MB.
+/// Maximum number of queued lines: some seconds of a busy daemon, about 2 MB.
 const QUEUE_CAPACITY: usize = 4_096;
 
 enum Message {
     Line(Vec<u8>),
-    /// Everything before it is to be written; the answer says that it is.
+    /// Flushes all lines queued before it, then notifies the sender.
     Flush(SyncSender<()>),
 }
 
-/// Writes lines by a thread of its own.
+/// Queues log lines for a dedicated writer thread.
 pub(crate) struct QueuedWriter {
     tx: SyncSender<Message>,
     dropped: Arc<AtomicU64>,
 }
 
 impl QueuedWriter {
-    /// A writer to `out`, which is only touched by the thread.
+    /// Starts the writer thread, which alone uses `out`.
     pub(crate) fn new(out: impl Write + Send + 'static) -> io::Result<QueuedWriter> {
         let (tx, rx) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -60,12 +61,12 @@
             Message::Line(line) => noted.and_then(|()| out.write_all(&line)),
             Message::Flush(done) => {
                 let flushed = noted.and_then(|()| out.flush());
-                // Whoever asked may have stopped waiting.
+                // The caller of `flush` may have timed out.
                 let _ = done.send(());
                 flushed
             }
         };
-        // The reader of the log is gone for good; there is nobody left to tell.
+        // The log's reader has closed its end, so no further line can be written.
         if written.is_err() {
             return;
         }
@@ -92,7 +93,7 @@
     }
 }
 
-/// Longest wait for the last lines at the end of the process.
+/// Longest time that a flush waits for the last lines when the process ends.
 const FLUSH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
 #[cfg(test)]
--- a/crates/kelpworks-cli/src/log_writer/tests.rs
+++ b/crates/kelpworks-cli/src/log_writer/tests.rs
@@ -1,4 +1,4 @@
-//! The queued log under a reader that stops.
+//! Tests of the queued log writer with a stalled reader.
 
 use std::io;
 use std::io::Write;
@@ -26,7 +26,7 @@
     opened: Condvar,
 }
 
-/// A reader that takes nothing until it is opened.
+/// An output that blocks writes until it is opened.
 #[derive(Clone, Default)]
 struct Gate(Arc<Shared>);
 
@@ -68,7 +68,7 @@
 fn stalled_reader_blocks_no_writer_and_gets_dropped_line_count() {
     let gate = Gate::default();
     let writer = QueuedWriter::new(gate.clone()).expect("a thread");
-    // One line may be in the hands of the thread, so at least these are dropped.
+    // The thread may hold one line outside the queue, so at least this many are dropped.
     let dropped = 100;
     for i in 0..=QUEUE_CAPACITY + dropped {
         write(&writer, &format!("line {i}"));
--- a/crates/kelpworks-cli/src/main.rs
+++ b/crates/kelpworks-cli/src/main.rs
@@ -1,8 +1,8 @@
 //! The command line of kelpworks.
 //!
-//! One binary serves and is driven: `serve` runs a daemon, the other commands
-//! check files and change what the fleet runs by. Results go to standard
-//! output, progress and errors to standard error.
+//! `serve` and `relay` run a daemon; the other commands check files, change the fleet's register
+//! and rules, and show its status. Results go to standard output, progress and errors to standard
+//! error.
 //!
 //! Exit codes: 0 done; 1 the outcome failed (a conflict, a daemon that lags,
 //! an outage); 2 bad input, and nothing was applied.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Runs a command to its end.
+/// Runs a command to completion.
 fn run(command: Command) -> Result<()> {
     match command {
         Command::Help => {
--- a/crates/kelpworks-cli/src/relay.rs
+++ b/crates/kelpworks-cli/src/relay.rs
@@ -17,7 +17,8 @@
 
 /// Runs a relaying daemon until it is stopped.
 ///
-/// One thread: its hosts have one core, on which a second thread only adds switches.
+/// Uses one thread: the hosts of relaying daemons have one core, where a second thread only adds
+/// context switches.
 pub(crate) fn run(file: &Path) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/kelpworks-cli/src/rollout.rs
+++ b/crates/kelpworks-cli/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Waits until a generation is in force on every daemon.
+//! Waits until a generation is in force on every daemon that is not down.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,13 @@
 use kelpworks::status::Status;
 use kelpworks::status::fetch;
 
-/// Pause between two questions.
+/// Pause between two status queries.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time for one answer.
+/// Timeout of one status query.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks the daemons in order; the first that answers tells of all.
+/// Queries daemons in order and returns the first status, which covers the whole fleet. When none
+/// answers, returns the last error; when `operators` is empty, `None`.
 pub(crate) async fn fetch_status(operators: &[SocketAddr]) -> Option<StatusResult<Status>> {
     let mut last = None;
     for &address in operators {
@@ -29,12 +30,13 @@
     last
 }
 
-/// Waits, with progress, until every daemon has the generation.
+/// Waits until every daemon that is not down has the generation in force, and prints progress to
+/// standard error. Does not wait when `operators` is empty or `time` is zero.
 ///
 /// # Errors
 ///
-/// [`Failure::Lagging`] names those that do not have it in time; [`Failure::NoAnswer`] when no
-/// daemon could be asked. The change is accepted all the same.
+/// [`Failure::Lagging`] names the daemons that do not have it in time; [`Failure::NoAnswer`] when
+/// no daemon answers. The change stays accepted in both cases.
 pub(crate) async fn wait(generation: u64, operators: &[SocketAddr], time: Duration) -> Result<()> {
     if operators.is_empty() || time.is_zero() {
         eprintln!("not waiting until generation {generation} is in force");
@@ -63,7 +65,8 @@
     }
 }
 
-/// The failure that the wait would end in now; `None` when the generation is in force.
+/// Returns [`Failure::Lagging`] with the daemons that lack the generation; `None` when it is in
+/// force.
 fn lagging(status: &Status, generation: u64) -> Option<Failure> {
     let names = status.lagging(generation);
     if names.is_empty() {
@@ -75,7 +78,7 @@
     })
 }
 
-/// Shows progress when it differs from what was shown last.
+/// Prints progress when it differs from the line printed last.
 fn print_if_changed(last_printed: &mut Option<String>, failure: &Failure) {
     let line = failure.to_string();
     if last_printed.as_ref() != Some(&line) {
--- a/crates/kelpworks-cli/src/serve.rs
+++ b/crates/kelpworks-cli/src/serve.rs
@@ -23,16 +23,17 @@
 /// Where the log goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Output {
-    /// To standard error: standard output carries the addresses that the daemon got.
+    /// Standard error; standard output carries the addresses that the daemon listens on.
     Stderr,
-    /// To standard output, by a bounded queue.
+    /// Standard output, through a bounded queue.
     Stdout,
 }
 
-/// Starts the log; it ends with the handle.
+/// Starts the logger, which stops when the handle is dropped.
 ///
-/// Each line is a JSON object; decisions carry their inputs and reason as fields. The level is for
-/// the code of kelpworks; libraries log warnings only, since their lines would drown the decisions.
+/// Each line is a JSON object; decisions carry their inputs and reason as fields. `level` applies
+/// to the crates of kelpworks; libraries log warnings only, since their lines would outnumber the
+/// decisions.
 pub(crate) fn start_logger(level: &str, output: Output) -> Result<LoggerHandle> {
     let spec = format!(
         "warn, decision={level}, kelpworks={level}, kelpworks_coord={level}, kelpworks_relay={level}"
--- a/crates/kelpworks-cli/src/status.rs
+++ b/crates/kelpworks-cli/src/status.rs
@@ -7,7 +7,7 @@
 use crate::failure::Result;
 use crate::rollout::fetch_status;
 
-/// Shows what the first daemon that answers knows.
+/// Prints the status that the first daemon to answer reports.
 pub(crate) async fn run(query: &StatusQuery) -> Result<()> {
     let settings = match &query.settings {
         Some(file) => Some(read_settings(file)?),
--- a/crates/kelpworks-cli/tests/cli_commands.rs
+++ b/crates/kelpworks-cli/tests/cli_commands.rs
@@ -1,4 +1,4 @@
-//! The real binary: what each command prints, and its exit code.
+//! Output and exit code of each command of the real binary.
 
 mod support;
 
@@ -118,7 +118,7 @@
     assert_snapshot!("dry_run_other", platform.run(&args).await);
 }
 
-/// The wait ends as soon as every daemon that is not held for dead has the generation.
+/// The wait ends as soon as every daemon that is not down has the generation.
 #[rstest]
 #[case::everywhere("wait_everywhere", "60 s", &[NONE_AT_2, SOME_AT_2, SOME_AT_2, ALL_AT_2])]
 #[case::lagging("wait_lagging", "1 ms", &[SOME_AT_2])]
@@ -162,8 +162,8 @@
     assert_snapshot!("status_dead", text.replace(&dead, "[address]"));
 }
 
-/// An address where nothing listens: no test binds to this one of the loopback range, so that no
-/// other test can take its port.
+/// Returns an address where nothing listens. No test binds to this address of the loopback range,
+/// so no other test can take its port.
 fn closed_address() -> String {
     "127.99.98.97:9".to_owned()
 }
--- a/crates/kelpworks-cli/tests/cli_faults.rs
+++ b/crates/kelpworks-cli/tests/cli_faults.rs
@@ -1,4 +1,4 @@
-//! Operators' processes before an object API that fails, and in races with one another.
+//! Operators' commands while the object API fails, and commands that run concurrently.
 
 mod support;
 
@@ -21,7 +21,7 @@
 const PUT_BLOB: &str = "PUT /objects/kelpworks.blob";
 const GET_BLOB: &str = "GET /objects/kelpworks.blob";
 
-/// A platform with Aralsky's register, at generation 1.
+/// Starts a platform with the register of the `aralsky` example, at generation 1.
 async fn platform_with_register() -> Platform {
     let platform = Platform::start().await;
     let import = platform
@@ -31,7 +31,7 @@
     platform
 }
 
-/// One fault on one call, and the change is accepted all the same, exactly once.
+/// A change is accepted exactly once although one call to the object API fails.
 #[rstest]
 #[case::swap_lost_after(FaultKind::ResetAfter, PUT_HEAD)]
 #[case::swap_lost_before(FaultKind::ResetBefore, PUT_HEAD)]
@@ -54,11 +54,15 @@
         .run(&["rules", "apply", "aralsky/rules.toml"])
         .await;
     assert_snapshot!("one_fault", text);
-    assert_eq!(platform.object_api.faults().list(), [], "the fault struck");
+    assert_eq!(
+        platform.object_api.faults().list(),
+        [],
+        "the fault was triggered"
+    );
     assert_eq!(platform.head().map(|h| h.generation.0), Some(2));
 }
 
-/// The head is read as it stood one change ago, from a replica that lags.
+/// The head is read from a lagging replica, as it was one change ago.
 #[tokio::test]
 async fn change_is_accepted_despite_a_stale_read() {
     let platform = platform_with_register().await;
@@ -73,8 +77,8 @@
         .await;
     assert_snapshot!("stale_read", text);
     let head = platform.head().unwrap();
-    assert!(head.generation.0 >= 2, "never back: {head:?}");
-    assert!(head.rules.is_some(), "the rules stay: {head:?}");
+    assert!(head.generation.0 >= 2, "the generation went back: {head:?}");
+    assert!(head.rules.is_some(), "the rules are kept: {head:?}");
 }
 
 #[rstest]
@@ -96,7 +100,7 @@
     assert_eq!(platform.head().map(|h| h.generation.0), Some(1));
 }
 
-/// A file of this test's own, removed when it ends.
+/// A temporary file, removed when dropped.
 struct ScratchFile(PathBuf);
 
 impl ScratchFile {
@@ -118,15 +122,16 @@
     }
 }
 
-/// An example with one of its lines changed.
+/// Returns the text of an example file with the first occurrence of `from` replaced.
 fn modified_example(file: &str, from: &str, to: &str) -> String {
     let text = fs::read_to_string(testdata().join(file)).unwrap();
     assert!(text.contains(from), "{from} is not in {file}");
     text.replacen(from, to, 1)
 }
 
-/// Six operators at once, three on each part: each is accepted with a generation of its own, or
-/// told of the conflict; what is in force is what the winners wrote.
+/// Six concurrent changes, three of the register and three of the rules: each is accepted with a
+/// generation of its own or reports a conflict, and the generation in force is that of the last
+/// accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn concurrent_changes_are_accepted_once_or_report_a_conflict() {
     let platform = platform_with_register().await;
@@ -158,7 +163,10 @@
         .filter(|r| r.contains("changed meanwhile"))
         .count();
     assert_eq!(accepted + conflicts, reports.len(), "{reports:#?}");
-    assert!(accepted >= 2, "each part has a winner: {reports:#?}");
+    assert!(
+        accepted >= 2,
+        "a change of each part is accepted: {reports:#?}"
+    );
     let head = platform.head().unwrap();
     assert_eq!(head.generation.0, 1 + accepted as u64, "{reports:#?}");
     for generation in 2..=head.generation.0 {
--- a/crates/kelpworks-cli/tests/harness/mod.rs
+++ b/crates/kelpworks-cli/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! Daemons and stand-ins as processes of their own, joined only by loopback sockets.
+//! Runs daemons and fakes as separate processes that communicate over loopback sockets only.
 //!
-//! Signals are real: a test kills or freezes an engine or a daemon. The configuration is put by
+//! Tests send real signals to kill or freeze an engine or a daemon. The configuration is applied by
 //! the commands that operators use.
 
 #![allow(dead_code, reason = "each test file uses a part")]
@@ -40,14 +40,14 @@
 const ANY_PORT: &str = "127.0.0.1:0";
 /// Token of the paying team.
 pub(crate) const PAYING_TOKEN: &str = "frame-paying";
-/// Token of the team on trial.
+/// Token of the trial team.
 pub(crate) const TRIAL_TOKEN: &str = "frame-trial";
-/// Pause between two looks at something that is waited for.
+/// Pause between two polls of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bound on a wait; never what a verdict rests on.
+/// Generous limit on a wait for a condition; no test requires a shorter time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Shape of what runs.
+/// Number and speed of the processes to start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) daemons: usize,
@@ -55,7 +55,7 @@
     pub(crate) replicas: u32,
     /// Time of one iteration of an engine.
     pub(crate) iteration_ms: u32,
-    /// Body of the settings' table of timing.
+    /// Body of the `timing` table of the daemons' settings.
     pub(crate) timing: &'static str,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A directory that goes with the test.
+/// A temporary directory, removed when dropped.
 #[derive(Debug)]
 struct TempDir(PathBuf);
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// A stand-in engine in a process of its own.
+/// A fake engine in a process of its own.
 #[derive(Debug)]
 pub(crate) struct EngineProcess {
     pub(crate) process: Process,
@@ -107,7 +107,7 @@
     pub(crate) addresses: ListenAddresses,
 }
 
-/// Addresses that a daemon prints.
+/// Addresses that a daemon listens on, as it prints them.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub(crate) struct ListenAddresses {
@@ -115,7 +115,7 @@
     pub(crate) operators: String,
 }
 
-/// All processes of a test; fields drop in this order.
+/// All processes of a test. Fields are dropped in declaration order: daemons first.
 #[derive(Debug)]
 pub(crate) struct Harness {
     pub(crate) daemons: Vec<DaemonProcess>,
@@ -179,7 +179,7 @@
         self.daemons.push(DaemonProcess { process, addresses });
     }
 
-    /// Puts the configuration, as an operator does.
+    /// Applies the register and the rules with the commands that operators use.
     fn apply_configuration(&self) {
         let models = std::slice::from_ref(&self.model);
         let register = documents::register(&self.view, models);
@@ -240,7 +240,7 @@
         .await;
     }
 
-    /// Waits, within a bound, until something is so.
+    /// Polls until the condition holds; panics after [`WAIT_TIMEOUT`].
     pub(crate) async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let wait = async {
             while !condition().await {
@@ -248,7 +248,7 @@
             }
         };
         let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
-        assert!(waited.is_ok(), "not within the bound: {what}");
+        assert!(waited.is_ok(), "timed out waiting until {what}");
     }
 
     /// A caller of the paying team at the `n`th daemon.
@@ -256,34 +256,45 @@
         self.caller_of(&self.daemons[n], PAYING_TOKEN)
     }
 
-    /// A caller at a daemon.
+    /// A caller of a daemon that authenticates with `token`.
     pub(crate) fn caller_of(&self, daemon: &DaemonProcess, token: &str) -> Caller {
         let base = format!("http://{}", daemon.addresses.callers);
         Caller::new(&base, token, MODEL)
     }
 
-    /// Status of `/readyz` at the `n`th daemon; `None` when it does not answer.
+    /// Returns the status of `/readyz` at the `n`th daemon; `None` when it does not answer.
     pub(crate) async fn readyz_status(&self, n: usize) -> Option<u16> {
         let url = format!("http://{}/readyz", self.daemons[n].addresses.operators);
         let answer = self.client.get(&url).send().await.ok()?;
         Some(answer.status().as_u16())
     }
 
-    /// What an engine ran.
+    /// Returns the fake engine's record of the positions that it ran.
     pub(crate) async fn ledger(&self, engine: usize) -> LedgerView {
         let url = format!("{}/fake/ledger", self.engines[engine].view.url);
-        let answer = self.client.get(url).send().await.expect("the engine lives");
+        let answer = self
+            .client
+            .get(url)
+            .send()
+            .await
+            .expect("the engine answers");
         answer.json().await.expect("a ledger")
     }
 
-    /// What an engine says of itself.
+    /// Returns the state that an engine reports.
     pub(crate) async fn state(&self, engine: usize) -> EngineState {
         let url = format!("{}/v1/state", self.engines[engine].view.url);
-        let answer = self.client.get(url).send().await.expect("the engine lives");
+        let answer = self
+            .client
+            .get(url)
+            .send()
+            .await
+            .expect("the engine answers");
         answer.json().await.expect("a state")
     }
 
-    /// The engine of this stage that ran most positions of a session.
+    /// Returns the index of the engine that ran most positions of a session, among those whose
+    /// names begin with `stage`.
     pub(crate) async fn engine_of(&self, session: &str, stage: &str) -> usize {
         let mut best = None;
         for (n, engine) in self.engines.iter().enumerate() {
@@ -299,7 +310,7 @@
         n
     }
 
-    /// Sets the host list: all hosts live but those named.
+    /// Publishes the host list: every host is live except those in `leaving`.
     pub(crate) async fn set_host_list(&self, leaving: &[&str]) {
         let host = |name: &str, address: String, domain: &str| HostEntry {
             name: name.to_owned(),
@@ -319,11 +330,11 @@
             .await;
     }
 
-    /// Orders something of a stand-in.
+    /// Posts a control request to a fake.
     pub(crate) async fn control_fake<T: Serialize>(&self, base: &str, what: &str, body: &T) {
         let url = format!("{base}/fake/{what}");
         let answer = self.client.post(url).json(body).send().await;
-        let answer = answer.expect("the stand-in lives");
+        let answer = answer.expect("the fake answers");
         assert!(answer.status().is_success(), "{what}: {}", answer.status());
     }
 }
--- a/crates/kelpworks-cli/tests/harness/process.rs
+++ b/crates/kelpworks-cli/tests/harness/process.rs
@@ -1,4 +1,4 @@
-//! A child process that a test signals, and that ends with the test.
+//! A child process that a test can signal, and that is killed when the test ends.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -17,9 +17,9 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// Bound on a start or an end; never what a verdict rests on.
+/// Generous limit on a start or an exit; no test requires a shorter time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Lines of a log that a failed test shows.
+/// Number of last log lines that a failed test prints.
 const LOG_TAIL_LINES: usize = 30;
 
 /// A running child; killed when dropped.
@@ -45,7 +45,7 @@
         let (tx, rx) = mpsc::channel();
         thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                // After the first line nobody listens; the pipe is read so that it can't fill.
+                // Only the first line is received; the rest is read so that the pipe can't fill.
                 let _ = tx.send(line);
             }
         });
@@ -59,31 +59,34 @@
         process
     }
 
-    /// Sends a signal.
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal).expect("a child that was not waited for can be signalled");
     }
 
-    /// SIGKILL, and waits until it is gone.
+    /// Sends SIGKILL and waits for the process to exit.
     pub(crate) fn kill(&mut self) {
         self.child.kill().expect("a child can be killed");
         self.child.wait().expect("a child can be waited for");
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits for the process to exit by itself.
     pub(crate) fn wait(&mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
-            if let Some(status) = self.child.try_wait().expect("a child can be asked") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("the status of a child can be read")
+            {
                 return status;
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("the process did not end");
+        panic!("the process did not exit");
     }
 
-    /// What it logged so far.
+    /// Returns what the process has written to standard error so far.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/kelpworks-cli/tests/harness/streams.rs
+++ b/crates/kelpworks-cli/tests/harness/streams.rs
@@ -1,4 +1,4 @@
-//! Several streamed answers under way at one daemon.
+//! Several concurrent streamed answers of one daemon.
 
 use futures_util::future::join_all;
 
@@ -7,11 +7,11 @@
 use crate::caller::End;
 use crate::caller::Streamed;
 
-/// Tokens of an answer.
+/// Tokens of each answer.
 pub(crate) const MAX_TOKENS: u32 = 40;
-/// Streams of one set.
+/// Streams that [`Streams::begin`] starts.
 const STREAMS_PER_SET: usize = 6;
-/// Tokens that each stream has seen before the test goes on.
+/// Tokens that are read from each stream before the test goes on.
 const INITIAL_TOKENS: usize = 2;
 
 /// Streams whose prompts begin with the same label.
@@ -21,7 +21,7 @@
     streams: Vec<Streamed>,
 }
 
-/// Their answers.
+/// The answers of [`Streams`].
 #[derive(Debug)]
 pub(crate) struct Answers {
     label: String,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The request of one of them, which is also its session on the engines.
+    /// Returns the request id of the `n`th stream, which is also its session on the engines.
     pub(crate) fn request(&self, n: usize) -> &str {
         &self.streams[n].request
     }
 
-    /// Reads all to their ends.
+    /// Reads every stream to its end.
     pub(crate) async fn rest(self) -> Answers {
         let answers = join_all(self.streams.into_iter().map(Streamed::rest)).await;
         Answers {
@@ -62,12 +62,12 @@
 }
 
 impl Answers {
-    /// The `n`th prompt.
     pub(crate) fn prompt(&self, n: usize) -> String {
         prompt(&self.label, n)
     }
 
-    /// Asserts that all are whole and equal to the model computed directly.
+    /// Asserts that every answer is complete and equals the text that the model gives when it is
+    /// computed directly.
     pub(crate) fn assert_complete(&self, harness: &Harness) {
         for (n, answer) in self.answers.iter().enumerate() {
             let text = harness.model.answer_text(&self.prompt(n), MAX_TOKENS);
--- a/crates/kelpworks-cli/tests/proc_freeze.rs
+++ b/crates/kelpworks-cli/tests/proc_freeze.rs
@@ -1,4 +1,4 @@
-//! Processes frozen under running requests.
+//! Engines and daemons that are frozen (SIGSTOP) while requests run.
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
@@ -10,8 +10,8 @@
 use harness::Shape;
 use harness::streams::Streams;
 
-/// A frozen engine keeps its connections and answers nothing: it is found by the progress
-/// deadline. What it still does when it goes on changes no answer, and it serves again.
+/// A frozen engine keeps its connections open and answers nothing, so the progress deadline
+/// detects it. Work that it finishes after it is resumed changes no answer, and it serves again.
 #[tokio::test]
 async fn frozen_engine_loses_no_answer_and_serves_again_once_resumed() {
     let harness = Harness::start(Shape::default()).await;
@@ -20,7 +20,7 @@
     harness.engines[victim].process.signal(Signal::STOP);
     streams.rest().await.assert_complete(&harness);
     let log = harness.daemons[0].process.log();
-    assert!(log.contains("stage failed"), "the freeze struck a session");
+    assert!(log.contains("stage failed"), "the freeze hit a session");
 
     let thawed = Streams::begin(&harness, 0, "thawed").await;
     harness.engines[victim].process.signal(Signal::CONT);
@@ -36,8 +36,8 @@
         .await;
 }
 
-/// The first stage freezes between its step and the fetch of its output: the next stage, which
-/// waits for that output, is not to blame.
+/// Guards against fault attribution to the wrong engine: when the first stage freezes between its
+/// step and the fetch of its output, the next stage waits for that output without being at fault.
 #[tokio::test]
 async fn frozen_first_stage_loses_no_answer() {
     let harness = Harness::start(Shape::default()).await;
@@ -47,7 +47,7 @@
     streams.rest().await.assert_complete(&harness);
 }
 
-/// A daemon that was paused goes on with its streams where it stood.
+/// A paused daemon continues its streams from where they stopped.
 #[tokio::test]
 async fn paused_daemon_resumes_its_streams() {
     let harness = Harness::start(Shape::default()).await;
--- a/crates/kelpworks-cli/tests/proc_kill.rs
+++ b/crates/kelpworks-cli/tests/proc_kill.rs
@@ -1,4 +1,4 @@
-//! Processes killed under running requests.
+//! Engines and daemons that are killed while requests run.
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The engine is killed while it runs stages of streamed answers: nobody sees it.
+/// Callers notice nothing when an engine is killed while it runs a stage of their streamed answers.
 #[tokio::test]
 async fn killed_engine_loses_no_answer() {
     let mut harness = Harness::start(Shape::default()).await;
@@ -60,7 +60,7 @@
     harness.engines[victim].process.kill();
     streams.rest().await.assert_complete(&harness);
     let log = harness.daemons[0].process.log();
-    assert!(log.contains("stage failed"), "the kill struck a session");
+    assert!(log.contains("stage failed"), "the kill hit a session");
 }
 
 /// Two stages lose a replica at the same time.
@@ -75,7 +75,8 @@
     streams.rest().await.assert_complete(&harness);
 }
 
-/// A daemon is killed: its callers are cut and repeat elsewhere; the others' callers see nothing.
+/// The streams of a killed daemon are cut, and their callers retry at another daemon. Callers of
+/// other daemons notice nothing.
 #[tokio::test]
 async fn killed_daemon_cuts_only_its_own_streams_and_retries_succeed() {
     let shape = Shape {
--- a/crates/kelpworks-cli/tests/proc_leave.rs
+++ b/crates/kelpworks-cli/tests/proc_leave.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave and a platform that is away, under running requests.
+//! Upstreams that leave, and outages of the object API, while requests run.
 
 #[path = "../../kelpworks/tests/caller/mod.rs"]
 mod caller;
@@ -13,18 +13,18 @@
 use harness::streams::Streams;
 use kelpworks_fakes::ApiMode;
 
-/// Who says that an upstream leaves.
+/// Which system announces that an upstream leaves.
 #[derive(Clone, Copy, Debug)]
 enum LeaveSource {
     HostList,
     Itself,
 }
 
-/// Requests sent after the daemon has seen it.
+/// Requests sent once the daemon knows that an engine leaves, or during an outage.
 const LATER_REQUESTS: usize = 8;
 
-/// Once the daemon knows that an engine leaves, the engine gets no new session; the sessions on
-/// it move at a token boundary and end whole.
+/// Once the daemon knows that an engine leaves, the engine gets no new session; the sessions on it
+/// move at a token boundary and complete.
 #[rstest]
 #[case::host_list(LeaveSource::HostList)]
 #[case::itself(LeaveSource::Itself)]
@@ -65,7 +65,7 @@
     streams.rest().await.assert_complete(&harness);
 }
 
-/// The object API is away: requests go on, those under way and new ones.
+/// Requests in flight and new ones are served while the object API is unavailable.
 #[rstest]
 #[case::unavailable(ApiMode::Unavailable)]
 #[case::silent(ApiMode::Silent)]
--- a/crates/kelpworks-cli/tests/proc_stop.rs
+++ b/crates/kelpworks-cli/tests/proc_stop.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// The balancer's check fails first, while requests are still taken; those in flight finish;
-/// then the process ends with success, and the engines hold nothing of it.
+/// The balancer's readiness check fails first, while requests are still accepted. Requests in
+/// flight complete, the process exits with success, and the engines' KV caches are free again.
 #[tokio::test]
 async fn planned_stop_completes_requests_in_flight() {
     let shape = Shape {
@@ -43,7 +43,8 @@
     assert_engine_caches_are_free(&harness).await;
 }
 
-/// A second signal ends the daemon at once; callers get a verdict, not a cut.
+/// A second signal stops the daemon at once; streams end with an error that carries a verdict
+/// instead of being cut.
 #[tokio::test]
 async fn second_signal_stops_at_once_and_reports_verdicts() {
     let shape = Shape {
@@ -70,8 +71,8 @@
     assert_engine_caches_are_free(&harness).await;
 }
 
-/// Requests that outlast the balancer's notice finish all the same; new ones find the address
-/// closed, and nothing of them runs.
+/// Requests that outlast the balancer's notice still complete; new ones find the address closed and
+/// do not run.
 #[tokio::test]
 async fn drain_waits_for_requests_in_flight_and_refuses_new_ones() {
     let shape = Shape {
--- a/crates/kelpworks-cli/tests/relay_entries.rs
+++ b/crates/kelpworks-cli/tests/relay_entries.rs
@@ -1,4 +1,5 @@
-//! Entries of other writers, and upstreams that start again, before separate processes.
+//! Invalid and conflicting registrations, and upstreams that restart, with daemons in separate
+//! processes.
 
 mod relay_site;
 
@@ -14,7 +15,8 @@
 use relay_site::engine::Engine;
 use relay_site::engine::covers_all_layers;
 
-/// Waits until a condition holds, publishing what engines hold as their heartbeats would.
+/// Polls until a condition holds, and meanwhile publishes the engines' entries as their heartbeats
+/// would.
 async fn wait_until(site: &Site, mut holds: impl AsyncFnMut() -> bool) {
     let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
@@ -33,7 +35,7 @@
     stream.is_ok_and(|a| a.status == 200 && a.ids() == [1, 2, 3, 4])
 }
 
-/// One field of a good entry, replaced or (`null`) taken out.
+/// One field of a valid entry is replaced, or removed where the value is `null`.
 #[rstest]
 #[case::no_service("service", Value::Null)]
 #[case::service_is_a_number("service", json!(7))]
@@ -58,7 +60,7 @@
     #[case] value: Value,
 ) {
     let site = Site::start(&format!("off-{field}-{}", value.to_string().len()), 1).await;
-    // A stranger that would be the only one to hold all layers, at an address where nobody listens.
+    // An unknown engine whose entry alone claims all layers, at an address where nothing listens.
     let mut entry = site.engines.all()[0].entry();
     entry["address"] = json!("127.0.0.1:9");
     entry["layers"] = json!({"from": 0, "to": 12, "version": 1});
@@ -67,7 +69,7 @@
         false => entry[field] = value,
     }
     site.store.put("servers", "stranger", entry);
-    // Engines that come later are still seen.
+    // Entries that are written later are still read.
     site.store.put("servers", "s-0", {
         let mut app = site.app.entry();
         app["seq"] = json!(2);
@@ -89,7 +91,7 @@
     );
 }
 
-/// Objects and bytes that are no object of the store, in its lists and watch events.
+/// Lists and watch events of the store contain objects and bytes that can't be parsed as objects.
 #[tokio::test]
 async fn unreadable_objects_do_not_affect_other_objects() {
     let mut site = Site::start("unreadable", 1).await;
@@ -97,7 +99,7 @@
     let nameless = json!({"metadata": {"revision": 3}, "spec": spec});
     let odd = json!({"metadata": {"name": "odd", "revision": "three"}, "spec": spec});
     let text = json!({"metadata": {"name": "text", "revision": 4}, "spec": "\u{0}\u{fffd}"});
-    // By a watch: the first can't be passed over by name, so the daemon lists anew.
+    // In watch events: the first object has no name by which to skip it, so the daemon lists again.
     site.store.put_raw_object("nameless", nameless);
     site.store.put_raw_object("odd", odd);
     site.store.put_raw_object("text", text);
@@ -118,7 +120,7 @@
             site.daemons[0].log()
         );
     }
-    // A daemon that starts reads the whole list.
+    // A starting daemon reads the whole list.
     let address = site.store.address;
     let budget = relay_site::daemon::RetryBudget::default();
     let late = relay_site::daemon::Relay::start("unreadable", 1, address, &site.daemons, &budget);
@@ -127,7 +129,7 @@
     assert!(site.daemons[0].log().contains("can't be read"));
 }
 
-/// A known upstream whose entry turns bad is used no more from then on.
+/// An upstream whose entry becomes invalid is not used until its entry is valid again.
 #[tokio::test]
 async fn entry_that_becomes_invalid_is_no_longer_used() {
     let site = Site::start("turns-bad", 1).await;
@@ -147,8 +149,8 @@
     assert_eq!(warned, 1, "a line for the change, not for each read");
 }
 
-/// Engines that start again under their ids hold nothing until they are ordered anew; the count of
-/// orders that the daemon remembers of the start before is not used.
+/// Engines that restart under their ids have no layers until they get new orders. Guards against a
+/// daemon that uses the order count it remembers from before the restart.
 #[rstest]
 #[case::one(1)]
 #[case::all(4)]
@@ -174,7 +176,7 @@
     );
 }
 
-/// Beside an engine's entry stands that of the one which had its address before.
+/// The store has, beside an engine's entry, that of the engine which had its address before.
 #[tokio::test]
 async fn older_entry_at_the_same_address_is_not_used() {
     let site = Site::start("two-entries", 1).await;
@@ -201,8 +203,8 @@
     );
 }
 
-/// An entry that claims an engine's address, with a later start than the engine's own: the first
-/// request for it is refused by the engine, and none after it.
+/// An entry claims an engine's address with a later start time than the engine's own. The engine
+/// refuses the first request that is meant for the claimant, and the daemon sends no more of them.
 #[tokio::test]
 async fn answer_that_names_another_upstream_determines_the_address_owner() {
     let site = Site::start("settled", 1).await;
@@ -229,8 +231,8 @@
     assert!(refused > 0 && later <= refused + site.engines.all().len());
 }
 
-/// A refusal that a later engine of the path gave, with its own name on it, says nothing of the first
-/// engine's address.
+/// A refusal that a later engine of the path gave under its own name does not show which upstream
+/// owns the first engine's address.
 #[tokio::test]
 async fn refusal_by_a_later_engine_keeps_the_address_owner_of_the_first() {
     let site = Site::start("later-engine", 1).await;
--- a/crates/kelpworks-cli/tests/relay_faults.rs
+++ b/crates/kelpworks-cli/tests/relay_faults.rs
@@ -1,4 +1,4 @@
-//! What callers get while engines, services and the store fail, through separate processes.
+//! Answers of daemons in separate processes while engines, services and the store fail.
 
 mod relay_site;
 
@@ -18,9 +18,9 @@
 use relay_site::engine::covers_all_layers;
 use relay_site::route;
 
-/// Changes of path that engines accepted.
+/// Counter of path changes that engines accepted.
 const REROUTES_METRIC: &str = "kelpworks_reroutes_total{outcome=\"accepted\"}";
-/// Repeats that a daemon has used.
+/// Counter of retries that a daemon has made.
 const RETRIES_METRIC: &str = "kelpworks_repeats_total{outcome=\"taken\"}";
 
 #[rstest]
@@ -71,8 +71,9 @@
     assert!(daemon.counter(REROUTES_METRIC).await > 0);
 }
 
-/// An engine that some paths pass, but none first, while other paths show that the first engines of
-/// these work: without them the daemon can't tell which one stopped.
+/// Returns an engine that is on some paths but first on none, and whose paths begin with engines
+/// that are also on paths without it. Those other paths show that the first engines work; without
+/// them the daemon can't tell which engine stalled.
 fn find_inner_engine(runs: &[Run]) -> Option<String> {
     let mut later = runs.iter().flat_map(|r| &r.path[1..]);
     let is_inner = |engine: &&String| {
@@ -84,7 +85,8 @@
     later.find(is_inner).cloned()
 }
 
-/// Such a stream was once cut off: it was dropped before a repeat was asked for, and refused.
+/// Guards against dropping a stalled stream before its retry is granted: when the retry was
+/// refused, the caller's stream was cut off.
 #[tokio::test]
 async fn stalled_stream_is_kept_when_the_retry_budget_is_empty() {
     let none = RetryBudget {
@@ -100,7 +102,7 @@
     assert_eq!(site.engines.runs().len(), 1);
 }
 
-/// Such a stream was once cut off: the attempt that was to go on was refused.
+/// Guards against cutting a stalled stream off when the attempt that was to resume it is refused.
 #[tokio::test]
 async fn stalled_stream_is_resumed_when_the_next_attempt_is_refused() {
     let one = RetryBudget {
@@ -109,7 +111,8 @@
         slack: 1.2,
     };
     let site = Site::start_with_budget("back", 1, one).await;
-    // Until then the daemon shares the one repeat with others that it assumes.
+    // Until then the daemon shares the single retry of the budget with peers that it assumes to
+    // exist.
     tokio::time::sleep(Duration::from_millis(3_300)).await;
     let pause = Duration::from_millis(900);
     site.engines.inject_fault_everywhere(Fault::Stall(3, pause));
@@ -124,7 +127,7 @@
     );
 }
 
-/// Seen once: requests that found no path used up the repeats that streams needed to go on.
+/// Guards against requests without a path that use up the retries that streams need to resume.
 #[tokio::test]
 async fn request_without_a_path_is_refused_and_consumes_no_retry() {
     let site = Site::start("no-path", 1).await;
@@ -158,7 +161,8 @@
     assert_eq!(answer.retry_after.is_some(), status == 503);
 }
 
-/// Seen once: engines left the registration and worked on, and a third one got the request.
+/// Guards against a third attempt: two engines that had tried a request were deregistered and still
+/// worked on it, and a third one got the request.
 #[tokio::test]
 async fn deregistered_engines_still_count_as_tried() {
     let domains = ["hall-a", "hall-b", "hall-c"];
@@ -208,8 +212,8 @@
     assert_eq!(get_status(cut_off, "/often/x").await, Ok(404));
 }
 
-/// Seen once: the watches of all daemons were lost in an outage, right after a change, and later changes
-/// were missed until those watches had waited for 22 s.
+/// Guards against watches that are lost in an outage right after a change: all daemons missed later
+/// changes until those watches had waited for 22 s.
 #[tokio::test]
 async fn change_after_a_store_outage_takes_effect_without_a_failed_call() {
     let site = Site::start("unanswered", 3).await;
@@ -225,7 +229,7 @@
     };
     put(9, "/second/");
     in_force("/second/x").await;
-    // The change itself ended the watches; the next ones are lost.
+    // The change completed the open watches; the next ones are never answered.
     site.store.set_hanging(true);
     tokio::time::sleep(Duration::from_millis(600)).await;
     site.store.set_hanging(false);
@@ -233,17 +237,17 @@
     in_force("/third/x").await;
 }
 
-/// What a daemon does not know when its first requests come.
+/// What a starting daemon lacks when its first requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Missing {
-    /// The store answers nothing yet.
+    /// The store answers every call with 503.
     Everything,
     /// The store has lost the registrations, and engines have not renewed them yet.
     Registrations,
 }
 
-/// Seen once: all daemons had been killed at once, and callers that came back in the 20 ms before
-/// the store's first answers were refused for good.
+/// Guards against final refusals before the store's first answers: all daemons had been killed at
+/// once, and callers that came back in the 20 ms before those answers were refused for good.
 #[rstest]
 #[case::everything(Missing::Everything)]
 #[case::registrations(Missing::Registrations)]
@@ -294,8 +298,9 @@
     }
 }
 
-/// Seen once: an engine died while the store was down, and its layers were placed nowhere for eight
-/// seconds, since nobody could hold the lease.
+/// Guards against layers that are not placed in a store outage: an engine died while the store was
+/// down, and its layers were placed nowhere for eight seconds, since no daemon could hold the
+/// lease.
 #[tokio::test]
 async fn layers_are_placed_while_the_store_is_down_and_the_lease_holder_is_gone() {
     let mut site = Site::start("stand-in", 3).await;
@@ -326,12 +331,15 @@
 async fn wait_until(check: impl AsyncFn() -> bool) {
     let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !check().await {
-        assert!(tokio::time::Instant::now() < end, "it did not come to pass");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "the condition did not hold in time"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Waits until every daemon has a version of the configuration in force.
+/// Waits until every daemon has this version of the configuration, or a later one, in force.
 async fn wait_until_in_force(site: &Site, version: u64) {
     for daemon in &site.daemons {
         let in_force = async {
@@ -344,8 +352,9 @@
     }
 }
 
-/// A store that comes back from an older copy gives revisions out again: daemons that watch on from one of
-/// these would miss what is written now, and take nothing that looks older than what they hold.
+/// A store that is restored from an older copy reuses revisions. Guards against daemons that keep
+/// watching from a reused revision: they would miss new writes, and reject objects that look older
+/// than those they have.
 #[tokio::test]
 async fn changes_take_effect_after_the_store_is_restored_from_an_older_copy() {
     let site = Site::start("restored", 3).await;
--- a/crates/kelpworks-cli/tests/relay_limits.rs
+++ b/crates/kelpworks-cli/tests/relay_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on requests that upstreams announce, through separate processes.
+//! Request rate limits that upstreams announce, with daemons in separate processes.
 
 mod relay_site;
 
@@ -14,23 +14,23 @@
 use relay_site::engine::Arrival;
 use relay_site::engine::Engine;
 
-/// The limit that an upstream announces, in requests a second.
 const LIMIT_PER_SECOND: f64 = 2.0;
 const LIMIT_HEADER_VALUE: &str = "2.0";
-/// Any span of this length counts.
+/// Length of the sliding window in which arrivals are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 /// Time after the first announcement from which the limit has to hold.
 const GRACE_PERIOD: Duration = Duration::from_secs(3);
-/// Requests in a window that are allowed beyond what the limit allows.
+/// Requests that are allowed in a window on top of the rate.
 const BURST: f64 = 5.0;
-/// How far above its rate a limit may be exceeded.
+/// Factor by which the rate may be exceeded.
 const TOLERANCE: f64 = 1.5;
-/// Time for which callers go on.
+/// Time for which callers send requests.
 const LOAD_DURATION: Duration = Duration::from_secs(9);
 /// Pause of a caller between two requests to a daemon.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The most arrivals in any window that begins at one of them, from a moment on.
+/// Returns the highest number of arrivals in a window that begins with an arrival at or after
+/// `from`.
 fn max_arrivals_per_window(arrivals: &[Arrival], from: Instant) -> usize {
     let times = arrivals.iter().map(|a| a.at);
     let late: Vec<Instant> = times.filter(|&at| at >= from).collect();
@@ -47,7 +47,7 @@
     (TOLERANCE * LIMIT_PER_SECOND * RATE_WINDOW.as_secs_f64() + BURST) as usize
 }
 
-/// Sends a request to each daemon in turn, all the while, and returns the answers.
+/// Sends requests to the daemons in turn for [`LOAD_DURATION`], and returns the answers.
 async fn load<F: Future<Output = Answer> + Send + 'static>(
     site: &Site,
     send: impl Fn(&Relay, String) -> F,
@@ -67,7 +67,7 @@
     answers
 }
 
-/// The engine that takes requests of a failure domain's daemons first.
+/// Returns the engine that was first on most paths.
 fn first_engine(site: &Site) -> Engine {
     let runs = site.engines.runs();
     let count = |e: &Engine| runs.iter().filter(|r| r.first == e.instance).count();
@@ -85,7 +85,7 @@
     async move { send(req).await.expect("an answer") }
 }
 
-/// Guards against daemons that send an engine more requests than it says it takes.
+/// Guards against daemons that together send an engine more requests than its limit allows.
 #[tokio::test]
 async fn engine_gets_no_more_requests_than_its_announced_limit() {
     let site = Site::start("limit-engine", 3).await;
@@ -105,10 +105,14 @@
         max_allowed_arrivals()
     );
     let served = answers.iter().filter(|a| a.status == 200).count();
-    assert_eq!(served, answers.len(), "other engines take what it doesn't");
+    assert_eq!(
+        served,
+        answers.len(),
+        "other engines serve what exceeds the limit"
+    );
 }
 
-/// Guards against daemons that send a plain service more requests than it says it takes.
+/// Guards against daemons that together send a plain service more requests than its limit allows.
 #[tokio::test]
 async fn service_gets_no_more_requests_than_its_announced_limit() {
     let site = Site::start("limit-service", 3).await;
@@ -122,8 +126,8 @@
         "{most} in a window, {} allowed",
         max_allowed_arrivals()
     );
-    let is_promise = |a: &&Answer| a.status == 503 && a.retry_after.is_some();
-    let refused = answers.iter().filter(is_promise).count();
+    let is_refusal = |a: &&Answer| a.status == 503 && a.retry_after.is_some();
+    let refused = answers.iter().filter(is_refusal).count();
     let served = answers.iter().filter(|a| a.status == 200).count();
     assert_eq!(served + refused, answers.len(), "{answers:?}");
 }
--- a/crates/kelpworks-cli/tests/relay_requests.rs
+++ b/crates/kelpworks-cli/tests/relay_requests.rs
@@ -1,4 +1,4 @@
-//! A calm site: every kind of request through separate processes.
+//! Every kind of request to daemons in separate processes, without faults.
 
 mod relay_site;
 
@@ -100,7 +100,10 @@
 async fn wait_until(check: impl AsyncFn() -> bool) {
     let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !check().await {
-        assert!(tokio::time::Instant::now() < end, "it did not come to pass");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "the condition did not hold in time"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/kelpworks-cli/tests/relay_site/daemon.rs
+++ b/crates/kelpworks-cli/tests/relay_site/daemon.rs
@@ -1,4 +1,4 @@
-//! A relaying daemon as a process, and a caller of it.
+//! Relaying daemons as processes, and requests to them.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use super::KEY;
 use super::WAIT_TIMEOUT;
 
-/// The fleet's bound on repeats.
+/// The fleet's retry budget: the `repeats` table of the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     pub(crate) window: &'static str,
@@ -31,7 +31,7 @@
 }
 
 impl Default for RetryBudget {
-    /// A short window, since a daemon has its fixed part only after its first one.
+    /// Uses a short window, since a daemon gets its share of `slack` only after its first window.
     fn default() -> RetryBudget {
         RetryBudget {
             window: "1 s",
@@ -54,7 +54,7 @@
     client: reqwest::Client,
 }
 
-/// What a caller got.
+/// The answer to a caller, read to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -63,7 +63,7 @@
 }
 
 impl Answer {
-    /// Ids of the events of a stream, in the order in which they came.
+    /// Returns the ids of a stream's events in the order of their arrival.
     pub(crate) fn ids(&self) -> Vec<u64> {
         let lines = self.body.lines().filter_map(|l| l.strip_prefix("id: "));
         lines.map(|id| id.parse().expect("a number")).collect()
@@ -114,21 +114,23 @@
         }
     }
 
-    /// Starts the daemon again, once its process has ended.
+    /// Starts the process again after it has exited.
     pub(crate) fn restart(&mut self) {
         let out = File::options().append(true).open(&self.log);
         self.child = spawn(&self.settings, out.expect("a log file"));
     }
 
-    /// Ends the process at once.
+    /// Sends SIGKILL and waits for the process to exit.
     pub(crate) fn kill(&mut self) {
         self.child.kill().expect("a child can be killed");
         self.child.wait().expect("a child can be waited for");
     }
 
-    /// Whether the process has ended.
     pub(crate) fn has_exited(&mut self) -> bool {
-        let status = self.child.try_wait().expect("a child can be asked");
+        let status = self
+            .child
+            .try_wait()
+            .expect("the status of a child can be read");
         status.is_some()
     }
 
@@ -141,22 +143,26 @@
         kill_process(pid, signal).expect("a child that was not waited for can be signalled");
     }
 
-    /// Waits until it has ended; whether it ended well.
+    /// Waits for the process to exit, and returns whether it exited with success.
     pub(crate) async fn wait_for_exit(&mut self) -> bool {
         let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child can be asked") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("the status of a child can be read")
+            {
                 return status.success();
             }
             assert!(
                 tokio::time::Instant::now() < until,
-                "the daemon did not end"
+                "the daemon did not exit"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// A counter of its metrics with these labels; 0 when it has not counted yet.
+    /// Returns a counter of its metrics page, by name and labels; 0 when the page lacks it.
     pub(crate) async fn counter(&self, name: &str) -> u64 {
         let url = format!("http://{}/metrics", self.operators);
         let page = self.client.get(url).send().await.expect("metrics");
@@ -165,7 +171,7 @@
         value.map_or(0, |v| v.trim().parse().expect("a number"))
     }
 
-    /// A request with the team's key.
+    /// Returns a request with the team's key and a deadline of 8 s.
     pub(crate) fn request(&self, method: Method, path: &str, id: &str) -> RequestBuilder {
         let req = self
             .client
@@ -182,7 +188,7 @@
         send(req).await
     }
 
-    /// A stream of so many events.
+    /// Requests a stream of `events` events and reads the whole answer.
     pub(crate) async fn stream(&self, id: &str, events: u64) -> reqwest::Result<Answer> {
         let req = self.stream_request(id, events);
         self.send(req).await
@@ -194,7 +200,7 @@
         req.body(format!("prompt of {id}"))
     }
 
-    /// Reads a stream's first piece, to know that it is under way; the rest comes by the future.
+    /// Starts a stream and waits for its first bytes; the returned future reads the rest.
     pub(crate) async fn start_stream(
         &self,
         id: &str,
@@ -205,12 +211,12 @@
             .timeout(WAIT_TIMEOUT)
             .send()
             .await;
-        let mut pieces = res.expect("an answer").bytes_stream();
-        let first = pieces.next().await.expect("a piece").expect("bytes");
+        let mut chunks = res.expect("an answer").bytes_stream();
+        let first = chunks.next().await.expect("a chunk").expect("bytes");
         async move {
             let mut body = first.to_vec();
-            while let Some(piece) = pieces.next().await {
-                body.extend_from_slice(&piece.expect("the rest of the stream"));
+            while let Some(chunk) = chunks.next().await {
+                body.extend_from_slice(&chunk.expect("the rest of the stream"));
             }
             String::from_utf8(body).expect("text")
         }
@@ -246,8 +252,9 @@
     }
 }
 
-/// Addresses that nobody else takes: an address of the loopback range for each daemon of each test
-/// process. A free port of 127.0.0.1 can be taken by another test before the daemon listens on it.
+/// Returns addresses that no other test uses: each daemon of each test process has its own address
+/// of the loopback range. A free port of 127.0.0.1 can be taken by another test before the daemon
+/// listens on it.
 fn unique_addresses() -> [SocketAddr; 4] {
     static DAEMONS: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
--- a/crates/kelpworks-cli/tests/relay_site/engine.rs
+++ b/crates/kelpworks-cli/tests/relay_site/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that hold layers and pass requests along a path, and a plain service.
+//! Fake engines that load layers and pass requests along a path, and a fake plain service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,26 +34,28 @@
 const STAMP_HEADER: &str = "x-kelpworks-server-stamp";
 const LIMIT_HEADER: &str = "server-limit";
 
-/// What goes wrong, once, with the next request that is first sent to an engine.
+/// A fault that happens once, with the next request for which the engine is first on the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The stream falls silent after so many events, and goes on after this time.
+    /// The stream stalls after this many events, and continues after this time.
     Stall(u64, Duration),
-    /// The connection is closed in the middle of an event after so many.
+    /// The connection is closed after this many events, in place of the next one.
     Cut(u64),
-    /// Silent after so many events, and cut after this time.
+    /// The stream stalls after this many events, and is cut after this time.
     StallThenCut(u64, Duration),
-    /// Refused without having run.
+    /// The request is refused without having run.
     Refuse,
 }
 
-/// A run of a request.
+/// A run of a request. `first` is the instance id of the first engine, `hops` are the layer ranges
+/// of the path with exclusive ends, and `after` is the id of the last event that the caller already
+/// has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Run {
     pub(crate) request: String,
     pub(crate) first: String,
     pub(crate) hops: Vec<(u16, u16)>,
-    /// Incarnations of its path, in order.
+    /// Instance ids of the engines of its path, in order.
     pub(crate) path: Vec<String>,
     pub(crate) after: u64,
     /// When it arrived.
@@ -70,24 +72,24 @@
     address: Mutex<Option<SocketAddr>>,
     loaded_layers: Mutex<Option<(u16, u16)>>,
     orders: AtomicU64,
-    /// When it started, in milliseconds of the Unix epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     started_at_ms: AtomicU64,
     fault: Mutex<Option<Fault>>,
-    /// Streams that it is working on.
+    /// Number of streams that it is working on.
     active_streams: AtomicU64,
-    /// It has stopped: streams that pass it stand still.
+    /// Whether streams whose path includes it make no progress.
     stalled: AtomicBool,
     limit: Limit,
 }
 
-/// A request that arrived, also one that was refused.
+/// A request that arrived, whether it was accepted or refused.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) request: String,
     pub(crate) at: Instant,
 }
 
-/// A limit on requests a second that an upstream announces, and the requests that it got.
+/// A request rate limit that an upstream announces, and the arrivals at it.
 #[derive(Debug, Default)]
 pub(crate) struct Limit {
     announced: Mutex<Option<String>>,
@@ -95,7 +97,7 @@
 }
 
 impl Limit {
-    /// Announces a limit from the next answer on; `None` ends it.
+    /// Announces a limit with every answer from now on; `None` ends it.
     pub(crate) fn announce(&self, per_second: Option<&str>) {
         *self.announced.lock().expect("no panic") = per_second.map(str::to_owned);
     }
@@ -116,7 +118,7 @@
     }
 }
 
-/// A stream that an engine is working on, until dropped.
+/// Counts as an active stream of an engine until dropped.
 struct ActiveStream(Engine);
 
 impl ActiveStream {
@@ -144,12 +146,12 @@
     }
 }
 
-/// All engines, and what they ran.
+/// All engines, and the requests that they ran.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Registry {
     engines: Arc<Mutex<HashMap<SocketAddr, Engine>>>,
     runs: Arc<Mutex<Vec<Run>>>,
-    /// Paths of running requests.
+    /// Paths of requests, by request id.
     paths: Arc<Mutex<HashMap<String, Vec<Part>>>>,
 }
 
@@ -167,34 +169,35 @@
         self.runs.lock().expect("no panic").clear();
     }
 
-    /// The next request of any engine that comes first goes wrong; each engine takes part once.
+    /// Sets a fault at every engine, which happens once at each, with the next request that the
+    /// engine is first to get.
     pub(crate) fn inject_fault_everywhere(&self, fault: Fault) {
         for engine in self.all() {
             engine.set_fault(Some(fault));
         }
     }
 
-    /// Stops an engine.
+    /// Stalls the engine with this instance id.
     pub(crate) fn stall(&self, instance: &str) {
         let all = self.all();
         let mut named = all.iter().filter(|e| e.instance == instance);
         named.next().expect("a known engine").set_stalled(true);
     }
 
-    /// Whether a request's path passes an engine that has stopped.
+    /// Whether a request's path includes a stalled engine.
     fn passes_stalled_engine(&self, request: &str) -> bool {
         let paths = self.paths.lock().expect("no panic");
         let mut parts = paths.get(request).into_iter().flatten();
         parts.any(|(e, _)| e.stalled.load(Ordering::Relaxed))
     }
 
-    /// Streams that engines are working on.
+    /// Returns the number of streams that engines are working on.
     pub(crate) fn active_streams(&self) -> u64 {
         let count = |e: &Engine| e.active_streams.load(Ordering::Relaxed);
         self.all().iter().map(count).sum()
     }
 
-    /// Ends all faults that have not struck.
+    /// Removes all faults that have not happened yet.
     pub(crate) fn clear_faults(&self) {
         for engine in self.all() {
             engine.set_fault(None);
@@ -227,19 +230,19 @@
         engine
     }
 
-    /// Lets others reach it by another address from now on, as that of a link before it.
+    /// Makes others reach it at another address from now on, such as that of a link in front of it.
     pub(crate) fn set_address(&self, registry: &Registry, address: SocketAddr) {
         *self.address.lock().expect("no panic") = Some(address);
         let mut engines = registry.engines.lock().expect("no panic");
         engines.insert(address, self.clone());
     }
 
-    /// Where others reach it.
+    /// Returns the address at which others reach it.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address.lock().expect("no panic").expect("started")
     }
 
-    /// Its entry in the store.
+    /// Returns its entry for the store.
     pub(crate) fn entry(&self) -> Value {
         let address = self.address();
         let layers = match *self.loaded_layers.lock().expect("no panic") {
@@ -254,34 +257,34 @@
         })
     }
 
-    /// Lets streams that pass it stand still, or go on.
+    /// Stalls or resumes the streams whose path includes it.
     pub(crate) fn set_stalled(&self, stalled: bool) {
         self.stalled.store(stalled, Ordering::Relaxed);
     }
 
-    /// Gives its layers up without a word.
+    /// Unloads its layers without a new entry in the store.
     pub(crate) fn unload_layers(&self) {
         *self.loaded_layers.lock().expect("no panic") = None;
     }
 
-    /// Starts again under its id: it holds nothing and has begun no order.
+    /// Simulates a restart under the same id: no layers are loaded, no order has begun, and the
+    /// start time is 60 s later.
     pub(crate) fn restart(&self) {
         *self.loaded_layers.lock().expect("no panic") = None;
         self.orders.store(0, Ordering::Relaxed);
         self.started_at_ms.fetch_add(60_000, Ordering::Relaxed);
     }
 
-    /// Layers that it holds.
+    /// Returns the range of layers that it has loaded, with an exclusive end.
     pub(crate) fn loaded_layers(&self) -> Option<(u16, u16)> {
         *self.loaded_layers.lock().expect("no panic")
     }
 
-    /// Orders that it has begun.
+    /// Returns the number of orders that it has begun.
     pub(crate) fn orders(&self) -> u64 {
         self.orders.load(Ordering::Relaxed)
     }
 
-    /// The limit that it announces.
     pub(crate) fn limit(&self) -> &Limit {
         &self.limit
     }
@@ -342,7 +345,8 @@
         StatusCode::ACCEPTED
     }
 
-    /// The parts of a path, or the address that does not hold its part.
+    /// Returns the parts of a path, or the address of the first engine that has not loaded its
+    /// part.
     fn parts(&self, hops: &str) -> Result<Vec<Part>, String> {
         let mut parts = Vec::new();
         for hop in hops.split(',') {
@@ -435,7 +439,7 @@
     }
 }
 
-/// An event; an error cuts the stream off.
+/// Returns the bytes of an event; an error cuts the stream off.
 async fn event(id: u64, after: u64, fault: Option<Fault>) -> std::io::Result<Bytes> {
     tokio::time::sleep(EVENT_INTERVAL).await;
     match fault {
@@ -483,17 +487,18 @@
     joined && hops.last().is_some_and(|h| h.1 == LAYERS)
 }
 
-/// What goes wrong at the plain service with a request that holds this word in its path.
+/// Path endings that select how the plain service fails: the answer is lost after the run, the
+/// request is refused without having run, or the answer names another request.
 const RESET_SUFFIX: &str = "reset";
 const REFUSE_SUFFIX: &str = "full";
 const FOREIGN_SUFFIX: &str = "foreign";
 
-/// A plain service; the word at the end of a path says how it answers.
+/// A plain service; the end of a request's path selects how it answers.
 #[derive(Clone, Debug)]
 pub(crate) struct App {
     instance: String,
     address: SocketAddr,
-    /// Attempts that ran, by request.
+    /// Number of runs, by request id.
     run_counts: Arc<Mutex<HashMap<String, u32>>>,
     limit: Arc<Limit>,
 }
@@ -523,22 +528,21 @@
         })
     }
 
-    /// Lets others reach it by another address from now on.
+    /// Makes others reach it at another address from now on.
     pub(crate) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Where others reach it.
+    /// Returns the address at which others reach it.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The limit that it announces.
     pub(crate) fn limit(&self) -> &Limit {
         &self.limit
     }
 
-    /// How often a request ran.
+    /// Returns how often a request ran.
     pub(crate) fn run_count(&self, request: &str) -> u32 {
         let run_counts = self.run_counts.lock().expect("no panic");
         run_counts.get(request).copied().unwrap_or(0)
--- a/crates/kelpworks-cli/tests/relay_site/mod.rs
+++ b/crates/kelpworks-cli/tests/relay_site/mod.rs
@@ -30,10 +30,10 @@
 pub(crate) const HOST: &str = "site.example";
 /// Key of the only team.
 pub(crate) const KEY: &str = "key-of-team-a";
-/// Bound on what must happen; never what a verdict rests on.
+/// Generous limit on a wait; no test requires a shorter time.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Serves a router on a free loopback port; ends with the handle's `stop_forceful`.
+/// Serves a router on a free loopback port until the handle's `stop_forceful` is called.
 pub(crate) async fn serve(router: Router) -> (SocketAddr, ServerHandle) {
     let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
     let address = acceptor.holdings()[0].local_addr.clone();
@@ -44,10 +44,10 @@
     (address, handle)
 }
 
-/// The window of the default bound on repeats: daemons have their part once it is over.
+/// Window of the default retry budget; daemons get their share of the budget after the first one.
 const DEFAULT_BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
-/// The configuration of the site.
+/// Returns the site's configuration under this version.
 pub(crate) fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -109,7 +109,7 @@
         Site::start_in_domains(name, daemons, budget, &["hall-a", "hall-b"]).await
     }
 
-    /// As [`Site::start`], with two engines in each of some failure domains.
+    /// Like [`Site::start`], with a retry budget and two engines in each of these failure domains.
     pub(crate) async fn start_in_domains(
         name: &str,
         daemons: usize,
@@ -141,14 +141,14 @@
         site
     }
 
-    /// Publishes what engines hold, as their heartbeats would.
+    /// Publishes the engines' entries, as their heartbeats would.
     pub(crate) fn heartbeat(&self) {
         for engine in self.engines.all() {
             self.store.put("servers", &engine.instance, engine.entry());
         }
     }
 
-    /// Waits until a stream is answered by every daemon.
+    /// Waits until every daemon has answered a stream.
     async fn wait_until_served(&self) {
         let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         for i in 0..self.daemons.len() {
--- a/crates/kelpworks-cli/tests/relay_site/store.rs
+++ b/crates/kelpworks-cli/tests/relay_site/store.rs
@@ -1,4 +1,4 @@
-//! The store: versioned objects, conditional writes, watches.
+//! A fake of the platform's store: versioned objects, conditional writes, watches.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,9 +29,9 @@
 struct State {
     revision: u64,
     objects: BTreeMap<(String, String), (u64, Value)>,
-    /// Changes by revision: kind, object, whether it was deleted.
+    /// Changes: revision, kind, object, whether it was deleted.
     history: Vec<(u64, String, Value, bool)>,
-    /// Upstreams' objects of another writer, as they go into every list, byte by byte.
+    /// Raw upstream objects of another writer, which are put into every list byte for byte.
     foreign: Vec<Vec<u8>>,
 }
 
@@ -40,19 +40,19 @@
     state: Mutex<State>,
     changed: Notify,
     down: AtomicBool,
-    /// Writes are carried out and not answered.
+    /// Writes are carried out, and their replies held back for [`LOST_REPLY_DELAY`].
     drops_replies: AtomicBool,
-    /// Calls are taken and never answered; those taken before are.
+    /// New calls are accepted and never answered; calls accepted before are.
     hanging: AtomicBool,
-    /// Changes up to this revision are forgotten.
+    /// Watches from an earlier revision than this are answered 410, since its history is dropped.
     compacted_revision: AtomicU64,
-    /// How often it came back from an older copy.
+    /// Number of restores from an older copy.
     era: AtomicU64,
-    /// The copy that it comes back from.
+    /// The copy that a restore brings back.
     snapshot: Mutex<State>,
 }
 
-/// How long a reply that is lost is held back: longer than callers wait.
+/// Time for which a lost reply is held back; longer than clients of the store wait.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(5);
 
 /// A running store.
@@ -82,7 +82,7 @@
         super::serve(Router::with_path("objects/{**rest}").goal(handler)).await
     }
 
-    /// Writes an object; writing the same again changes nothing.
+    /// Writes an object; an equal one is not written again and keeps its revision.
     pub(crate) fn put(&self, kind: &str, name: &str, spec: Value) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.put(kind, name, spec);
@@ -90,7 +90,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Writes an upstream's object whose fields are all the writer's own.
+    /// Writes an upstream's object as it is, including its metadata.
     pub(crate) fn put_raw_object(&self, name: &str, object: Value) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.revision += 1;
@@ -103,7 +103,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Puts bytes among the upstreams' objects of every list.
+    /// Adds raw bytes to the upstream objects of every list.
     pub(crate) fn put_bytes(&self, bytes: &[u8]) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.foreign.push(bytes.to_vec());
@@ -122,18 +122,18 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Carries writes out without an answer.
+    /// Makes writes lose their replies; the writes are still carried out.
     pub(crate) fn set_drops_replies(&self, drops: bool) {
         self.inner.drops_replies.store(drops, Ordering::Relaxed);
     }
 
-    /// Takes calls and never answers them, whatever becomes of the store; those taken before are
-    /// answered.
+    /// Makes the store accept calls that it never answers, not even once this is unset; calls
+    /// accepted before are answered.
     pub(crate) fn set_hanging(&self, hanging: bool) {
         self.inner.hanging.store(hanging, Ordering::Relaxed);
     }
 
-    /// Forgets what has changed so far; watches from before it have to list anew.
+    /// Drops the history of changes; watches from an earlier revision have to list again.
     pub(crate) fn compact_history(&self) {
         let mut state = self.inner.state.lock().expect("no panic");
         state.history.clear();
@@ -144,14 +144,14 @@
             .store(revision, Ordering::Relaxed);
     }
 
-    /// Takes a copy of all objects, in place of the one before.
+    /// Takes a copy of all objects, which replaces the previous copy.
     pub(crate) fn take_snapshot(&self) {
         let state = self.inner.state.lock().expect("no panic").clone();
         *self.inner.snapshot.lock().expect("no panic") = state;
     }
 
-    /// Comes back from the copy, in a new era: what was written since is gone, and revisions after it are
-    /// given out again.
+    /// Restores the copy and begins a new era: writes since the copy are lost, and their revisions
+    /// are reused.
     pub(crate) fn restore(&self) {
         let snapshot = self.inner.snapshot.lock().expect("no panic").clone();
         let mut state = self.inner.state.lock().expect("no panic");
@@ -161,7 +161,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Answers 503 to every call, and cuts waiting watches off.
+    /// Makes the store answer 503 to every call, and ends waiting watches.
     pub(crate) fn set_down(&self, down: bool) {
         self.inner.down.store(down, Ordering::Relaxed);
         self.inner.changed.notify_waiters();
@@ -196,7 +196,8 @@
 }
 
 impl Objects {
-    /// The changes after a revision; `None` when it was never given out.
+    /// Waits for changes after a revision and returns them; `None` when the revision was never
+    /// assigned.
     async fn watch(&self, kind: &str, from: u64, wait: Duration) -> Option<Value> {
         let until = tokio::time::Instant::now() + wait;
         loop {
@@ -229,7 +230,7 @@
         json!({ "entries": entries, "truncated": false, "current-rev": state.revision })
     }
 
-    /// A list with the objects of another writer before the others.
+    /// Returns a list with the raw objects of another writer before the others.
     fn with_foreign(&self, list: &Value) -> Vec<u8> {
         let state = self.inner.state.lock().expect("no panic");
         let entries = list["entries"].as_array().expect("a list").iter();
--- a/crates/kelpworks-cli/tests/soak/callers.rs
+++ b/crates/kelpworks-cli/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that go on whatever happens, and check each answer by itself.
+//! Callers that send requests throughout a run and check each answer by itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,16 +20,15 @@
 use crate::relay_site::KEY;
 use crate::site::Soak;
 
-/// How long callers wait for an answer, in milliseconds as they say it.
+/// Deadline that callers send with a request.
 const DEADLINE_MS: &str = "8000";
-/// And how long they do wait, with room for a paused daemon.
+/// Time after which callers abandon a request: the deadline and an allowance for a paused daemon.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
-/// Pause between two requests of a caller.
+/// Range of pauses between two requests of a caller.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// Events of a stream.
 const EVENTS_PER_STREAM: std::ops::Range<u64> = 3..60;
 
-/// What a request was.
+/// Kind of a request: a stream, or a call that may or may not run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Stream,
@@ -39,16 +38,16 @@
     Idempotent,
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     pub(crate) id: String,
     pub(crate) kind: Kind,
-    /// `None` when no head of an answer came.
+    /// `None` when no head of an answer arrived.
     pub(crate) status: Option<StatusCode>,
-    /// Whether it ended with a whole answer.
+    /// Whether the whole answer arrived.
     pub(crate) complete: bool,
-    /// Why it got none.
+    /// The error that ended the request or its answer.
     pub(crate) error: Option<String>,
 }
 
@@ -59,7 +58,7 @@
     daemon: SocketAddr,
     client: Client,
     rng: StdRng,
-    /// Whether only planned work is under way, so that no request may be lost.
+    /// Whether the run has planned work only, so that no request may be lost.
     planned_only: bool,
 }
 
@@ -81,13 +80,13 @@
     }
 }
 
-/// A client that keeps its connections.
+/// Returns a client that reuses its connections.
 pub(crate) fn client() -> Client {
     let client = Client::builder().no_proxy().timeout(CLIENT_TIMEOUT);
     client.build().expect("a client")
 }
 
-/// A request to a daemon.
+/// Returns a request to a daemon with an attempt id, a key and a deadline.
 pub(crate) fn request(
     client: &Client,
     daemon: SocketAddr,
@@ -102,7 +101,7 @@
         .header("x-kelpworks-deadline-ms", DEADLINE_MS)
 }
 
-/// Sends requests until it is told to stop.
+/// Sends requests until `stop` is set.
 pub(crate) async fn run(mut caller: Caller, stop: Arc<AtomicBool>) {
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
@@ -122,7 +121,7 @@
         caller.soak.sent.lock().expect("no panic").push(sent);
         let pause = match connected {
             true => caller.rng.random_range(PAUSE_MS),
-            // The daemon is down; callers try again a little later.
+            // The daemon is down; the caller retries after the longest pause.
             false => PAUSE_MS.end,
         };
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -140,7 +139,8 @@
         }
     }
 
-    /// A call: its answer is that of its own request, whole and signed.
+    /// Sends a call and checks that its answer is that of its own request, complete and with a
+    /// server stamp.
     async fn call(&self, id: &str, kind: Kind) -> Sent {
         let mut sent = self.sent(id, kind);
         let (method, path) = match kind {
@@ -162,7 +162,7 @@
                 let own = format!("{path} for team-a");
                 if body != own || !stamped {
                     self.soak
-                        .record_violation(format!("{id}: signed {stamped}, got `{body}`"));
+                        .record_violation(format!("{id}: server stamp {stamped}, got `{body}`"));
                 }
                 sent.complete = true;
             }
@@ -172,7 +172,8 @@
         sent
     }
 
-    /// A stream: its events come in order from the first, and it ends only after the last.
+    /// Requests a stream and checks that its events arrive in order from the first, and that it
+    /// ends only after the last.
     async fn stream(&mut self, id: &str) -> Sent {
         let mut sent = self.sent(id, Kind::Stream);
         let events = self.rng.random_range(EVENTS_PER_STREAM);
@@ -211,14 +212,14 @@
         if !in_order || !is_end || !stamped {
             let complete = sent.complete;
             self.soak.record_violation(format!(
-                "{id}: of {events} events came {ids:?}, whole {complete}, signed {stamped}"
+                "{id}: got {ids:?} of {events} events, complete {complete}, server stamp {stamped}"
             ));
         }
         sent
     }
 
-    /// Under planned work alone every request that a daemon took gets a whole answer or a refusal
-    /// that says that it has not run.
+    /// Checks, in a run with planned work only, that every request that a daemon accepted gets a
+    /// complete answer or a refusal that says that it has not run.
     fn check_planned(&self, sent: &Sent) {
         if !self.planned_only {
             return;
--- a/crates/kelpworks-cli/tests/soak/checks.rs
+++ b/crates/kelpworks-cli/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Promises that show only over many requests, or at the end.
+//! Checks of guarantees that span many requests, or that are seen at the end of a run only.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,16 +25,16 @@
 use crate::site::Soak;
 use crate::site::version_path;
 
-/// Time between two looks.
+/// Pause between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A promise that a request has not run and never will.
+/// Whether a status guarantees that the request has not run and never will.
 fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Every daemon serves each kind of request, counts as ready, and has the last configuration in
-/// force, some time after nothing is wrong any more.
+/// Waits until every daemon is ready, serves each kind of request, and has the last configuration
+/// in force. Records a violation for a daemon that does not within [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_until_all_serve(soak: &Soak, when: &str) {
     let client = client();
     for i in 0..soak.daemons.len() {
@@ -97,7 +97,8 @@
     }
 }
 
-/// A version that a process has shown in force is never followed by an older one there.
+/// Checks that a process never goes back to an older configuration version than one that it has had
+/// in force.
 pub(crate) async fn watch_versions(soak: Arc<Soak>, i: usize, stop: Arc<AtomicBool>) {
     let client = client();
     let daemon = &soak.daemons[i];
@@ -130,7 +131,7 @@
     }
 }
 
-/// What shows at the end of a run.
+/// Checks what is seen at the end of a run only.
 pub(crate) async fn check_at_end(soak: &Soak) {
     for i in 0..soak.daemons.len() {
         let mut relay = soak.daemons[i].relay.lock().await;
@@ -143,7 +144,7 @@
     check_enough_were_served(soak);
 }
 
-/// What may run once ran once at most, and what was refused did not run.
+/// Checks that non-idempotent requests ran at most once, and refused ones not at all.
 fn check_at_most_once(soak: &Soak) {
     let sent = soak.sent.lock().expect("no panic");
     for sent in sent.iter().filter(|s| s.kind == Kind::NonIdempotent) {
@@ -155,7 +156,7 @@
     }
 }
 
-/// Every stream ran all layers once and in order.
+/// Checks that every stream ran all layers once and in order.
 fn check_layer_order(soak: &Soak) {
     for run in soak.registry.runs() {
         if !covers_all_layers(&run.hops) {
@@ -164,8 +165,8 @@
     }
 }
 
-/// In no window the engines got more arrivals beyond the first of their request than the bound
-/// allows.
+/// Checks that in no window the engines ran more retries, which are all runs of a request after its
+/// first, than the retry budget allows.
 fn check_retry_budget(soak: &Soak) {
     let runs = soak.registry.runs();
     let mut seen: HashMap<&str, u32> = HashMap::new();
@@ -190,13 +191,13 @@
             within(&firsts, from, BUDGET_WINDOW).max(within(&firsts, before, BUDGET_WINDOW));
         let allowed = RETRY_BUDGET.ratio * requests + RETRY_BUDGET.slack;
         if count > allowed {
-            soak.record_violation(format!("{count} repeats in a window, {allowed:.1} allowed"));
+            soak.record_violation(format!("{count} retries in a window, {allowed:.1} allowed"));
             return;
         }
     }
 }
 
-/// A run in which hardly anything is answered would show nothing.
+/// Checks that enough requests were served; otherwise the run would show nothing.
 fn check_enough_were_served(soak: &Soak) {
     let sent = soak.sent.lock().expect("no panic");
     let reached = sent.iter().filter(|s| s.status.is_some()).count();
--- a/crates/kelpworks-cli/tests/soak/faults.rs
+++ b/crates/kelpworks-cli/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Strikes with the faults of a plan, and takes them back.
+//! Injects the faults of a plan, and ends them.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,12 +21,12 @@
 use crate::site::Soak;
 use crate::site::configuration_document;
 
-/// Time for which a store that comes back from a copy is down.
+/// Time for which the store is down during a restore.
 const RESTORE_DOWNTIME: Duration = Duration::from_millis(100);
-/// Time after which operators and engines have written again.
+/// Delay after a restore until operators write again; engines have registered again by then.
 const REWRITE_DELAY: Duration = Duration::from_millis(250);
 
-/// Carries a plan out, and returns once all faults are over.
+/// Runs all steps of a plan, and returns once every fault has ended.
 pub(crate) async fn run_plan(soak: &Arc<Soak>, plan: &Plan) {
     let mut steps = JoinSet::new();
     for step in &plan.steps {
@@ -39,7 +39,7 @@
     clear_faults(soak);
 }
 
-/// Ends what overlapping faults may have left behind.
+/// Clears states that overlapping faults may have left set.
 fn clear_faults(soak: &Soak) {
     soak.store.set_down(false);
     soak.store.set_drops_replies(false);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Takes the store back to a copy. Its operators and the engines write again what they had written.
+/// Restores the store from a copy, after which operators and engines write their objects again.
 async fn restore(soak: &Soak, duration: Duration) {
     let _one_at_a_time = soak.restoring.lock().await;
     soak.store.take_snapshot();
@@ -143,7 +143,7 @@
     }
 }
 
-/// Lets an engine announce a limit for a while.
+/// Makes an engine announce a limit for `duration`.
 async fn announce_limit(soak: &Soak, i: usize, per_second: f64, duration: Duration) {
     let limit = soak.engines[i].engine.limit();
     let from = Instant::now();
@@ -188,8 +188,8 @@
     restart(daemon, &mut relay).await;
 }
 
-/// Starts a daemon and waits until it listens: a signal that comes before a program's first
-/// instructions ends it, whatever the program is.
+/// Starts a daemon again and waits until it listens: a signal that arrives before a program has run
+/// its first instructions ends it, whatever signals the program handles.
 async fn restart(daemon: &Daemon, relay: &mut Relay) {
     relay.restart();
     let until = Instant::now() + WAIT_TIMEOUT;
@@ -199,7 +199,7 @@
     daemon.incarnation.fetch_add(1, Ordering::SeqCst);
 }
 
-/// No daemon ends by itself.
+/// Records a violation if a daemon's process has exited by itself.
 pub(crate) fn check_still_running(soak: &Soak, i: usize, relay: &mut Relay) {
     if relay.has_exited() {
         soak.record_violation(format!("daemon {i} ended by itself; see its log"));
--- a/crates/kelpworks-cli/tests/soak/limits.rs
+++ b/crates/kelpworks-cli/tests/soak/limits.rs
@@ -1,8 +1,8 @@
 //! Checks the aggregate request rate at engines that announce a limit.
 //!
-//! Requests of a daemon are counted once the daemon has received an answer with the limit, except while it is
-//! killed, paused or stopped and for [`GRACE_PERIOD`] afterwards. Windows close to a fault of the engine's link are
-//! skipped: delayed requests arrive in a burst.
+//! Requests of a daemon are counted once the daemon has received an answer with the limit, except
+//! while it is killed, paused or stopped and for [`GRACE_PERIOD`] afterwards. Windows close to a
+//! fault of the engine or its link are skipped: delayed requests arrive in a burst.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,18 +13,18 @@
 use crate::relay_site::engine::Arrival;
 use crate::site::Soak;
 
-/// Any span of this length counts.
+/// Length of the sliding window in which requests are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
-/// Time after the first announcement from which a limit has to be kept, and for which a daemon is excused
-/// after a disturbance.
+/// Time after the first announcement from which a limit has to be kept, and time after a
+/// disturbance for which a daemon's requests are not counted.
 const GRACE_PERIOD: Duration = Duration::from_secs(3);
-/// Time after which a daemon that got an answer has noted its limit.
+/// Time after a request's arrival by which its daemon has applied the limit of the answer.
 const LIMIT_NOTED_AFTER: Duration = Duration::from_secs(1);
-/// How far above its rate a limit may be exceeded, and requests that are allowed besides.
+/// Factor by which the rate may be exceeded; [`BURST`] requests are allowed on top.
 const TOLERANCE: f64 = 1.5;
 const BURST: f64 = 5.0;
 
-/// A limit that was announced, until the moment at which it ended.
+/// A limit, and the period in which it was announced.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnnouncedLimit {
     pub(crate) engine: usize,
@@ -33,14 +33,14 @@
     pub(crate) to: Instant,
 }
 
-/// What is disturbed.
+/// What a fault disturbs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Target {
     Daemon(usize),
     Engine(usize),
 }
 
-/// A fault while it lasts; noted when dropped.
+/// A fault in progress; its period is recorded when dropped.
 pub(crate) struct Disturbance {
     target: Target,
     from: Instant,
@@ -66,7 +66,7 @@
         self.announced.lock().expect("no panic").push(announced);
     }
 
-    /// Notes a fault that bears on limits.
+    /// Begins to record a fault; `None` for a fault that this check does not take into account.
     pub(crate) fn disturb(&self, fault: Fault) -> Option<Disturbance> {
         let target = match fault {
             Fault::Kill(i) | Fault::Pause(i) | Fault::Stop(i) => Target::Daemon(i),
@@ -88,7 +88,7 @@
         of_target.any(|&(_, from_then, ended)| from_then <= to && ended >= from)
     }
 
-    /// Whether a daemon that sent a request is bound by a limit then.
+    /// Whether the daemon that sent a request had to keep the limit when the request arrived.
     fn binds(&self, limit: &AnnouncedLimit, arrival: &Arrival, all: &[Arrival]) -> bool {
         let Some(daemon) = sender(&arrival.request) else {
             return false;
@@ -108,7 +108,8 @@
     }
 }
 
-/// The daemon that a caller sent a request to, by the request's id: `d1-c0-7`, `check-1-0-..` or `v1-7`.
+/// Returns the daemon that a caller sent a request to, by the request's id: `d1-c0-7`,
+/// `check-1-0-..` or `v1-7`.
 fn sender(request: &str) -> Option<usize> {
     let rest = ["check-", "d", "v"]
         .iter()
@@ -116,7 +117,7 @@
     rest.split('-').next()?.parse().ok()
 }
 
-/// No engine got more requests than the limit that it announced allows.
+/// Checks that no engine got more requests than the limit that it announced allows.
 pub(crate) fn check(soak: &Soak) {
     let announced = soak.limits.announced.lock().expect("no panic").clone();
     for limit in announced {
--- a/crates/kelpworks-cli/tests/soak/main.rs
+++ b/crates/kelpworks-cli/tests/soak/main.rs
@@ -1,19 +1,20 @@
 //! A randomized fault soak of relaying daemons as separate processes.
 //!
-//! A seed draws a series of faults that overlap: links in front of the store, the engines and the
-//! plain service are cut, silenced or slowed; daemons are killed, paused, stopped and told to reload;
-//! the store goes down, loses replies, forgets its history and comes back from older copies; engines stop, break streams off,
-//! refuse, leave and limit the requests that they take; configurations change. Callers go on all the while, and what they and the
-//! upstreams see is held against the promises of `docs/PROMISES.md`.
+//! A seed determines a series of overlapping faults: links in front of the store, the engines and
+//! the plain service are cut, silenced or slowed; daemons are killed, paused, stopped and reloaded;
+//! the store goes down, loses replies, drops its history and is restored from older copies; engines
+//! stall, cut streams, refuse requests, deregister and announce rate limits; configurations change.
+//! Callers send requests throughout, and what they and the upstreams see is checked against the
+//! guarantees of `docs/PROMISES.md`.
 //!
-//! CI runs a few seeds. By hand, any number (`docs/SOAK.md`):
+//! CI runs a few seeds. To run any number by hand (`docs/SOAK.md`):
 //!
 //! ```console
 //! $ SOAK_FROM=100 SOAK_SEEDS=50 cargo test --locked -p kelpworks-cli --test soak -- --ignored
 //! ```
 //!
-//! Limits: daemons reach each other directly, since each tells the others its own address; their
-//! time of day is not changed, and nothing they promise rests on it.
+//! Not covered: faults of links between daemons, which reach each other directly at the addresses
+//! that they announce; and changes of their wall clocks, on which no guarantee depends.
 
 #[path = "../relay_site/mod.rs"]
 mod relay_site;
@@ -35,7 +36,7 @@
 /// Daemons of a run in CI.
 const DAEMONS: usize = 3;
 
-/// Plays a seed; the promises that were broken.
+/// Runs the plan of a seed, and returns the violated guarantees.
 async fn run_seed(seed: u64, daemons: usize, length: Duration) -> Vec<String> {
     let plan = Plan::draw(seed, daemons, length);
     let soak = Soak::start(seed, daemons).await;
@@ -62,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-#[ignore = "takes minutes; by hand with seeds of one's own"]
+#[ignore = "takes minutes; run by hand with seeds from the environment"]
 async fn guarantees_hold_for_seeds_from_the_environment() {
     let from = env_number("SOAK_FROM", 1_000);
     let seeds = env_number("SOAK_SEEDS", 50);
--- a/crates/kelpworks-cli/tests/soak/plan.rs
+++ b/crates/kelpworks-cli/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, drawn from its seed.
+//! The faults of a run, drawn at random from its seed.
 
 use std::time::Duration;
 
@@ -14,53 +14,53 @@
 pub(crate) const ENGINES: usize = 6;
 /// Mean time between two faults: most overlap with one or two others.
 const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(350);
-/// One seed in so many draws planned work only: then nothing at all may be lost.
+/// One seed in this many has planned work only; then no request may be lost.
 const PLANNED_ONLY_EVERY: u64 = 4;
-/// One unplanned seed in so many has the store come back from older copies.
+/// One unplanned seed in this many restores the store from older copies.
 const RESTORES_EVERY: u64 = 2;
-/// One unplanned seed in so many has none of its engines announce a limit.
+/// One unplanned seed in this many has no engine announce a limit.
 const NO_LIMITS_EVERY: u64 = 3;
 
-/// Something that goes wrong, or is done on purpose.
+/// A fault, or a planned operation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// The store answers 503.
     StoreDown,
-    /// Writes to the store are carried out and not answered.
+    /// Writes to the store are carried out, but their replies are lost.
     StoreDropsReplies,
-    /// Calls to the store are taken and never answered.
+    /// Calls to the store are accepted and never answered.
     StoreHangs,
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     StoreCompactsHistory,
-    /// The store loses what was written while this lasts, by coming back from a copy.
+    /// The store is restored from a copy of its state at the start of the fault.
     StoreRestored,
     /// The link between a daemon and the store.
     StoreLink(usize, LinkState),
-    /// The link before an engine.
+    /// The link in front of an engine.
     EngineLink(usize, LinkState),
-    /// The link before the plain service.
+    /// The link in front of the plain service.
     AppLink(LinkState),
-    /// All streams that pass an engine stand still.
+    /// All streams whose path includes an engine stall.
     EngineStalls(usize),
-    /// The next stream that an engine takes goes wrong.
+    /// The next stream for which an engine is first on the path fails.
     EngineFails(usize, engine::Fault),
-    /// An engine's registration goes, and comes back.
+    /// An engine's entry is deleted, and written again afterwards.
     EngineDeregisters(usize),
-    /// An engine announces a limit of so many requests a second.
+    /// An engine announces a limit, in requests per second.
     EngineAnnouncesLimit(usize, f64),
     /// A daemon's process is killed and started again.
     Kill(usize),
-    /// A daemon's process stands still.
+    /// A daemon's process is paused (SIGSTOP).
     Pause(usize),
     /// A daemon is stopped as planned, and started again.
     Stop(usize),
-    /// A daemon is told to read its settings again.
+    /// A daemon reloads its settings (SIGHUP).
     Reload(usize),
-    /// Operators write a configuration.
+    /// Operators write a new version of the configuration.
     Configure,
 }
 
-/// A fault, when it strikes, and how long it lasts.
+/// A fault, its start after that of the plan, and its duration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Step {
     pub(crate) at: Duration,
@@ -68,17 +68,17 @@
     pub(crate) fault: Fault,
 }
 
-/// All that happens in a run.
+/// All faults of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) length: Duration,
     pub(crate) steps: Vec<Step>,
-    /// Whether all of it is planned work.
+    /// Whether all steps are planned work.
     pub(crate) planned: bool,
 }
 
 impl Plan {
-    /// The plan of a seed; the same each time.
+    /// Returns the plan of a seed, which is the same each time.
     pub(crate) fn draw(seed: u64, daemons: usize, length: Duration) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
         let planned = seed.is_multiple_of(PLANNED_ONLY_EVERY);
@@ -111,7 +111,7 @@
     }
 }
 
-/// One or two restores, which may follow each other at once.
+/// Returns one or two restores, which may follow each other immediately.
 fn draw_restores(rng: &mut StdRng, length: Duration) -> Vec<Step> {
     let count = rng.random_range(1..=2);
     let mut draw = || Step {
@@ -122,7 +122,7 @@
     (0..count).map(|_| draw()).collect()
 }
 
-/// Limits of one or two engines, long enough to be held against them.
+/// Returns limits of one or two engines, announced for long enough to be checked.
 fn draw_limits(rng: &mut StdRng, length: Duration) -> Vec<Step> {
     let first = rng.random_range(0..ENGINES);
     let count = rng.random_range(1..=2);
--- a/crates/kelpworks-cli/tests/soak/site.rs
+++ b/crates/kelpworks-cli/tests/soak/site.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of a run, and how it is played.
+//! The processes and fakes of a run, and the run itself.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,40 +32,40 @@
 use crate::relay_site::route;
 use crate::relay_site::store::Store;
 
-/// The fleet's bound on repeats.
+/// The fleet's retry budget.
 pub(crate) const RETRY_BUDGET: RetryBudget = RetryBudget {
     window: "2 s",
     ratio: 0.2,
     slack: 60.0,
 };
-/// The same window.
+/// Window of [`RETRY_BUDGET`].
 pub(crate) const BUDGET_WINDOW: Duration = Duration::from_secs(2);
 /// Time between two registrations of engines.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Callers a daemon.
 const CALLERS_PER_DAEMON: usize = 4;
-/// Key that only configurations of even versions hold.
+/// API key that only configurations of even versions contain.
 pub(crate) const EVEN_KEY: &str = "key-of-even-versions";
 
-/// A daemon of a run. Its process is started again under a new number.
+/// A daemon of a run, whose process may be restarted.
 pub(crate) struct Daemon {
     pub(crate) relay: tokio::sync::Mutex<Relay>,
     pub(crate) callers: std::net::SocketAddr,
     pub(crate) readiness: std::net::SocketAddr,
-    /// Rises before a process is ended and again once its successor was started; odd in between.
+    /// Incremented before a process is killed or once it has stopped, and again once its successor
+    /// listens; odd in between.
     pub(crate) incarnation: AtomicU64,
     pub(crate) store: Link,
 }
 
-/// An engine and the link before it.
+/// An engine and the link in front of it.
 pub(crate) struct LinkedEngine {
     pub(crate) engine: Engine,
     pub(crate) link: Link,
-    /// Whether it registers itself.
+    /// Whether its entry is published.
     pub(crate) registers: AtomicBool,
 }
 
-/// A run.
+/// The processes, fakes and records of a run.
 pub(crate) struct Soak {
     pub(crate) store: Store,
     pub(crate) registry: Registry,
@@ -77,16 +77,17 @@
     pub(crate) version: AtomicU64,
     /// Limits that engines announced.
     pub(crate) limits: Limits,
-    /// Held while the store loses writes.
+    /// Held during a restore of the store, so that restores do not overlap.
     pub(crate) restoring: tokio::sync::Mutex<()>,
-    /// What callers sent and got.
+    /// Requests of callers and their outcomes.
     pub(crate) sent: Mutex<Vec<Sent>>,
-    /// Promises that were broken.
+    /// Violated guarantees, each with its time.
     pub(crate) violations: Mutex<Vec<String>>,
     pub(crate) started: Instant,
 }
 
-/// The configuration of a version: its own route, and a key that goes and comes.
+/// Returns the configuration of a version: it has a route of its own, and [`EVEN_KEY`] if it is
+/// even.
 pub(crate) fn configuration_document(version: u64) -> Value {
     let mut document = configuration(version);
     let own = route(
@@ -110,7 +111,7 @@
 }
 
 impl Soak {
-    /// Starts the site of a seed, and waits until every daemon serves.
+    /// Starts the fakes and daemons of a run.
     pub(crate) async fn start(seed: u64, daemons: usize) -> Arc<Soak> {
         let store = Store::start().await;
         store.put("config", "main", configuration_document(3));
@@ -164,7 +165,7 @@
         soak
     }
 
-    /// Publishes what engines hold, as far as they register.
+    /// Publishes the entries of the engines that register themselves.
     fn heartbeat(&self) {
         let all = self.engines.iter();
         for at in all.filter(|at| at.registers.load(Ordering::Relaxed)) {
@@ -173,14 +174,14 @@
         }
     }
 
-    /// Notes a broken promise, with the time.
+    /// Records a violated guarantee, with the time since the start of the run.
     pub(crate) fn record_violation(&self, what: String) {
         let at = self.started.elapsed().as_secs_f64();
         let mut violations = self.violations.lock().expect("no panic");
         violations.push(format!("{at:.3} s: {what}"));
     }
 
-    /// Plays a plan and checks the promises; those that were broken.
+    /// Runs a plan under load, and returns the violated guarantees.
     pub(crate) async fn run(self: &Arc<Soak>, plan: &Plan) -> Vec<String> {
         let mut background = JoinSet::new();
         let soak = Arc::clone(self);
--- a/crates/kelpworks-cli/tests/support/mod.rs
+++ b/crates/kelpworks-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform for the command line: the stand-in object API, and a daemon's status page.
+//! A platform for tests of the command line: a fake object API and a daemon's fake status page.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -21,13 +21,13 @@
 use kelpworks_fakes::ObjectApi;
 use kelpworks_fakes::ObjectApiConfig;
 
-/// Stands for the platform's address in snapshots.
+/// Replaces the platform's address in snapshots.
 const ADDRESS_PLACEHOLDER: &str = "[address]";
 
 /// A platform that serves until the test ends.
 pub(crate) struct Platform {
     pub(crate) object_api: ObjectApi,
-    /// The status page.
+    /// Address of the status page.
     pub(crate) operators: SocketAddr,
     statuses: Arc<Mutex<VecDeque<String>>>,
 }
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Replies of `GET /status`, in order; the last one stays.
+    /// Sets the replies of `GET /status`, in order; the last one is repeated.
     pub(crate) fn set_statuses(&self, statuses: &[&str]) {
         let mut queue = self.statuses.lock().unwrap();
         *queue = statuses.iter().map(ToString::to_string).collect();
     }
 
-    /// The head in force.
+    /// Returns the stored head; `None` before the first change.
     pub(crate) fn head(&self) -> Option<Head> {
         let object = self.object_api.get(HEAD_KIND, HEAD_NAME)?;
         Some(head::parse(&object.body).unwrap())
@@ -64,7 +64,7 @@
         report(&kelpworks(&[args, &rest].concat()).await)
     }
 
-    /// Runs a command against this platform, and waits for daemons so long.
+    /// Runs a command against this platform, with `wait` as the longest wait for daemons.
     pub(crate) async fn run_and_wait(&self, args: &[&str], wait: &str) -> String {
         let operators = self.operators.to_string();
         let rest = ["--operators", &operators, "--wait", wait];
@@ -101,12 +101,12 @@
     command.output().await.unwrap()
 }
 
-/// The directory of the examples.
+/// Returns the directory of the example files.
 pub(crate) fn testdata() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../testdata")
 }
 
-/// Code, standard output and standard error, for a snapshot.
+/// Formats exit code, standard output and standard error for a snapshot.
 pub(crate) fn report(output: &Output) -> String {
     let code = output.status.code().expect("an exit code");
     let out = String::from_utf8_lossy(&output.stdout);
