--- a/crates/kelpworks-cli/src/failure.rs
+++ b/crates/kelpworks-cli/src/failure.rs
@@ -66,7 +66,7 @@
     RelaySettings(#[from] kelpworks_relay::settings::Error),
     /// A client of the platform's store could not be built.
     #[error("store: {0}")]
-    Store(#[from] kelpworks::border::object_api::Error),
+    Store(#[from] kelpworks::clients::object_api::Error),
     /// A client of engines could not be built.
     #[error("engines: {0}")]
     Engines(#[from] reqwest::Error),
--- a/crates/kelpworks-relay/src/daemon.rs
+++ b/crates/kelpworks-relay/src/daemon.rs
@@ -8,8 +8,8 @@
 use std::time::UNIX_EPOCH;
 
 use jsonrpsee::server::ServerHandle;
-use kelpworks::border::object_api::ObjectApi;
-use kelpworks::executor::Hold;
+use kelpworks::clients::object_api::ObjectApi;
+use kelpworks::executor::LeaseHandle;
 use kelpworks::executor::LeaseKeeper;
 use kelpworks_coord::id::Incarnation;
 use kelpworks_coord::id::NodeId;
@@ -219,7 +219,7 @@
         let rpc = peers.listen::<D>().await.map_err(for_whom("peers"))?;
         tokio::spawn(Arc::clone(&peers).run::<D>(stop.clone()));
         let leave = CancellationToken::new();
-        let hold = Arc::new(Hold::new(lease_config(), owner(&settings.name)));
+        let hold = Arc::new(LeaseHandle::new(lease_config(), owner(&settings.name)));
         let keeper = LeaseKeeper::new(clients.lease, Arc::clone(&hold));
         let lease = {
             let peers = Arc::clone(&peers);
--- a/crates/kelpworks-relay/src/follow.rs
+++ b/crates/kelpworks-relay/src/follow.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kelpworks::border::object_api::Error;
-use kelpworks::border::object_api::Object;
-use kelpworks::border::object_api::ObjectApi;
-use kelpworks::border::object_api::Result;
-use kelpworks::border::object_api::WatchEventKind;
+use kelpworks::clients::object_api::Error;
+use kelpworks::clients::object_api::Object;
+use kelpworks::clients::object_api::ObjectApi;
+use kelpworks::clients::object_api::Result;
+use kelpworks::clients::object_api::WatchEventKind;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 use log::info;
@@ -172,7 +172,7 @@
         self.count("given up");
         let age_ms = self.peers.store_age(self.what).as_millis() as u64;
         info!(target: "decision", kind:% = self.what.as_str(), age_ms; "watch overdue, listing anew");
-        self.api.fresh();
+        self.api.reset_connections();
     }
 
     fn failed(&self, state: &mut State, error: &Error) {
@@ -184,7 +184,7 @@
         // A watch would say nothing until its wait is over.
         state.version = None;
         self.peers.store(self.what, false);
-        self.api.fresh();
+        self.api.reset_connections();
     }
 
     /// Counts a call; one that was begun and neither answered nor failed is still waited for.
--- a/crates/kelpworks-relay/src/peers.rs
+++ b/crates/kelpworks-relay/src/peers.rs
@@ -39,7 +39,7 @@
 use jsonrpsee::server::Server;
 use jsonrpsee::server::ServerConfig;
 use jsonrpsee::server::ServerHandle;
-use kelpworks::border::era::Eras;
+use kelpworks::clients::era::Eras;
 use kelpworks::membership::links;
 use kelpworks::membership::links::Links;
 use rand::seq::IndexedRandom;
--- a/crates/kelpworks-relay/src/peers/exchange.rs
+++ b/crates/kelpworks-relay/src/peers/exchange.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use kelpworks::border::era::EraSource;
+use kelpworks::clients::era::EraSource;
 use log::info;
 use tokio::time::Instant;
 
--- a/crates/kelpworks-relay/src/peers/store_tests.rs
+++ b/crates/kelpworks-relay/src/peers/store_tests.rs
@@ -19,17 +19,17 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use kelpworks::border::era::Eras;
-use kelpworks::border::object_api::Condition;
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::Error;
-use kelpworks::border::object_api::Object;
-use kelpworks::border::object_api::ObjectApi;
-use kelpworks::border::object_api::ObjectList;
-use kelpworks::border::object_api::Result;
-use kelpworks::border::object_api::WatchEvent;
-use kelpworks::border::object_api::WatchEventKind;
-use kelpworks::border::object_api::WatchReply;
+use kelpworks::clients::era::Eras;
+use kelpworks::clients::object_api::Condition;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::Error;
+use kelpworks::clients::object_api::Object;
+use kelpworks::clients::object_api::ObjectApi;
+use kelpworks::clients::object_api::ObjectList;
+use kelpworks::clients::object_api::Result;
+use kelpworks::clients::object_api::WatchEvent;
+use kelpworks::clients::object_api::WatchEventKind;
+use kelpworks::clients::object_api::WatchReply;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 use rstest::rstest;
@@ -208,11 +208,11 @@
             let answers = self.store.answers(&self.daemon, begun);
             let is_news = object.version.revision > from;
             if answers && version.revision < from {
-                self.eras.of_answer(Some(version.era))?;
+                self.eras.check_response_era(Some(version.era))?;
                 return Err(Error::Expired);
             }
             if answers && (is_news || begun.elapsed() >= wait) {
-                self.eras.of_answer(Some(version.era))?;
+                self.eras.check_response_era(Some(version.era))?;
                 let kind = WatchEventKind::Put;
                 let event = WatchEvent { kind, object };
                 let events = is_news.then_some(event).into_iter().collect();
@@ -252,7 +252,7 @@
             return Err(Error::Lost);
         }
         let (object, version) = self.store.object(what(kind));
-        self.eras.of_answer(Some(version.era))?;
+        self.eras.check_response_era(Some(version.era))?;
         let items = vec![object];
         Ok(ObjectList { items, version })
     }
@@ -266,7 +266,7 @@
         &self.eras
     }
 
-    fn fresh(&self) {}
+    fn reset_connections(&self) {}
 }
 
 /// Lets a daemon follow both kinds.
--- a/crates/kelpworks-relay/src/peers/tests.rs
+++ b/crates/kelpworks-relay/src/peers/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http::HeaderMap;
-use kelpworks::border::era::Eras;
+use kelpworks::clients::era::Eras;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 use rstest::rstest;
--- a/crates/kelpworks-relay/src/placer.rs
+++ b/crates/kelpworks-relay/src/placer.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
-use kelpworks::executor::Hold;
+use kelpworks::executor::LeaseHandle;
 use kelpworks_coord::lease::Token;
 use log::info;
 use tokio::time::Instant;
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub(crate) struct Placer<E> {
     shared: Arc<Shared>,
-    hold: Arc<Hold>,
+    hold: Arc<LeaseHandle>,
     peers: Arc<Peers>,
     engines: Arc<E>,
     /// Whether this daemon gives orders at present, and by what right.
@@ -112,7 +112,7 @@
     /// A placer that has ordered nothing.
     pub(crate) fn new(
         shared: Arc<Shared>,
-        hold: Arc<Hold>,
+        hold: Arc<LeaseHandle>,
         peers: Arc<Peers>,
         engines: Arc<E>,
     ) -> Placer<E> {
--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -18,7 +18,7 @@
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::Fleet;
 use kelpworks::fleet::Health;
-use kelpworks::fleet::Holding;
+use kelpworks::fleet::LayerAssignment;
 use kelpworks::fleet::LinkCost;
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::ModelView;
@@ -148,7 +148,7 @@
         domain: DomainKey(0),
         health: Health::Live,
         layer_rate: f64::from(slots) / SERVICE.as_secs_f64(),
-        holdings: vec![Holding {
+        layer_assignments: vec![LayerAssignment {
             model: ModelKey(0),
             version: 0,
             layers: LayerRange { first: 0, end: 1 },
@@ -317,7 +317,7 @@
         };
         match daemon.budget.decide(now, &attempt, &mut self.rng) {
             Decision::RetryAt(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
-            Decision::GiveUp(_) => {
+            Decision::Abandon(_) => {
                 self.calls.remove(&id);
             }
         }
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -10,8 +10,8 @@
 use crate::decision::Cuts;
 use crate::fleets;
 use kelpworks::placement;
+use kelpworks::placement::FailureScope;
 use kelpworks::placement::HostKey;
-use kelpworks::placement::Lost;
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
 use kelpworks_coord::facts;
@@ -70,8 +70,8 @@
         );
         let held = cost::memory_of(|| (input.clone(), plan.clone()));
         memory.add(size, held);
-        input.holdings = plan.holdings(&input);
-        let lost = Lost::Host(HostKey(0));
+        input.loaded_ranges = plan.host_ranges(&input);
+        let lost = FailureScope::Host(HostKey(0));
         let seconds = cost::per_call(LEAST, || {
             black_box(placement::repair(&input, &plan, lost));
         });
--- a/crates/kelpworks/examples/measure/decision.rs
+++ b/crates/kelpworks/examples/measure/decision.rs
@@ -17,7 +17,7 @@
 use crate::sim::quantile;
 use crate::sim::spread;
 use crate::table::Table;
-use kelpworks::admission::Ask;
+use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
 use kelpworks::admission::Event;
 use kelpworks::admission::Queue;
@@ -25,7 +25,7 @@
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::Fleet;
 use kelpworks::fleet::Health;
-use kelpworks::fleet::Holding;
+use kelpworks::fleet::LayerAssignment;
 use kelpworks::fleet::LinkCost;
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::ModelView;
@@ -103,7 +103,7 @@
             domain: DomainKey((i / 4 % 4) as u16),
             health: Health::Live,
             layer_rate: [4_000.0, 9_000.0, 20_000.0][i % 3],
-            holdings: vec![Holding {
+            layer_assignments: vec![LayerAssignment {
                 model: ModelKey(0),
                 version: 0,
                 layers,
@@ -163,14 +163,14 @@
         while at < LAYERS {
             let holders = fleet.by_model[0].iter().map(|&key| &fleet.upstreams[key]);
             let fits = holders.filter(|u| {
-                let layers = &u.holdings[0].layers;
+                let layers = &u.layer_assignments[0].layers;
                 layers.first <= at && at < layers.end
             });
             let least = fits.min_by_key(|u| u.counters.reported.load(Ordering::Relaxed));
             let Some(least) = black_box(least) else {
                 return;
             };
-            at = least.holdings[0].layers.end;
+            at = least.layer_assignments[0].layers.end;
         }
     })
 }
@@ -185,7 +185,7 @@
     });
     let mut rng = StdRng::seed_from_u64(seed);
     let mut step = |queue: &mut Queue, at: u64, team: usize| {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             team: &names[team],
             class: Class::Paying,
             weight: 1 + team as u32 % 4,
--- a/crates/kelpworks/examples/measure/fairness.rs
+++ b/crates/kelpworks/examples/measure/fairness.rs
@@ -13,7 +13,7 @@
 use crate::sim::jain;
 use crate::sim::spread;
 use crate::table::Table;
-use kelpworks::admission::Ask;
+use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
 use kelpworks::admission::Event;
 use kelpworks::admission::Queue;
@@ -87,7 +87,7 @@
 
 impl Policy for Fair {
     fn offer(&mut self, now: Duration, id: u64, job: Job) {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             team: &self.names[job.team],
             class: Class::Paying,
             weight: self.weights[job.team],
--- a/crates/kelpworks/examples/measure/fleets.rs
+++ b/crates/kelpworks/examples/measure/fleets.rs
@@ -293,7 +293,7 @@
         hosts,
         models: models.collect(),
         links: links(shape, domains),
-        holdings: Vec::new(),
+        loaded_ranges: Vec::new(),
         weight_rate: Rate(WEIGHT_RATE),
     }
 }
--- a/crates/kelpworks/examples/measure/net.rs
+++ b/crates/kelpworks/examples/measure/net.rs
@@ -621,7 +621,7 @@
         if config.pending.is_some_and(|p| p.attempt == attempt) {
             config.in_force = generation;
             config.pending = None;
-            self.act(at, |node, _| node.on_learned(generation));
+            self.act(at, |node, _| node.on_config_activated(generation));
         }
     }
 
--- a/crates/kelpworks/examples/measure/overload_policy.rs
+++ b/crates/kelpworks/examples/measure/overload_policy.rs
@@ -14,7 +14,7 @@
 use crate::sim::quantile;
 use crate::sim::spread;
 use crate::table::Table;
-use kelpworks::admission::Ask;
+use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
 use kelpworks::admission::Event;
 use kelpworks::admission::Queue;
@@ -66,7 +66,7 @@
 
 impl Policy for Admission {
     fn offer(&mut self, now: Duration, id: u64, class: Class, tokens: u32) -> bool {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             team: if class == Class::Paying {
                 "paying"
             } else {
@@ -110,7 +110,7 @@
         let Some(&ticket) = self.tickets.get(&id) else {
             return false;
         };
-        let refused = self.queue.give_up(now, ticket).is_some();
+        let refused = self.queue.time_out(now, ticket).is_some();
         if refused {
             self.tickets.remove(&id);
             self.ids.remove(&ticket);
@@ -377,8 +377,8 @@
             queues: Default::default(),
             outcome: Outcome::default(),
             patience: (
-                cfg.paying_delay * cfg.patience,
-                cfg.trial_delay * cfg.patience,
+                cfg.paying_delay * cfg.max_wait_factor,
+                cfg.trial_delay * cfg.max_wait_factor,
             ),
         };
         world.run()
--- a/crates/kelpworks/examples/measure/path_policy.rs
+++ b/crates/kelpworks/examples/measure/path_policy.rs
@@ -248,7 +248,8 @@
             end: (stage + 1) * LAYERS / 4,
         };
         let fleet = &self.daemons[daemon];
-        let holds = |key: &&UpstreamKey| fleet.upstreams[**key].holdings[0].layers == layers;
+        let holds =
+            |key: &&UpstreamKey| fleet.upstreams[**key].layer_assignments[0].layers == layers;
         let holders: Vec<UpstreamKey> = self.keys.iter().filter(holds).copied().collect();
         self.turn += 1;
         let rng = &mut self.rng;
@@ -283,7 +284,7 @@
         let fleet = &self.daemons[0];
         let stage = |s: u32| {
             let holds = fleet.upstreams.values();
-            let holds = holds.filter(|u| u.holdings[0].layers.first == s * LAYERS / 4);
+            let holds = holds.filter(|u| u.layer_assignments[0].layers.first == s * LAYERS / 4);
             holds.map(|u| u.layer_rate).sum::<f64>() / f64::from(LAYERS / 4)
         };
         (0..4).map(stage).fold(f64::INFINITY, f64::min)
--- a/crates/kelpworks/examples/measure/placement.rs
+++ b/crates/kelpworks/examples/measure/placement.rs
@@ -18,9 +18,9 @@
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::ModelKey;
 use kelpworks::placement;
+use kelpworks::placement::FailureScope;
 use kelpworks::placement::HostKey;
 use kelpworks::placement::Input;
-use kelpworks::placement::Lost;
 use kelpworks::placement::ModelPlan;
 use kelpworks::placement::Plan;
 
@@ -175,17 +175,17 @@
         .latency
         .push(planned_latency / greedy.latency(&input));
     for lost in losses(&input) {
-        let stands = plan.stands_without(|h| lost.covers(&input, h));
+        let stands = plan.survives_loss_of(|h| lost.covers(&input, h));
         match lost {
-            Lost::Host(_) => samples.hosts.count(stands),
-            Lost::FailureDomain(_) => {
+            FailureScope::Host(_) => samples.hosts.count(stands),
+            FailureScope::FailureDomain(_) => {
                 samples.domains.count(stands);
-                let stands = greedy.stands_without(|h| lost.covers(&input, h));
+                let stands = greedy.survives_loss_of(|h| lost.covers(&input, h));
                 samples.greedy_domains.count(stands);
             }
         }
     }
-    input.holdings = plan.holdings(&input);
+    input.loaded_ranges = plan.host_ranges(&input);
     for lost in losses(&input) {
         sample_loss(samples, &input, &plan, lost);
     }
@@ -202,25 +202,30 @@
 }
 
 /// Every host and every failure domain.
-fn losses(input: &Input) -> Vec<Lost> {
-    let domains = (0..input.domains.len()).map(|d| Lost::FailureDomain(DomainKey(d as u16)));
-    input.host_keys().map(Lost::Host).chain(domains).collect()
+fn losses(input: &Input) -> Vec<FailureScope> {
+    let domains =
+        (0..input.domains.len()).map(|d| FailureScope::FailureDomain(DomainKey(d as u16)));
+    input
+        .host_keys()
+        .map(FailureScope::Host)
+        .chain(domains)
+        .collect()
 }
 
-fn sample_loss(samples: &mut Samples, input: &Input, plan: &Plan, lost: Lost) {
+fn sample_loss(samples: &mut Samples, input: &Input, plan: &Plan, lost: FailureScope) {
     let left = placement::without(input, lost);
     let repaired = timed(&mut samples.repair, || placement::repair(input, plan, lost));
     let mended = repaired.shortfalls.is_empty();
     samples.lacking.count(!mended);
     let moves = match lost {
-        Lost::Host(_) => &mut samples.host_moves,
-        Lost::FailureDomain(_) => &mut samples.domain_moves,
+        FailureScope::Host(_) => &mut samples.host_moves,
+        FailureScope::FailureDomain(_) => &mut samples.domain_moves,
     };
     if mended {
         moves.done += repaired.moves(&left);
         moves.least += least_moves(&left, plan);
     }
-    if mended && matches!(lost, Lost::Host(_)) {
+    if mended && matches!(lost, FailureScope::Host(_)) {
         return;
     }
     let bound = left.bound();
@@ -230,7 +235,7 @@
         samples.still_lacking += 1;
         samples.impossible += usize::from(is_impossible(&left));
     }
-    if let Lost::FailureDomain(_) = lost {
+    if let FailureScope::FailureDomain(_) = lost {
         samples.repaired.push(before);
         samples.improved.push(better.scale(&left) / bound);
         let live = left.hosts.iter().filter(|h| h.live).count();
--- a/crates/kelpworks/examples/measure/placement_baselines.rs
+++ b/crates/kelpworks/examples/measure/placement_baselines.rs
@@ -25,8 +25,8 @@
         scales.fold(f64::INFINITY, f64::min)
     }
 
-    /// As `Plan::stands_without`.
-    pub(crate) fn stands_without(&self, lost: impl Fn(HostKey) -> bool) -> bool {
+    /// As `Plan::survives_loss_of`.
+    pub(crate) fn survives_loss_of(&self, lost: impl Fn(HostKey) -> bool) -> bool {
         self.stages
             .iter()
             .all(|s| s.hosts.iter().any(|&h| !lost(h)))
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -11,13 +11,13 @@
 use crate::stats::min_median_max;
 use crate::table::Table;
 use kelpworks::admission;
-use kelpworks::admission::Ask;
+use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Event;
 use kelpworks::admission::Queue;
 use kelpworks::admission::Ticket;
 use kelpworks::membership::Config;
 use kelpworks::membership::share::Demand;
-use kelpworks::membership::share::part;
+use kelpworks::membership::share::fair_share;
 use kelpworks_wire::Class;
 
 const SEEDS: std::ops::Range<u64> = 1..8;
@@ -232,7 +232,7 @@
             Vec::new()
         });
         let rate = match way {
-            Way::ByDemand => part(RULE, own, &others),
+            Way::ByDemand => fair_share(RULE, own, &others),
             Way::Equal => RULE / (others.len() as f64 + 1.0),
         };
         let now = Duration::from_millis(net.now_ms());
@@ -246,7 +246,7 @@
             let cost = rng.random_range(COST);
             self.pending -= f64::from(cost);
             self.asked += u64::from(cost);
-            let ask = Ask {
+            let ask = AdmissionRequest {
                 team: "trial",
                 class: Class::Trial,
                 weight: 1,
--- a/crates/kelpworks/src/in_force.rs
+++ b/crates/kelpworks/src/active_config.rs
@@ -17,7 +17,7 @@
 
 /// A register and rules of one generation, with what requests look up in them.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// Generation of the configuration head; 0 before the first; only ever rises on a
     /// daemon.
     pub generation: u64,
@@ -40,16 +40,16 @@
     pub weight: u32,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Puts a checked pair in force.
-    pub fn new(generation: u64, register: Register, rules: Rules) -> InForce {
+    pub fn new(generation: u64, register: Register, rules: Rules) -> ActiveConfig {
         let mut by_token = HashMap::new();
         for (at, team) in rules.teams.iter().enumerate() {
             for digest in &team.token_sha256 {
                 by_token.insert(digest.to_ascii_lowercase(), TeamKey(at as u32));
             }
         }
-        InForce {
+        ActiveConfig {
             generation,
             register,
             rules,
--- a/crates/kelpworks/src/admission/config.rs
+++ b/crates/kelpworks/src/admission/config.rs
@@ -23,7 +23,7 @@
     pub trial_delay: Duration,
     /// A request that has waited so many times its longest expected delay is refused. Default 2:
     /// the estimate may be off by as much.
-    pub patience: u32,
+    pub max_wait_factor: u32,
     /// Paying requests in service, and room for trials, at the start. Default 64.
     pub limit: u32,
     /// The least that either falls to. Default 4.
@@ -57,7 +57,7 @@
             team_queue: 256,
             paying_delay: Duration::from_secs(5),
             trial_delay: Duration::from_millis(500),
-            patience: 2,
+            max_wait_factor: 2,
             limit: 64,
             limit_min: 4,
             limit_max: 4096,
--- a/crates/kelpworks/src/admission/mod.rs
+++ b/crates/kelpworks/src/admission/mod.rs
@@ -7,15 +7,15 @@
 //!
 //! ```
 //! use kelpworks::admission::Admission;
-//! use kelpworks::admission::Ask;
+//! use kelpworks::admission::AdmissionRequest;
 //! use kelpworks::admission::Config;
 //! use kelpworks_wire::Class;
 //!
 //! # async fn example() -> Result<(), kelpworks::admission::Refusal> {
 //! let admission = Admission::new(Config::default());
-//! let ask = Ask { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
+//! let ask = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
 //! let permit = admission.admit(ask).await?;
-//! permit.turn().await;
+//! permit.wait_until_resumed().await;
 //! permit.used(80);
 //! # Ok(())
 //! # }
@@ -75,7 +75,7 @@
 
 /// What admission needs to know of a request.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Name of the team.
     pub team: &'a str,
     /// Its class.
@@ -160,7 +160,7 @@
     ///
     /// A refusal at once where the wait would be too long, and later where the estimate of the
     /// wait was wrong; the request has not run.
-    pub async fn admit(&self, ask: Ask<'_>) -> Result<Permit> {
+    pub async fn admit(&self, ask: AdmissionRequest<'_>) -> Result<Permit> {
         let class = ask.class;
         let place = self.shared.offer(&ask)?;
         place.until_admitted(class).await?;
@@ -187,7 +187,7 @@
 impl Permit {
     /// Waits until the next token of this request may run; paying requests never wait here, and
     /// trials at most [`Config::trial_pause`].
-    pub async fn turn(&self) {
+    pub async fn wait_until_resumed(&self) {
         if self.class == Class::Paying {
             return;
         }
@@ -198,7 +198,7 @@
     }
 
     /// Notes the time that one token took over the whole pipeline, without the wait in
-    /// [`Permit::turn`]; the number of requests in service adapts to it.
+    /// [`Permit::wait_until_resumed`]; the number of requests in service adapts to it.
     pub fn observe_token(&self, token: Duration) {
         let class = self.class;
         let shared = &self.place.shared;
@@ -221,7 +221,7 @@
         Instant::now().saturating_duration_since(self.start)
     }
 
-    fn offer(self: &Arc<Shared>, ask: &Ask<'_>) -> Result<Place> {
+    fn offer(self: &Arc<Shared>, ask: &AdmissionRequest<'_>) -> Result<Place> {
         if ask.class == Class::Trial {
             let cost = u64::from(ask.cost);
             self.trial_demand.fetch_add(cost, Ordering::Relaxed);
@@ -270,7 +270,7 @@
 
 impl Place {
     async fn until_admitted(&self, class: Class) -> Result<()> {
-        let patience = self.shared.lock().queue.patience(class);
+        let patience = self.shared.lock().queue.max_wait(class);
         let give_up = tokio::time::sleep(patience);
         tokio::pin!(give_up);
         loop {
@@ -285,7 +285,7 @@
 
     fn give_up(&self) -> Option<Refusal> {
         self.shared
-            .change(|queue, now| queue.give_up(now, self.ticket))
+            .change(|queue, now| queue.time_out(now, self.ticket))
     }
 
     async fn until_may_run(&self) {
--- a/crates/kelpworks/src/admission/queue.rs
+++ b/crates/kelpworks/src/admission/queue.rs
@@ -12,7 +12,7 @@
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 
-use crate::admission::Ask;
+use crate::admission::AdmissionRequest;
 use crate::admission::Refusal;
 use crate::admission::Result;
 use crate::admission::config::Config;
@@ -74,14 +74,14 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use kelpworks::admission::Ask;
+/// use kelpworks::admission::AdmissionRequest;
 /// use kelpworks::admission::Config;
 /// use kelpworks::admission::Event;
 /// use kelpworks::admission::Queue;
 /// use kelpworks_wire::Class;
 ///
 /// let mut queue = Queue::new(Config::default());
-/// let ask = Ask { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
+/// let ask = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
 /// let ticket = queue.offer(Duration::ZERO, &ask)?;
 /// assert_eq!(queue.next_event(), Some(Event::Admitted(ticket)));
 /// queue.finish(Duration::from_secs(1), ticket, None);
@@ -145,7 +145,7 @@
     /// # Errors
     ///
     /// When it would wait too long, or too many wait; it leaves no trace then.
-    pub fn offer(&mut self, now: Duration, ask: &Ask<'_>) -> Result<Ticket> {
+    pub fn offer(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> Result<Ticket> {
         self.tick(now);
         self.check(now, ask)?;
         let ticket = self.entries.insert(Entry {
@@ -178,21 +178,21 @@
         self.dispatch(now);
     }
 
-    /// Ends a request that has waited beyond [`Queue::patience`] and says when to come back.
+    /// Ends a request that has waited beyond [`Queue::max_wait`] and says when to come back.
     /// `None` when it does not wait.
-    pub fn give_up(&mut self, now: Duration, ticket: Ticket) -> Option<Refusal> {
+    pub fn time_out(&mut self, now: Duration, ticket: Ticket) -> Option<Refusal> {
         let entry = self.entries.get(ticket)?;
         let State::Waiting(_) = entry.state else {
             return None;
         };
-        let delay = self.patience(entry.class).as_secs_f64();
+        let delay = self.max_wait(entry.class).as_secs_f64();
         self.finish(now, ticket, None);
         Some(self.refusal(delay, "waited too long"))
     }
 
     /// Longest time that a request of a class waits.
-    pub fn patience(&self, class: Class) -> Duration {
-        self.longest_delay(class) * self.cfg.patience.max(1)
+    pub fn max_wait(&self, class: Class) -> Duration {
+        self.longest_delay(class) * self.cfg.max_wait_factor.max(1)
     }
 
     /// Longest pause of a trial between two tokens, at this moment.
@@ -273,7 +273,7 @@
 
     /// Refuses what would wait too long. The estimate goes by the cost that is served before it,
     /// not by the length of the queue: requests differ a thousandfold in cost.
-    fn check(&mut self, now: Duration, ask: &Ask<'_>) -> Result<()> {
+    fn check(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> Result<()> {
         let delay = self.expected_delay(now, ask);
         let longest = self.longest_delay(ask.class).as_secs_f64();
         if delay > longest {
@@ -291,7 +291,7 @@
     }
 
     /// Expected time that a request would wait, in seconds.
-    fn expected_delay(&mut self, now: Duration, ask: &Ask<'_>) -> f64 {
+    fn expected_delay(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> f64 {
         match ask.class {
             Class::Paying => {
                 let slots = self.limits.paying();
@@ -305,7 +305,7 @@
         }
     }
 
-    fn expected_trial_delay(&mut self, now: Duration, ask: &Ask<'_>) -> f64 {
+    fn expected_trial_delay(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> f64 {
         let slots = self.trial_slots();
         if slots == 0 {
             self.demand.trials_waited = true;
--- a/crates/kelpworks/src/admission/tests.rs
+++ b/crates/kelpworks/src/admission/tests.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::admission::Admission;
-use crate::admission::Ask;
+use crate::admission::AdmissionRequest;
 use crate::admission::Config;
 use crate::admission::Event;
 use crate::admission::Queue;
@@ -41,8 +41,8 @@
     }
 }
 
-fn ask(team: &str, class: Class, cost: u32) -> Ask<'_> {
-    Ask {
+fn ask(team: &str, class: Class, cost: u32) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         team,
         class,
         weight: 1,
@@ -292,20 +292,20 @@
     let admission = Admission::new(single());
     let trial = admission.admit(ask("t", Trial, 1)).await.unwrap();
     let start = Instant::now();
-    trial.turn().await;
+    trial.wait_until_resumed().await;
     assert_eq!(start.elapsed(), ms(0));
     let paying = admission.admit(ask("p", Paying, 1)).await.unwrap();
-    paying.turn().await;
+    paying.wait_until_resumed().await;
     assert_eq!(start.elapsed(), ms(0));
     for _ in 0..4 {
-        trial.turn().await;
+        trial.wait_until_resumed().await;
     }
     assert_eq!(start.elapsed(), ms(1000));
     let resumed = async {
         tokio::time::sleep(ms(10)).await;
         drop(paying);
     };
-    tokio::join!(trial.turn(), resumed);
+    tokio::join!(trial.wait_until_resumed(), resumed);
     assert_eq!(start.elapsed(), ms(1010));
 }
 
--- a/crates/kelpworks/src/claims/drive.rs
+++ b/crates/kelpworks/src/claims/drive.rs
@@ -9,22 +9,22 @@
 use log::info;
 use tokio::sync::oneshot;
 
-use crate::border::object_api;
-use crate::border::object_api::Condition;
-use crate::border::object_api::Object;
-use crate::border::object_api::ObjectApi;
 use crate::claims::CLAIM_KIND;
 use crate::claims::COME_BACK;
 use crate::claims::ClaimKey;
 use crate::claims::Claims;
 use crate::claims::Error;
-use crate::claims::Kept;
+use crate::claims::KeyedReply;
 use crate::claims::Peers;
 use crate::claims::Reply;
 use crate::claims::Result;
 use crate::claims::RunError;
 use crate::claims::WRITES_A_CLAIM;
 use crate::claims::lock;
+use crate::clients::object_api;
+use crate::clients::object_api::Condition;
+use crate::clients::object_api::Object;
+use crate::clients::object_api::ObjectApi;
 use crate::verdict::Verdict;
 use kelpworks_coord::claim::Action;
 use kelpworks_coord::claim::Answer;
@@ -163,7 +163,7 @@
     ) -> object_api::Result<T> {
         let reply = tokio::time::timeout(self.claims.cfg.api_call, call).await;
         reply.unwrap_or_else(|_| {
-            self.claims.api.fresh();
+            self.claims.api.reset_connections();
             Err(object_api::Error::Lost)
         })
     }
@@ -192,7 +192,7 @@
     /// How the call ended, when it was let run.
     ran: Option<std::result::Result<Reply, RunError<E>>>,
     /// `None` once the caller has its answer.
-    tx: Option<oneshot::Sender<Result<Kept, E>>>,
+    tx: Option<oneshot::Sender<Result<KeyedReply, E>>>,
 }
 
 impl<A, P, F, Fut, E> Drive<A, P, F, E>
@@ -207,7 +207,7 @@
         key: ClaimKey,
         deadline: Instant,
         run: F,
-        tx: oneshot::Sender<Result<Kept, E>>,
+        tx: oneshot::Sender<Result<KeyedReply, E>>,
     ) -> Drive<A, P, F, E> {
         let nonce = Nonce(rand::random());
         let req = Request {
@@ -291,13 +291,13 @@
         };
         let retry_after = COME_BACK;
         let result = match (self.ran.take(), answer) {
-            (Some(Ok(reply)), _) => Ok(Kept {
+            (Some(Ok(reply)), _) => Ok(KeyedReply {
                 reply,
                 replayed: false,
             }),
             (Some(Err(e)), _) => Err(Error::Failed(e)),
             (None, Answer::Completed(outcome)) => match Reply::from_outcome(&outcome) {
-                Some(reply) => Ok(Kept {
+                Some(reply) => Ok(KeyedReply {
                     reply,
                     replayed: true,
                 }),
@@ -319,7 +319,7 @@
     }
 }
 
-fn reason<E>(result: &Result<Kept, E>) -> &'static str {
+fn reason<E>(result: &Result<KeyedReply, E>) -> &'static str {
     match result {
         Ok(kept) if kept.replayed => "recorded outcome",
         Ok(_) => "ran",
--- a/crates/kelpworks/src/claims/mod.rs
+++ b/crates/kelpworks/src/claims/mod.rs
@@ -8,8 +8,8 @@
 //! ```no_run
 //! use std::sync::Arc;
 //!
-//! use kelpworks::border::object_api::Deadlines;
-//! use kelpworks::border::object_api::HttpObjectApi;
+//! use kelpworks::clients::object_api::Deadlines;
+//! use kelpworks::clients::object_api::HttpObjectApi;
 //! use kelpworks::claims::ClaimKey;
 //! use kelpworks::claims::Claims;
 //! use kelpworks::claims::Config;
@@ -52,8 +52,8 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use crate::border::object_api::ObjectApi;
 use crate::claims::drive::Drive;
+use crate::clients::object_api::ObjectApi;
 use crate::verdict::Verdict;
 use kelpworks_coord::budget;
 use kelpworks_coord::budget::Purpose;
@@ -128,7 +128,7 @@
 
 /// An answer to a keyed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct KeyedReply {
     /// The answer.
     pub reply: Reply,
     /// Whether an earlier submission got it first.
@@ -298,7 +298,7 @@
         key: ClaimKey,
         deadline: Instant,
         run: F,
-    ) -> Result<Kept, E>
+    ) -> Result<KeyedReply, E>
     where
         F: FnOnce() -> Fut + Send + 'static,
         Fut: Future<Output = std::result::Result<Reply, RunError<E>>> + Send + 'static,
--- a/crates/kelpworks/src/border/engine.rs
+++ b/crates/kelpworks/src/clients/engine.rs
@@ -1,4 +1,4 @@
-//! Border to the model engines.
+//! Client of the model engines.
 //!
 //! The daemon sends steps, cancels and probes; it reads what an engine says of
 //! itself. Assumed of the other side: a reply echoes what ran, and a step whose
@@ -128,7 +128,7 @@
     ) -> impl Future<Output = Result<EngineState>> + Send;
 }
 
-/// The engine border over HTTP.
+/// The engine client over HTTP.
 #[derive(Debug)]
 pub struct HttpEngine {
     connect_timeout: Duration,
@@ -137,7 +137,7 @@
 }
 
 impl HttpEngine {
-    /// A border whose connections are opened within `connect_timeout`.
+    /// A client whose connections are opened within `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> HttpEngine {
         HttpEngine {
             connect_timeout,
--- a/crates/kelpworks/src/border/era.rs
+++ b/crates/kelpworks/src/clients/era.rs
@@ -7,8 +7,8 @@
 //! of it first.
 //!
 //! ```
-//! use kelpworks::border::era::Eras;
-//! use kelpworks::border::era::EraSource;
+//! use kelpworks::clients::era::Eras;
+//! use kelpworks::clients::era::EraSource;
 //! use kelpworks_coord::id::Era;
 //!
 //! let eras = Eras::default();
@@ -130,7 +130,7 @@
     ///
     /// [`Error::Lost`] when the answer is of an earlier era than the latest, can't be told from one,
     /// or tells an era that is not believed yet.
-    pub fn of_answer(&self, told: Option<Era>) -> Result<Era> {
+    pub fn check_response_era(&self, told: Option<Era>) -> Result<Era> {
         let era = told.unwrap_or(Era::FIRST);
         self.observe(era, EraSource::Answer);
         match era == self.latest() {
--- a/crates/kelpworks/src/border/host_list.rs
+++ b/crates/kelpworks/src/clients/host_list.rs
@@ -1,10 +1,10 @@
 //! The platform's host list: which hosts are live and which are leaving. It lags.
 //!
 //! ```no_run
-//! use kelpworks::border::host_list::HostListApi;
-//! use kelpworks::border::host_list::HttpHostList;
+//! use kelpworks::clients::host_list::HostListApi;
+//! use kelpworks::clients::host_list::HttpHostList;
 //!
-//! # async fn f() -> kelpworks::border::host_list::Result<()> {
+//! # async fn f() -> kelpworks::clients::host_list::Result<()> {
 //! let api = HttpHostList::new("http://10.0.1.2:8000", Default::default())?;
 //! let list = api.hosts().await?;
 //! println!("{} hosts as of version {}", list.hosts.len(), list.version);
@@ -20,9 +20,9 @@
 use reqwest::Url;
 use thiserror::Error;
 
-use super::fresh::FreshClient;
-use super::fresh::Stage;
-use super::fresh::stage_of;
+use super::resettable::ResettableClient;
+use super::resettable::SendStage;
+use super::resettable::send_stage;
 use kelpworks_wire::HostList;
 
 /// The result of this module.
@@ -37,7 +37,7 @@
     #[error("no connection to the host list")]
     NotSent,
     /// Connected, but no whole reply within the deadline. The connection may
-    /// be dead: ask again after [`HostListApi::fresh`].
+    /// be dead: ask again after [`HostListApi::reset_connections`].
     #[error("the host list does not answer")]
     Silent,
     /// It answered with an error or with something else than a list.
@@ -58,7 +58,7 @@
     fn hosts(&self) -> impl Future<Output = Result<HostList>> + Send;
 
     /// Leaves all present connections behind, so that the next call opens a new one.
-    fn fresh(&self);
+    fn reset_connections(&self);
 }
 
 /// Longest times of the calls of [`HttpHostList`].
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct HttpHostList {
     url: Url,
-    client: FreshClient,
+    client: ResettableClient,
     deadlines: Deadlines,
 }
 
@@ -99,7 +99,7 @@
             .map_err(|()| Error::Url)?
             .pop_if_empty()
             .push("hosts");
-        let client = FreshClient::new(deadlines.connect).map_err(|_| Error::Url)?;
+        let client = ResettableClient::new(deadlines.connect).map_err(|_| Error::Url)?;
         Ok(HttpHostList {
             url,
             client,
@@ -112,9 +112,9 @@
     async fn hosts(&self) -> Result<HostList> {
         let req = self.client.get().get(self.url.clone());
         let reply = req.timeout(self.deadlines.call).send().await;
-        let reply = reply.map_err(|e| match stage_of(&e) {
-            Stage::NotSent => Error::NotSent,
-            Stage::Lost => Error::Silent,
+        let reply = reply.map_err(|e| match send_stage(&e) {
+            SendStage::NotSent => Error::NotSent,
+            SendStage::Lost => Error::Silent,
         })?;
         if !reply.status().is_success() {
             return Err(Error::Unavailable);
@@ -125,7 +125,7 @@
         })
     }
 
-    fn fresh(&self) {
-        self.client.fresh();
+    fn reset_connections(&self) {
+        self.client.reset_connections();
     }
 }
--- a/crates/kelpworks/src/border/object_api.rs
+++ b/crates/kelpworks/src/clients/object_api.rs
@@ -1,17 +1,17 @@
 //! The platform's object API: versioned objects, conditional updates and watches.
 //!
-//! [`ObjectApi`] is the border; another format of the API is another
+//! [`ObjectApi`] is the interface; another format of the API is another
 //! implementation. [`HttpObjectApi`] speaks the wire types of `kelpworks-wire`.
 //!
 //! ```no_run
 //! use std::time::Duration;
 //!
-//! use kelpworks::border::object_api::Condition;
-//! use kelpworks::border::object_api::Deadlines;
-//! use kelpworks::border::object_api::HttpObjectApi;
-//! use kelpworks::border::object_api::ObjectApi;
+//! use kelpworks::clients::object_api::Condition;
+//! use kelpworks::clients::object_api::Deadlines;
+//! use kelpworks::clients::object_api::HttpObjectApi;
+//! use kelpworks::clients::object_api::ObjectApi;
 //!
-//! # async fn f() -> kelpworks::border::object_api::Result<()> {
+//! # async fn f() -> kelpworks::clients::object_api::Result<()> {
 //! let api = HttpObjectApi::new("http://10.0.1.1:8000", Deadlines::default())?;
 //! let lease = api.put("kelpworks.lease", "m1", "{}".to_owned(), Condition::Absent).await?;
 //! let changes = api.watch("kelpworks.lease", lease.version, Duration::from_secs(10)).await?;
@@ -34,9 +34,9 @@
 use thiserror::Error;
 
 use super::era::Eras;
-use super::fresh::FreshClient;
-use super::fresh::Stage;
-use super::fresh::stage_of;
+use super::resettable::ResettableClient;
+use super::resettable::SendStage;
+use super::resettable::send_stage;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 use kelpworks_wire::ApiError;
@@ -153,7 +153,7 @@
     #[error("the object API's reply was lost")]
     Lost,
     /// A watch brought neither an event nor a bookmark within its bound. The
-    /// connection may be dead: reopen it after [`ObjectApi::fresh`].
+    /// connection may be dead: reopen it after [`ObjectApi::reset_connections`].
     #[error("the watch of the object API is silent")]
     Silent,
     /// The base URL cannot be used.
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// [`Error::Lost`] in that case.
-    pub fn check_answer(self, era: Era) -> Result<()> {
+    pub fn check_write_era(self, era: Era) -> Result<()> {
         match self {
             Condition::Version(v) if v.era < era => Err(Error::Lost),
             _ => Ok(()),
@@ -281,7 +281,7 @@
     fn eras(&self) -> &Eras;
 
     /// Leaves all present connections behind, so that the next call opens a new one.
-    fn fresh(&self);
+    fn reset_connections(&self);
 }
 
 /// Longest times of the calls of [`HttpObjectApi`].
@@ -309,7 +309,7 @@
 #[derive(Debug)]
 pub struct HttpObjectApi {
     base: Url,
-    client: FreshClient,
+    client: ResettableClient,
     deadlines: Deadlines,
     eras: Eras,
 }
@@ -334,7 +334,7 @@
         if base.cannot_be_a_base() {
             return Err(Error::Url);
         }
-        let client = FreshClient::new(deadlines.connect).map_err(|_| Error::Url)?;
+        let client = ResettableClient::new(deadlines.connect).map_err(|_| Error::Url)?;
         Ok(HttpObjectApi {
             base,
             client,
@@ -378,11 +378,11 @@
 
     /// Sends a request; any status but success is an error.
     async fn send(&self, req: RequestBuilder) -> Result<(reqwest::Response, Era)> {
-        let reply = req.send().await.map_err(|e| match stage_of(&e) {
-            Stage::NotSent => Error::NotSent,
-            Stage::Lost => Error::Lost,
+        let reply = req.send().await.map_err(|e| match send_stage(&e) {
+            SendStage::NotSent => Error::NotSent,
+            SendStage::Lost => Error::Lost,
         })?;
-        let era = self.eras.of_answer(era_of(&reply));
+        let era = self.eras.check_response_era(era_of(&reply));
         if reply.status().is_success() {
             return Ok((reply, era?));
         }
@@ -415,14 +415,14 @@
     ) -> Result<Object> {
         let req = self.on_object(Method::PUT, kind, name, condition)?;
         let (object, era) = self.read_json(req.json(&ObjectBody { body })).await?;
-        condition.check_answer(era)?;
+        condition.check_write_era(era)?;
         Ok(Object::new(object, era))
     }
 
     async fn delete(&self, kind: &str, name: &str, condition: Condition) -> Result<()> {
         let req = self.on_object(Method::DELETE, kind, name, condition)?;
         let (_, era) = self.send(req).await?;
-        condition.check_answer(era)
+        condition.check_write_era(era)
     }
 
     async fn list(&self, kind: &str) -> Result<ObjectList> {
@@ -455,8 +455,8 @@
         &self.eras
     }
 
-    fn fresh(&self) {
-        self.client.fresh();
+    fn reset_connections(&self) {
+        self.client.reset_connections();
     }
 }
 
--- a/crates/kelpworks/src/border/plain_service.rs
+++ b/crates/kelpworks/src/clients/plain_service.rs
@@ -1,7 +1,7 @@
-//! Border to the plain services.
+//! Client of the plain services.
 //!
 //! Assumed of the other side: HTTP, and `GET /healthz` that answers 200 while the service takes
-//! new work and 503 while it is leaving. Whether a call may be sent again is not for this border
+//! new work and 503 while it is leaving. Whether a call may be sent again is not for this client
 //! to say.
 
 use std::future::Future;
@@ -12,9 +12,9 @@
 use reqwest::Method;
 use reqwest::header::HeaderMap;
 
-use crate::border::engine::Error;
-use crate::border::engine::HttpEngine;
-use crate::border::engine::bounded;
+use crate::clients::engine::Error;
+use crate::clients::engine::HttpEngine;
+use crate::clients::engine::bounded;
 
 /// The result of this module. An error says whether the call may have been executed.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/kelpworks/src/border/fresh.rs
+++ b/crates/kelpworks/src/clients/resettable.rs
@@ -1,7 +1,7 @@
 //! An HTTP client whose connections can be given up all at once.
 //!
 //! A connection may go silent for good while new ones work. A caller that
-//! suspects this calls [`FreshClient::fresh`] and asks again: the next request
+//! suspects this calls [`ResettableClient::reset_connections`] and asks again: the next request
 //! opens a new connection, since the pool of the old client is left behind.
 
 use std::time::Duration;
@@ -20,29 +20,29 @@
 
 /// A client with a replaceable pool of connections.
 #[derive(Debug)]
-pub struct FreshClient {
+pub struct ResettableClient {
     client: ArcSwap<Client>,
     connect_timeout: Duration,
 }
 
 /// Where a request got to before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum SendStage {
     /// It could not be built or no connection could be opened: nothing was sent.
     NotSent,
     /// It was sent, in part or whole, and no whole reply came.
     Lost,
 }
 
-impl FreshClient {
+impl ResettableClient {
     /// A client that waits at most `connect_timeout` for a connection.
     ///
     /// # Errors
     ///
     /// When the system's TLS or resolver can't be set up.
-    pub fn new(connect_timeout: Duration) -> reqwest::Result<FreshClient> {
+    pub fn new(connect_timeout: Duration) -> reqwest::Result<ResettableClient> {
         let client = build(connect_timeout)?;
-        Ok(FreshClient {
+        Ok(ResettableClient {
             client: ArcSwap::from_pointee(client),
             connect_timeout,
         })
@@ -54,7 +54,7 @@
     }
 
     /// Leaves all present connections behind; requests under way keep theirs.
-    pub fn fresh(&self) {
+    pub fn reset_connections(&self) {
         match build(self.connect_timeout) {
             Ok(client) => self.client.store(client.into()),
             Err(e) => log::warn!("connections kept: no new client: {e}"),
@@ -63,10 +63,10 @@
 }
 
 /// The stage at which an error of the client struck.
-pub fn stage_of(error: &reqwest::Error) -> Stage {
+pub fn send_stage(error: &reqwest::Error) -> SendStage {
     match error.is_connect() || error.is_builder() {
-        true => Stage::NotSent,
-        false => Stage::Lost,
+        true => SendStage::NotSent,
+        false => SendStage::Lost,
     }
 }
 
--- a/crates/kelpworks/src/config/accept/mod.rs
+++ b/crates/kelpworks/src/config/accept/mod.rs
@@ -7,8 +7,8 @@
 //! of [`kelpworks_coord::head::Swap`]; here are the calls that it asks for.
 //!
 //! ```no_run
-//! use kelpworks::border::object_api::Deadlines;
-//! use kelpworks::border::object_api::HttpObjectApi;
+//! use kelpworks::clients::object_api::Deadlines;
+//! use kelpworks::clients::object_api::HttpObjectApi;
 //! use kelpworks::config::accept::Proposal;
 //! use kelpworks::config::accept::RetryPolicy;
 //! use kelpworks::config::accept::Which;
@@ -34,8 +34,8 @@
 use tokio::time::Instant;
 
 use self::store::Store;
-use crate::border::object_api;
-use crate::border::object_api::ObjectApi;
+use crate::clients::object_api;
+use crate::clients::object_api::ObjectApi;
 use crate::config::diff::Diff;
 use crate::config::document;
 use crate::config::file_kind::FileKind;
@@ -220,7 +220,7 @@
             // the time on a tick only, so past the end a tick goes in place of another call.
             event = match swap.on_event(now(), event).pop() {
                 Some(SwapAction::Done(outcome)) => return Ok(outcome),
-                Some(_) if started.elapsed() >= self.store.retry.give_up => SwapEvent::Tick,
+                Some(_) if started.elapsed() >= self.store.retry.timeout => SwapEvent::Tick,
                 Some(action) => self.act(action).await?,
                 None => {
                     self.store.retry.pause().await;
@@ -234,7 +234,7 @@
         let retry = self.store.retry;
         head::Config {
             retry: time::Span::from_millis(millis(retry.pause)),
-            give_up: time::Span::from_millis(millis(retry.give_up)),
+            give_up: time::Span::from_millis(millis(retry.timeout)),
         }
     }
 
--- a/crates/kelpworks/src/config/accept/store.rs
+++ b/crates/kelpworks/src/config/accept/store.rs
@@ -6,10 +6,10 @@
 
 use super::Error;
 use super::Result;
-use crate::border::object_api;
-use crate::border::object_api::Condition;
-use crate::border::object_api::Object;
-use crate::border::object_api::ObjectApi;
+use crate::clients::object_api;
+use crate::clients::object_api::Condition;
+use crate::clients::object_api::Object;
+use crate::clients::object_api::ObjectApi;
 use crate::config::head::BLOB_KIND;
 use crate::config::head::HEAD_KIND;
 use crate::config::head::HEAD_NAME;
@@ -30,7 +30,7 @@
     /// Pause before a repetition, at least; up to twice as long. Default 200 ms.
     pub pause: Duration,
     /// Longest time for a whole change. Default 15 s.
-    pub give_up: Duration,
+    pub timeout: Duration,
 }
 
 impl Default for RetryPolicy {
@@ -38,7 +38,7 @@
         RetryPolicy {
             attempts: 6,
             pause: Duration::from_millis(200),
-            give_up: Duration::from_secs(15),
+            timeout: Duration::from_secs(15),
         }
     }
 }
@@ -193,7 +193,7 @@
     /// Notes an error, and leaves a connection behind that may be dead.
     fn failed(&mut self, error: object_api::Error) {
         if error == object_api::Error::Lost {
-            self.api.fresh();
+            self.api.reset_connections();
         }
         self.last = error;
     }
--- a/crates/kelpworks/src/daemon/control.rs
+++ b/crates/kelpworks/src/daemon/control.rs
@@ -9,17 +9,17 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use crate::active_config::ActiveConfig;
 use crate::admission::Admission;
-use crate::border::host_list;
-use crate::border::host_list::HttpHostList;
-use crate::border::object_api;
-use crate::border::object_api::HttpObjectApi;
-use crate::border::object_api::ObjectApi;
+use crate::clients::host_list;
+use crate::clients::host_list::HttpHostList;
+use crate::clients::object_api;
+use crate::clients::object_api::HttpObjectApi;
+use crate::clients::object_api::ObjectApi;
 use crate::daemon::Result;
 use crate::daemon::follow::Follower;
 use crate::daemon::head_watch::HeadWatch;
 use crate::daemon::hosts::HostWatch;
-use crate::in_force::InForce;
 use crate::membership::Directory;
 use crate::membership::Peers;
 use crate::membership::PeersConfig;
@@ -30,7 +30,7 @@
 use crate::quarantine::Quarantine;
 use crate::register::Register;
 use crate::settings::Settings;
-use crate::upstreams::Keeper;
+use crate::upstreams::UpstreamMonitor;
 use kelpworks_coord::id::Version;
 
 /// Longest wait for the tasks to end.
@@ -39,9 +39,9 @@
 /// What the control parts share with the request path.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    pub(crate) config: Arc<ArcSwap<InForce>>,
+    pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
     pub(crate) register: watch::Sender<Arc<Register>>,
-    pub(crate) keeper: Keeper,
+    pub(crate) upstream_monitor: UpstreamMonitor,
     pub(crate) admission: Admission,
     pub(crate) quarantine: Arc<Quarantine>,
 }
@@ -90,7 +90,7 @@
         &self,
         settings: &Settings,
         shared: Shared,
-        from_peers: mpsc::UnboundedReceiver<crate::membership::SeenHead>,
+        from_peers: mpsc::UnboundedReceiver<crate::membership::ReceivedHead>,
         read: watch::Sender<Option<Version>>,
     ) {
         let (heads, from_api) = mpsc::unbounded_channel();
@@ -120,7 +120,8 @@
         self.tasks.spawn(watch.run(self.stop.clone()));
         self.tasks.spawn(trials.run(self.stop.clone()));
         self.tasks.spawn(follower.run(self.stop.clone()));
-        self.tasks.spawn(shared.keeper.run(self.stop.clone()));
+        self.tasks
+            .spawn(shared.upstream_monitor.run(self.stop.clone()));
     }
 
     /// What operators are shown of the object API.
@@ -136,7 +137,7 @@
         let (addresses, hosts) = watch::channel(Vec::new());
         let watch = HostWatch {
             api: host_list,
-            reports: shared.keeper.reports(),
+            reports: shared.upstream_monitor.reports(),
             interval: settings.timing.host_list_poll.0,
             addresses,
         };
@@ -153,8 +154,8 @@
     fn carry_facts(&self, shared: &Shared) {
         let facts = UpstreamFacts {
             peers: self.peers.clone(),
-            observed: shared.keeper.observed(),
-            reports: shared.keeper.reports(),
+            observed: shared.upstream_monitor.observed(),
+            reports: shared.upstream_monitor.reports(),
         };
         let requests = RequestFacts::new(self.peers.clone(), Arc::clone(&shared.quarantine));
         self.tasks.spawn(facts.run(self.stop.clone()));
--- a/crates/kelpworks/src/daemon/follow.rs
+++ b/crates/kelpworks/src/daemon/follow.rs
@@ -11,17 +11,17 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::object_api;
-use crate::border::object_api::ObjectApi;
+use crate::active_config::ActiveConfig;
+use crate::clients::object_api;
+use crate::clients::object_api::ObjectApi;
 use crate::config::document;
 use crate::config::head::BLOB_KIND;
 use crate::config::head::Digest;
 use crate::config::head::Head;
 use crate::config::head::digest_of;
 use crate::config::head::parse;
-use crate::in_force::InForce;
 use crate::membership::Peers;
-use crate::membership::SeenHead;
+use crate::membership::ReceivedHead;
 use crate::register::Register;
 use crate::rules::Rules;
 use kelpworks_coord::head;
@@ -67,8 +67,8 @@
     /// Heads that the object API showed.
     pub(crate) from_api: mpsc::UnboundedReceiver<String>,
     /// Heads that peers told of.
-    pub(crate) from_peers: mpsc::UnboundedReceiver<SeenHead>,
-    pub(crate) config: Arc<ArcSwap<InForce>>,
+    pub(crate) from_peers: mpsc::UnboundedReceiver<ReceivedHead>,
+    pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
     pub(crate) register: watch::Sender<Arc<Register>>,
     /// Texts in force, which the next generation may share.
     pub(crate) texts: Vec<String>,
@@ -100,7 +100,7 @@
         loop {
             let event = tokio::select! {
                 Some(body) = self.from_api.recv() => self.seen(&state, body, None),
-                Some(SeenHead { from, body }) = self.from_peers.recv() => {
+                Some(ReceivedHead { from, body }) = self.from_peers.recv() => {
                     self.seen(&state, body, Some(from.address))
                 }
                 _ = retry.tick() => Some(FollowerEvent::Retry),
@@ -203,7 +203,7 @@
             Ok(Err(e)) => Error::Api(e),
             Err(_) => Error::Api(object_api::Error::Silent),
         };
-        self.peers.any_text(digest).await.ok_or(error)
+        self.peers.text_from_any(digest).await.ok_or(error)
     }
 
     fn apply(&mut self, newest: Newest, fetched: Fetched) {
@@ -214,11 +214,11 @@
             texts,
         } = fetched;
         let generation = head.generation.0;
-        let in_force = InForce::new(generation, register.clone(), rules);
+        let in_force = ActiveConfig::new(generation, register.clone(), rules);
         self.config.store(Arc::new(in_force));
         self.register.send_replace(Arc::new(register));
         self.texts.clone_from(&texts);
-        self.peers.in_force(generation, body, texts);
+        self.peers.set_active_config(generation, body, texts);
         metrics::gauge!("kelpworks_generation").set(generation as f64);
         let source = if holder.is_some() {
             "peer"
--- a/crates/kelpworks/src/daemon/head_watch.rs
+++ b/crates/kelpworks/src/daemon/head_watch.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::object_api;
-use crate::border::object_api::ObjectApi;
+use crate::clients::object_api;
+use crate::clients::object_api::ObjectApi;
 use crate::config::head::HEAD_KIND;
 use crate::config::head::HEAD_NAME;
 use kelpworks_coord::id::Version;
@@ -85,7 +85,7 @@
         match error {
             object_api::Error::Expired => None,
             _ => {
-                self.api.fresh();
+                self.api.reset_connections();
                 from
             }
         }
--- a/crates/kelpworks/src/daemon/head_watch_tests.rs
+++ b/crates/kelpworks/src/daemon/head_watch_tests.rs
@@ -15,17 +15,17 @@
 use tokio_util::sync::CancellationToken;
 
 use super::HeadWatch;
-use crate::border::era::Eras;
-use crate::border::object_api::Condition;
-use crate::border::object_api::Deadlines;
-use crate::border::object_api::Error;
-use crate::border::object_api::Object;
-use crate::border::object_api::ObjectApi;
-use crate::border::object_api::ObjectList;
-use crate::border::object_api::Result;
-use crate::border::object_api::WatchEvent;
-use crate::border::object_api::WatchEventKind;
-use crate::border::object_api::WatchReply;
+use crate::clients::era::Eras;
+use crate::clients::object_api::Condition;
+use crate::clients::object_api::Deadlines;
+use crate::clients::object_api::Error;
+use crate::clients::object_api::Object;
+use crate::clients::object_api::ObjectApi;
+use crate::clients::object_api::ObjectList;
+use crate::clients::object_api::Result;
+use crate::clients::object_api::WatchEvent;
+use crate::clients::object_api::WatchEventKind;
+use crate::clients::object_api::WatchReply;
 use crate::config::head::HEAD_KIND;
 use crate::config::head::HEAD_NAME;
 use crate::settings::Settings;
@@ -96,7 +96,7 @@
         &self.eras
     }
 
-    fn fresh(&self) {}
+    fn reset_connections(&self) {}
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/kelpworks/src/daemon/hosts.rs
+++ b/crates/kelpworks/src/daemon/hosts.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's host list and reports it to the keeper.
+//! Reads the platform's host list and reports it to the monitor.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::host_list::HostListApi;
-use crate::upstreams::HostSeen;
+use crate::clients::host_list::HostListApi;
+use crate::upstreams::ListedHost;
 use crate::upstreams::Report;
 
 /// Reads the host list again and again.
@@ -40,7 +40,7 @@
             Ok(list) => {
                 let addresses = list.hosts.iter().filter_map(|h| h.address.parse().ok());
                 self.addresses.send_replace(addresses.collect());
-                let seen = |h: kelpworks_wire::HostEntry| HostSeen {
+                let seen = |h: kelpworks_wire::HostEntry| ListedHost {
                     name: h.name,
                     state: h.state,
                 };
@@ -49,7 +49,7 @@
             }
             Err(e) => {
                 warn!("host list: {e}");
-                self.api.fresh();
+                self.api.reset_connections();
             }
         }
     }
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -26,14 +26,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use crate::active_config::ActiveConfig;
 use crate::admission;
 use crate::admission::Admission;
-use crate::border::engine::HttpEngine;
-use crate::border::host_list;
-use crate::border::object_api;
-use crate::border::object_api::HttpObjectApi;
 use crate::claims;
 use crate::claims::Claims;
+use crate::clients::engine::HttpEngine;
+use crate::clients::host_list;
+use crate::clients::object_api;
+use crate::clients::object_api::HttpObjectApi;
 use crate::daemon::control::Control;
 use crate::daemon::control::Shared;
 use crate::daemon::serve::Server;
@@ -42,7 +43,6 @@
 use crate::executor;
 use crate::executor::Executor;
 use crate::fleet::Fleet;
-use crate::in_force::InForce;
 use crate::membership;
 use crate::membership::PeerClaims;
 use crate::membership::Peers;
@@ -59,8 +59,8 @@
 use crate::retry::RetryBudget;
 use crate::retry::RetryConfig;
 use crate::settings::Settings;
-use crate::upstreams::Keeper;
-use crate::upstreams::KeeperConfig;
+use crate::upstreams::UpstreamMonitor;
+use crate::upstreams::UpstreamMonitorConfig;
 use kelpworks_coord::id::NodeId;
 use kelpworks_wire::OutputForm;
 
@@ -109,7 +109,7 @@
 
 /// Addresses that a daemon listens on, with the ports it got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For operators.
@@ -121,7 +121,7 @@
 /// A running daemon.
 #[derive(Debug)]
 pub struct Daemon {
-    bound: Bound,
+    bound: BoundAddresses,
     entry: Arc<Entry>,
     control: Control,
     callers: Server,
@@ -158,20 +158,20 @@
     ) -> Result<Daemon> {
         let timing = &settings.timing;
         let engine = Arc::new(HttpEngine::new(timing.connect.0));
-        let config = Arc::new(ArcSwap::from_pointee(InForce::default()));
+        let config = Arc::new(ArcSwap::from_pointee(ActiveConfig::default()));
         let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
         let (register, register_rx) = watch::channel(Arc::new(Register::default()));
-        let keeper_cfg = KeeperConfig {
+        let keeper_cfg = UpstreamMonitorConfig {
             state_poll: timing.state_poll.0,
             poll_deadline: PROBE_DEADLINE,
         };
-        let keeper = Keeper::new(
+        let upstream_monitor = UpstreamMonitor::new(
             keeper_cfg,
             Arc::clone(&engine),
             register_rx,
             Arc::clone(&fleet),
         );
-        let reports = keeper.reports();
+        let reports = upstream_monitor.reports();
         let leave = CancellationToken::new();
         let abort = CancellationToken::new();
         let tasks = TaskTracker::new();
@@ -205,7 +205,7 @@
         let shared = Shared {
             config: Arc::clone(&config),
             register,
-            keeper,
+            upstream_monitor,
             admission: admission.clone(),
             quarantine,
         };
@@ -240,7 +240,7 @@
         };
         let callers = Server::start(settings.listen.callers, entry::router(&entry)).await?;
         let shown = Server::start(settings.listen.operators, operators::router(&operators)).await?;
-        let bound = Bound {
+        let bound = BoundAddresses {
             callers: callers.address,
             operators: shown.address,
             peers: control.peers.address(),
@@ -260,7 +260,7 @@
     }
 
     /// The addresses it got.
-    pub fn bound(&self) -> Bound {
+    pub fn bound(&self) -> BoundAddresses {
         self.bound
     }
 
@@ -317,7 +317,7 @@
 fn executor(
     settings: &Settings,
     engine: &Arc<HttpEngine>,
-    config: &Arc<ArcSwap<InForce>>,
+    config: &Arc<ArcSwap<ActiveConfig>>,
     fleet: &Arc<ArcSwap<Fleet>>,
 ) -> Result<Executor<HttpEngine, HttpObjectApi>> {
     Ok(Executor::new(
@@ -411,7 +411,7 @@
     let mut term = signal(SignalKind::terminate()).map_err(Error::Signal)?;
     let mut int = signal(SignalKind::interrupt()).map_err(Error::Signal)?;
     let daemon = Daemon::start(settings, install_metrics()?).await?;
-    let Bound {
+    let BoundAddresses {
         callers,
         operators,
         peers,
--- a/crates/kelpworks/src/entry/auth.rs
+++ b/crates/kelpworks/src/entry/auth.rs
@@ -3,9 +3,9 @@
 use salvo::http::HeaderMap;
 use salvo::http::header::AUTHORIZATION;
 
+use crate::active_config::ActiveConfig;
+use crate::active_config::Caller;
 use crate::entry::reply::Failure;
-use crate::in_force::Caller;
-use crate::in_force::InForce;
 
 /// Of any case, as HTTP has it.
 const SCHEME: &[u8] = b"Bearer ";
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// A 401 when the token is absent or unknown; which of the two is not told.
-pub(crate) fn caller(config: &InForce, headers: &HeaderMap) -> Result<Caller, Failure> {
+pub(crate) fn caller(config: &ActiveConfig, headers: &HeaderMap) -> Result<Caller, Failure> {
     let value = headers.get(AUTHORIZATION).map(|v| v.as_bytes());
     let parts = value.and_then(|v| v.split_at_checked(SCHEME.len()));
     let token = parts.filter(|(scheme, _)| scheme.eq_ignore_ascii_case(SCHEME));
--- a/crates/kelpworks/src/entry/completions.rs
+++ b/crates/kelpworks/src/entry/completions.rs
@@ -25,7 +25,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::admission::Ask;
+use crate::active_config::Caller;
+use crate::admission::AdmissionRequest;
 use crate::admission::Permit;
 use crate::claims::ClaimKey;
 use crate::entry::Entry;
@@ -36,10 +37,9 @@
 use crate::entry::shape::Asked;
 use crate::entry::shape::Frame;
 use crate::entry::shape::Shape;
-use crate::in_force::Caller;
-use crate::pipeline::Ending;
 use crate::pipeline::Job;
 use crate::pipeline::Outcome;
+use crate::pipeline::SessionError;
 use crate::pipeline::tokens;
 use crate::quarantine::fingerprint;
 use crate::verdict::Verdict;
@@ -165,7 +165,7 @@
     }
 
     async fn admit(&self, caller: &Caller, job: &Job) -> Result<Permit> {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             team: &caller.team,
             class: caller.class,
             weight: caller.weight,
@@ -302,7 +302,10 @@
             ..
         }) => Err(Failure::ended(&ending, verdict)),
         // The task is gone without a word: it was stopped with the daemon.
-        Err(_) => Err(Failure::ended(&Ending::CallerGone, Verdict::MayHaveRun)),
+        Err(_) => Err(Failure::ended(
+            &SessionError::CallerGone,
+            Verdict::MayHaveRun,
+        )),
     }
 }
 
--- a/crates/kelpworks/src/entry/mod.rs
+++ b/crates/kelpworks/src/entry/mod.rs
@@ -18,11 +18,11 @@
 use tokio::sync::mpsc;
 use tokio_util::task::TaskTracker;
 
+use crate::active_config::ActiveConfig;
 use crate::admission::Admission;
-use crate::border::engine::HttpEngine;
+use crate::clients::engine::HttpEngine;
 use crate::entry::unserved::Unserved;
 use crate::fleet::Fleet;
-use crate::in_force::InForce;
 use crate::membership::PeerClaims;
 use crate::pipeline::Driver;
 use crate::settings::Limits;
@@ -36,7 +36,7 @@
     /// Longest time for a whole request.
     pub request_timeout: Duration,
     /// The configuration in force.
-    pub config: Arc<ArcSwap<InForce>>,
+    pub config: Arc<ArcSwap<ActiveConfig>>,
     /// The fleet.
     pub fleet: Arc<ArcSwap<Fleet>>,
     /// Admission.
--- a/crates/kelpworks/src/entry/once.rs
+++ b/crates/kelpworks/src/entry/once.rs
@@ -23,9 +23,9 @@
 use crate::entry::shape::Asked;
 use crate::entry::shape::Frame;
 use crate::entry::shape::Shape;
-use crate::pipeline::Ending;
 use crate::pipeline::Job;
 use crate::pipeline::Outcome;
+use crate::pipeline::SessionError;
 use crate::verdict::Verdict;
 use kelpworks_wire::FinishReason;
 
@@ -180,7 +180,7 @@
         result = &mut kept => match result {
             Ok(Ok(kept)) => replay(frame, &kept.reply),
             Ok(Err(Error::Failed(e))) => {
-                let ending = e.cause.result.err().unwrap_or(Ending::CallerGone);
+                let ending = e.cause.result.err().unwrap_or(SessionError::CallerGone);
                 Err(Failure::ended(&ending, e.verdict))
             }
             Ok(Err(e)) => Err(refusal(&e)),
@@ -231,7 +231,7 @@
 }
 
 /// How the session ended, for the caller that follows its tokens.
-fn outcome_of(result: &claims::Result<claims::Kept, Outcome>) -> Outcome {
+fn outcome_of(result: &claims::Result<claims::KeyedReply, Outcome>) -> Outcome {
     let end = |result, verdict| Outcome {
         result,
         verdict,
@@ -240,10 +240,10 @@
     match result {
         Ok(kept) => match serde_json::from_slice::<Told>(&kept.reply.body) {
             Ok(told) => end(Ok(told.end), Verdict::MayHaveRun),
-            Err(_) => end(Err(Ending::CallerGone), Verdict::MayHaveRun),
+            Err(_) => end(Err(SessionError::CallerGone), Verdict::MayHaveRun),
         },
         Err(Error::Failed(e)) => e.cause.clone(),
-        Err(e) => end(Err(Ending::CallerGone), e.verdict()),
+        Err(e) => end(Err(SessionError::CallerGone), e.verdict()),
     }
 }
 
--- a/crates/kelpworks/src/entry/reply.rs
+++ b/crates/kelpworks/src/entry/reply.rs
@@ -9,7 +9,7 @@
 use salvo::http::header::RETRY_AFTER;
 
 use crate::admission::Refusal;
-use crate::pipeline::Ending;
+use crate::pipeline::SessionError;
 use crate::quarantine;
 use crate::verdict::Verdict;
 use kelpworks_wire::ErrorBody;
@@ -157,18 +157,18 @@
 
 impl Failure {
     /// A session that ended before its answer was whole.
-    pub(crate) fn ended(ending: &Ending, verdict: Verdict) -> Failure {
-        if let Ending::Quarantined(refusal) = *ending {
+    pub(crate) fn ended(ending: &SessionError, verdict: Verdict) -> Failure {
+        if let SessionError::Quarantined(refusal) = *ending {
             return Failure {
                 verdict,
                 ..Failure::from(refusal)
             };
         }
         let (status, kind) = match ending {
-            Ending::NoPath(_) => (StatusCode::SERVICE_UNAVAILABLE, "no_upstream"),
-            Ending::Stopped => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
-            Ending::Deadline => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
-            Ending::Retries { .. } => (StatusCode::SERVICE_UNAVAILABLE, "upstream_failed"),
+            SessionError::NoPath(_) => (StatusCode::SERVICE_UNAVAILABLE, "no_upstream"),
+            SessionError::Stopped => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
+            SessionError::Deadline => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
+            SessionError::Retries { .. } => (StatusCode::SERVICE_UNAVAILABLE, "upstream_failed"),
             _ => (StatusCode::BAD_GATEWAY, "upstream_failed"),
         };
         Failure::failed(status, kind, ending.to_string(), verdict)
--- a/crates/kelpworks/src/entry/services/mod.rs
+++ b/crates/kelpworks/src/entry/services/mod.rs
@@ -15,7 +15,7 @@
 use salvo::http::HeaderValue;
 use salvo::http::StatusCode;
 
-use crate::claims::Kept;
+use crate::claims::KeyedReply;
 use crate::claims::Reply;
 use crate::claims::RunError;
 use crate::entry::Entry;
@@ -60,19 +60,19 @@
 
     /// Runs a call in a task of its own: it goes on when its caller vanishes, as a call that is
     /// broken off midway may leave the service in between.
-    async fn run(&self, call: Call) -> Result<Kept> {
+    async fn run(&self, call: Call) -> Result<KeyedReply> {
         let sender = Arc::clone(&self.sender);
         let task = async move { sender.send(&call).await };
         let ended = self.entry.tasks.spawn(task).await;
         let reply = ended.unwrap_or_else(|_| Err(once::stopped()))?;
-        Ok(Kept {
+        Ok(KeyedReply {
             reply,
             replayed: false,
         })
     }
 }
 
-fn write(kept: Kept, res: &mut Response) {
+fn write(kept: KeyedReply, res: &mut Response) {
     let Reply {
         status,
         headers,
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -14,12 +14,12 @@
 use salvo::http::header;
 use tokio::time::Instant;
 
-use crate::border::engine::Error;
-use crate::border::plain_service::PlainService;
-use crate::border::plain_service::ServiceAnswer;
-use crate::border::plain_service::ServiceCall;
 use crate::claims::Header;
 use crate::claims::Reply;
+use crate::clients::engine::Error;
+use crate::clients::plain_service::PlainService;
+use crate::clients::plain_service::ServiceAnswer;
+use crate::clients::plain_service::ServiceCall;
 use crate::entry::Entry;
 use crate::entry::reply::Failure;
 use crate::entry::services::call::Call;
@@ -152,7 +152,7 @@
         let decision = self.retries().decide(now, &attempt, &mut rand::rng());
         match decision {
             Decision::RetryAt(delay) => Some(delay),
-            Decision::GiveUp(reason) => {
+            Decision::Abandon(reason) => {
                 info!(
                     target: "decision", decision = "give_up", request = attempts.call.id.as_str(),
                     reason = reason.as_str(), verdict = attempts.verdict.as_str();
--- a/crates/kelpworks/src/executor/degraded.rs
+++ b/crates/kelpworks/src/executor/degraded.rs
@@ -131,7 +131,7 @@
 /// The step time of an engine that holds one range and has run steps.
 fn sample(upstream: &Upstream) -> Option<Sample<'_>> {
     let step_us = upstream.counters.step_us.load(Ordering::Relaxed);
-    let [holding] = &upstream.holdings[..] else {
+    let [holding] = &upstream.layer_assignments[..] else {
         return None;
     };
     if step_us == 0 || upstream.layer_rate <= 0.0 {
--- a/crates/kelpworks/src/executor/hold.rs
+++ b/crates/kelpworks/src/executor/lease_keeper.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::object_api::Condition;
-use crate::border::object_api::Error;
-use crate::border::object_api::Object;
-use crate::border::object_api::ObjectApi;
+use crate::clients::object_api::Condition;
+use crate::clients::object_api::Error;
+use crate::clients::object_api::Object;
+use crate::clients::object_api::ObjectApi;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 use kelpworks_coord::lease;
@@ -37,18 +37,18 @@
 /// How often the lease's state machine is asked whether a call is due.
 const TICK: Duration = Duration::from_millis(100);
 
-/// One daemon's hold on the placement lease, shared by the task that keeps it and those that use
+/// One daemon's handle on the placement lease, shared by the task that keeps it and those that use
 /// it.
 #[derive(Debug)]
-pub struct Hold {
+pub struct LeaseHandle {
     start: Instant,
     lease: Mutex<Lease>,
 }
 
-impl Hold {
+impl LeaseHandle {
     /// A daemon that holds nothing yet.
-    pub fn new(cfg: lease::Config, me: Owner) -> Hold {
-        Hold {
+    pub fn new(cfg: lease::Config, me: Owner) -> LeaseHandle {
+        LeaseHandle {
             start: Instant::now(),
             lease: Mutex::new(Lease::new(cfg, me, time::Instant::ZERO)),
         }
@@ -94,12 +94,12 @@
 #[derive(Debug)]
 pub struct LeaseKeeper<A> {
     pub(super) api: A,
-    pub(super) hold: Arc<Hold>,
+    pub(super) hold: Arc<LeaseHandle>,
 }
 
 impl<A: ObjectApi> LeaseKeeper<A> {
     /// Keeps a hold through an object API.
-    pub fn new(api: A, hold: Arc<Hold>) -> LeaseKeeper<A> {
+    pub fn new(api: A, hold: Arc<LeaseHandle>) -> LeaseKeeper<A> {
         LeaseKeeper { api, hold }
     }
 
@@ -185,7 +185,7 @@
     fn failed(&self, e: &Error) -> ApiReply {
         warn!("placement lease: {e}");
         if e.may_have_run() {
-            self.api.fresh();
+            self.api.reset_connections();
             return ApiReply::Lost;
         }
         ApiReply::Refused
--- a/crates/kelpworks/src/executor/mod.rs
+++ b/crates/kelpworks/src/executor/mod.rs
@@ -13,16 +13,16 @@
 //! use std::sync::Arc;
 //!
 //! use arc_swap::ArcSwap;
-//! use kelpworks::border::engine::HttpEngine;
-//! use kelpworks::border::object_api::Deadlines;
-//! use kelpworks::border::object_api::HttpObjectApi;
+//! use kelpworks::clients::engine::HttpEngine;
+//! use kelpworks::clients::object_api::Deadlines;
+//! use kelpworks::clients::object_api::HttpObjectApi;
 //! use kelpworks::executor::Config;
 //! use kelpworks::executor::Executor;
 //! use kelpworks::fleet::Fleet;
-//! use kelpworks::in_force::InForce;
+//! use kelpworks::active_config::ActiveConfig;
 //! use tokio_util::sync::CancellationToken;
 //!
-//! # async fn f(config: Arc<ArcSwap<InForce>>, fleet: Arc<ArcSwap<Fleet>>) {
+//! # async fn f(config: Arc<ArcSwap<ActiveConfig>>, fleet: Arc<ArcSwap<Fleet>>) {
 //! let api = HttpObjectApi::new("http://10.0.1.1:8000", Deadlines::default()).unwrap();
 //! let engine = Arc::new(HttpEngine::new(std::time::Duration::from_secs(1)));
 //! let executor = Executor::new(Config::default(), "entry-1", engine, api, config, fleet);
@@ -38,7 +38,7 @@
 
 mod degraded;
 mod gate;
-mod hold;
+mod lease_keeper;
 mod liveness;
 mod planning;
 mod round;
@@ -53,12 +53,12 @@
 use arc_swap::ArcSwap;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::engine::Engine;
-use crate::border::object_api::ObjectApi;
+use crate::clients::engine::Engine;
+use crate::clients::object_api::ObjectApi;
 
+use crate::active_config::ActiveConfig;
 use crate::executor::round::Rounds;
 use crate::fleet::Fleet;
-use crate::in_force::InForce;
 use crate::units::Rate;
 use kelpworks_coord::id::Incarnation;
 use kelpworks_coord::id::NodeId;
@@ -66,10 +66,10 @@
 use kelpworks_coord::lease::Owner;
 use kelpworks_coord::time::Span;
 
-pub use hold::Hold;
-pub use hold::LEASE_KIND;
-pub use hold::LEASE_NAME;
-pub use hold::LeaseKeeper;
+pub use lease_keeper::LEASE_KIND;
+pub use lease_keeper::LEASE_NAME;
+pub use lease_keeper::LeaseHandle;
+pub use lease_keeper::LeaseKeeper;
 
 /// Settings of an executor.
 #[derive(Clone, Debug, PartialEq)]
@@ -138,14 +138,14 @@
         name: &str,
         engine: Arc<E>,
         api: A,
-        config: Arc<ArcSwap<InForce>>,
+        config: Arc<ArcSwap<ActiveConfig>>,
         fleet: Arc<ArcSwap<Fleet>>,
     ) -> Executor<E, A> {
         let me = Owner {
             node: NodeId::of(name),
             incarnation: incarnation(),
         };
-        let hold = Arc::new(Hold::new(cfg.lease, me));
+        let hold = Arc::new(LeaseHandle::new(cfg.lease, me));
         let lease = LeaseKeeper {
             api,
             hold: Arc::clone(&hold),
@@ -156,8 +156,8 @@
         }
     }
 
-    /// This daemon's hold on the placement lease.
-    pub fn hold(&self) -> Arc<Hold> {
+    /// This daemon's handle on the placement lease.
+    pub fn lease_handle(&self) -> Arc<LeaseHandle> {
         Arc::clone(&self.lease.hold)
     }
 
--- a/crates/kelpworks/src/executor/planning.rs
+++ b/crates/kelpworks/src/executor/planning.rs
@@ -9,16 +9,16 @@
 use crate::fleet::Fleet;
 use crate::fleet::LinkCost;
 use crate::fleet::ModelKey;
-use crate::placement::HeldRange;
+use crate::placement::FailureScope;
 use crate::placement::HostKey;
+use crate::placement::HostRange;
 use crate::placement::Input;
-use crate::placement::Lost;
 use crate::placement::Plan;
 use crate::placement::Shortfall;
-use crate::placement::absorb;
-use crate::placement::held;
+use crate::placement::assign_idle_hosts;
 use crate::placement::improve;
 use crate::placement::plan;
+use crate::placement::plan_from_loaded;
 use crate::placement::repair;
 use crate::register::Register;
 use crate::units::Rate;
@@ -40,12 +40,12 @@
         let Some(&host) = hosts.get(&upstream.name) else {
             continue;
         };
-        for holding in &upstream.holdings {
+        for holding in &upstream.layer_assignments {
             let seen = &fleet.models[usize::from(holding.model.0)];
             // The snapshot may still be of the register before this one.
             let model = input.models.iter().position(|m| *m.name == seen.name);
             let Some(model) = model else { continue };
-            input.holdings.push(HeldRange {
+            input.loaded_ranges.push(HostRange {
                 host,
                 model: ModelKey(model as u16),
                 version: seen.versions[usize::from(holding.version)].as_str().into(),
@@ -100,14 +100,14 @@
     /// nothing under another.
     followed: Option<(u64, Arc<Plan>)>,
     /// Hosts as they were when last they changed, and when that was.
-    seen: Option<(Vec<HostSeen>, Instant)>,
+    seen: Option<(Vec<ListedHost>, Instant)>,
     /// Whether an improvement was looked for since.
     sought: bool,
 }
 
 /// What of a host bears on the worth of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct HostSeen {
+struct ListedHost {
     live: bool,
     layer_rate: f64,
 }
@@ -128,7 +128,7 @@
         let calm = self.calm(input, improve_after, now);
         let (plan, reason) = match &before {
             Some(plan) => self.next(input, plan, PlanReason::Held, calm),
-            None => match held(input) {
+            None => match plan_from_loaded(input) {
                 Some(plan) => self.next(input, &Arc::new(plan), PlanReason::Held, calm),
                 None => (Arc::new(plan(input)), PlanReason::NotWhole),
             },
@@ -144,11 +144,11 @@
 
     /// Whether it is time to look for a better plan; true once after each change of the hosts.
     fn calm(&mut self, input: &Input, improve_after: Duration, now: Instant) -> bool {
-        let seen = input.hosts.iter().map(|h| HostSeen {
+        let seen = input.hosts.iter().map(|h| ListedHost {
             live: h.live,
             layer_rate: h.layer_rate,
         });
-        let seen: Vec<HostSeen> = seen.collect();
+        let seen: Vec<ListedHost> = seen.collect();
         let since = match &self.seen {
             Some((before, since)) if *before == seen => *since,
             _ => {
@@ -171,11 +171,11 @@
     ) -> (Arc<Plan>, PlanReason) {
         let (mut plan, mut why) = (Arc::clone(from), reason);
         if let Some(host) = lost(input, &plan) {
-            plan = Arc::new(repair(input, &plan, Lost::Host(host)));
+            plan = Arc::new(repair(input, &plan, FailureScope::Host(host)));
             why = PlanReason::Loss;
         }
         if has_idle(input, &plan) {
-            let fuller = absorb(input, &plan);
+            let fuller = assign_idle_hosts(input, &plan);
             if fuller != *plan {
                 plan = Arc::new(fuller);
                 why = if why == PlanReason::Loss {
--- a/crates/kelpworks/src/executor/round.rs
+++ b/crates/kelpworks/src/executor/round.rs
@@ -17,20 +17,20 @@
 use super::gate::Gate;
 use super::gate::Now;
 use super::gate::Reading;
-use super::hold::Hold;
-use super::hold::LEASE_NAME;
+use super::lease_keeper::LEASE_NAME;
+use super::lease_keeper::LeaseHandle;
 use super::liveness::Liveness;
 use super::planning;
 use super::planning::Decided;
 use super::planning::Planning;
-use crate::border::engine;
-use crate::border::engine::Engine;
+use crate::active_config::ActiveConfig;
+use crate::clients::engine;
+use crate::clients::engine::Engine;
 use crate::fleet::Fleet;
 use crate::fleet::ModelKey;
-use crate::in_force::InForce;
 use crate::placement::Action;
-use crate::placement::HeldRange;
 use crate::placement::HostKey;
+use crate::placement::HostRange;
 use crate::placement::Input;
 use crate::placement::OrderStep;
 use crate::placement::Plan;
@@ -51,9 +51,9 @@
 #[derive(Debug)]
 pub(super) struct Rounds<E> {
     cfg: Config,
-    hold: Arc<Hold>,
+    hold: Arc<LeaseHandle>,
     engine: Arc<E>,
-    config: Arc<ArcSwap<InForce>>,
+    config: Arc<ArcSwap<ActiveConfig>>,
     fleet: Arc<ArcSwap<Fleet>>,
     liveness: Liveness,
     degraded: Degraded,
@@ -67,9 +67,9 @@
 impl<E: Engine> Rounds<E> {
     pub(super) fn new(
         cfg: Config,
-        hold: Arc<Hold>,
+        hold: Arc<LeaseHandle>,
         engine: Arc<E>,
-        config: Arc<ArcSwap<InForce>>,
+        config: Arc<ArcSwap<ActiveConfig>>,
         fleet: Arc<ArcSwap<Fleet>>,
     ) -> Rounds<E> {
         Rounds {
@@ -121,7 +121,7 @@
     }
 
     /// The register as it is: hosts that are live, at the rates they reach, with what they hold.
-    fn input(&self, config: &InForce, fleet: &Fleet, now: Instant) -> Input {
+    fn input(&self, config: &ActiveConfig, fleet: &Fleet, now: Instant) -> Input {
         let mut input = planning::input(&config.register, fleet, self.cfg.weight_rate);
         for host in &mut input.hosts {
             let live = self.liveness.is_live(&host.name, self.cfg.lost_after, now);
@@ -269,21 +269,21 @@
 /// The input with holdings as just read. An engine that did not answer holds nothing when
 /// something is to be dropped, and else what it said last.
 fn refreshed(mut input: Input, readings: &HashMap<HostKey, Reading>, drops: bool) -> Input {
-    let stays = |h: &HeldRange| !drops && !readings.contains_key(&h.host);
-    input.holdings.retain(stays);
+    let stays = |h: &HostRange| !drops && !readings.contains_key(&h.host);
+    input.loaded_ranges.retain(stays);
     let mut read: Vec<(&HostKey, &Reading)> = readings.iter().collect();
     read.sort_by_key(|(host, _)| **host);
     for (&host, reading) in read {
         for range in &reading.state.loaded {
-            input.holdings.extend(held_range(&input, host, range));
+            input.loaded_ranges.extend(held_range(&input, host, range));
         }
     }
     input
 }
 
-fn held_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HeldRange> {
+fn held_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HostRange> {
     let model = input.models.iter().position(|m| *m.name == range.model)?;
-    Some(HeldRange {
+    Some(HostRange {
         host,
         model: ModelKey(model as u16),
         version: range.version.as_str().into(),
--- a/crates/kelpworks/src/executor/tests.rs
+++ b/crates/kelpworks/src/executor/tests.rs
@@ -16,7 +16,7 @@
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
-use crate::fleet::Holding;
+use crate::fleet::LayerAssignment;
 use crate::fleet::LinkCost;
 use crate::fleet::ModelKey;
 use crate::fleet::Upstream;
@@ -63,7 +63,7 @@
             demand: 1.0,
         }],
         links: vec![link; 9],
-        holdings: Vec::new(),
+        loaded_ranges: Vec::new(),
         weight_rate,
     }
 }
@@ -78,7 +78,7 @@
             domain: DomainKey(0),
             health: Health::Live,
             layer_rate: 400.0,
-            holdings: vec![Holding {
+            layer_assignments: vec![LayerAssignment {
                 model: ModelKey(0),
                 version: 0,
                 layers: LayerRange { first: 0, end: 4 },
@@ -167,7 +167,7 @@
 #[test]
 fn a_new_holder_follows_what_is_held_and_improves_it_later() {
     let mut input = input(Rate(GB));
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     input.hosts[0].layer_rate = 6_000.0;
     assert!(plan(&input).moves(&input) > 0, "a better plan is to be had");
     let mut planning = Planning::default();
--- a/crates/kelpworks/src/fleet.rs
+++ b/crates/kelpworks/src/fleet.rs
@@ -45,7 +45,7 @@
 
 /// What an engine upstream holds of a model.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holding {
+pub struct LayerAssignment {
     /// The model.
     pub model: ModelKey,
     /// Index of the version in [`ModelView::versions`].
@@ -99,7 +99,7 @@
     /// Layers of one token that it runs a second, by the register; 0 for a plain service.
     pub layer_rate: f64,
     /// What it holds, as it last said itself; the register is not trusted for this.
-    pub holdings: Vec<Holding>,
+    pub layer_assignments: Vec<LayerAssignment>,
     /// Name of the plain service it runs, if any.
     pub service: Option<Arc<str>>,
     /// Its incarnation, as it last said itself.
--- a/crates/kelpworks/src/lib.rs
+++ b/crates/kelpworks/src/lib.rs
@@ -6,15 +6,15 @@
 //!
 //! One folder or file a duty, each with its own state, messages and tests.
 
+pub mod active_config;
 pub mod admission;
-pub mod border;
 pub mod claims;
+pub mod clients;
 pub mod config;
 pub mod daemon;
 pub mod entry;
 pub mod executor;
 pub mod fleet;
-pub mod in_force;
 pub mod membership;
 pub mod operators;
 pub mod pipeline;
--- a/crates/kelpworks/src/membership/directory.rs
+++ b/crates/kelpworks/src/membership/directory.rs
@@ -13,10 +13,10 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Peers;
-use crate::border::object_api;
-use crate::border::object_api::Condition;
-use crate::border::object_api::Object;
-use crate::border::object_api::ObjectApi;
+use crate::clients::object_api;
+use crate::clients::object_api::Condition;
+use crate::clients::object_api::Object;
+use crate::clients::object_api::ObjectApi;
 use kelpworks_wire::MemberContact;
 
 /// Kind of the objects that say where daemons are reached; each is named after its daemon.
@@ -105,7 +105,7 @@
             Ok(reply) => Some(reply),
             Err(e) => {
                 warn!("list of daemons: {e}");
-                self.api.fresh();
+                self.api.reset_connections();
                 None
             }
         }
--- a/crates/kelpworks/src/membership/mod.rs
+++ b/crates/kelpworks/src/membership/mod.rs
@@ -55,8 +55,8 @@
 pub use peers::Error;
 pub use peers::Peers;
 pub use peers::PeersConfig;
+pub use peers::ReceivedHead;
 pub use peers::Result;
-pub use peers::SeenHead;
 pub use traffic::TrafficTotals;
 pub use traffic::exchange_bytes;
 
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -242,7 +242,7 @@
     }
 
     /// A generation is in force here.
-    pub fn on_learned(&mut self, generation: u64) -> Vec<Action> {
+    pub fn on_config_activated(&mut self, generation: u64) -> Vec<Action> {
         self.generation = self.generation.max(generation);
         self.change_sample(|s| s.generation = s.generation.max(generation));
         let peers = self.peers();
@@ -301,7 +301,7 @@
     }
 
     /// Facts of a kind that hold now, of all authors.
-    pub fn standing(&self, now: Instant, kind: Kind) -> Vec<Fact> {
+    pub fn active_facts(&self, now: Instant, kind: Kind) -> Vec<Fact> {
         self.facts.standing(now, kind).collect()
     }
 
--- a/crates/kelpworks/src/membership/peers.rs
+++ b/crates/kelpworks/src/membership/peers.rs
@@ -103,7 +103,7 @@
 
 /// A head that a peer told of.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenHead {
+pub struct ReceivedHead {
     /// The peer; it holds the texts.
     pub from: MemberContact,
     /// Body of the head object.
@@ -133,7 +133,7 @@
     heartbeat: Duration,
     links: Links,
     held: ArcSwap<Held>,
-    heads: mpsc::UnboundedSender<SeenHead>,
+    heads: mpsc::UnboundedSender<ReceivedHead>,
     watcher: watch::Sender<bool>,
     /// Rises when facts of others change.
     facts: watch::Sender<u64>,
@@ -155,7 +155,7 @@
     pub async fn start(
         cfg: PeersConfig,
         stop: CancellationToken,
-    ) -> Result<(Peers, mpsc::UnboundedReceiver<SeenHead>)> {
+    ) -> Result<(Peers, mpsc::UnboundedReceiver<ReceivedHead>)> {
         let address = cfg.listen;
         let listen = |source| Error::Listen { address, source };
         let server = Server::builder()
@@ -222,9 +222,9 @@
     }
 
     /// Facts of a kind that hold now, of all daemons.
-    pub fn standing(&self, kind: Kind) -> Vec<Fact> {
+    pub fn active_facts(&self, kind: Kind) -> Vec<Fact> {
         let now = self.now();
-        self.lock().standing(now, kind)
+        self.lock().active_facts(now, kind)
     }
 
     /// States a fact of this daemon's own observation, or renews it.
@@ -266,9 +266,9 @@
     }
 
     /// A generation is in force; peers are told, and may fetch its texts here from now on.
-    pub fn in_force(&self, generation: u64, body: String, texts: Vec<String>) {
+    pub fn set_active_config(&self, generation: u64, body: String, texts: Vec<String>) {
         self.inner.held.store(Arc::new(Held { body, texts }));
-        self.act(|node, _| node.on_learned(generation));
+        self.act(|node, _| node.on_config_activated(generation));
     }
 
     /// Asks an address for all that a daemon there holds; tells whether one answered.
@@ -301,7 +301,7 @@
     }
 
     /// The text of a digest, from any of some live peers.
-    pub async fn any_text(&self, digest: Digest) -> Option<String> {
+    pub async fn text_from_any(&self, digest: Digest) -> Option<String> {
         for address in self.addresses().into_iter().take(TEXT_TRIES) {
             if let Some(text) = self.text(digest, &address).await {
                 return Some(text);
@@ -540,7 +540,7 @@
     pub(super) fn seen(&self, head: ConfigHead) {
         if !head.body.is_empty() {
             let ConfigHead { from, body } = head;
-            let _ = self.inner.heads.send(SeenHead { from, body });
+            let _ = self.inner.heads.send(ReceivedHead { from, body });
         }
     }
 
--- a/crates/kelpworks/src/membership/request_facts.rs
+++ b/crates/kelpworks/src/membership/request_facts.rs
@@ -136,7 +136,7 @@
         let mut now = BTreeMap::new();
         // A request's refusal before the end of its suspicion, so that it is never let run between.
         for kind in [Kind::Poison, Kind::Suspect] {
-            for fact in self.peers.standing(kind) {
+            for fact in self.peers.active_facts(kind) {
                 if fact.key.author == self.me {
                     continue;
                 }
@@ -154,7 +154,7 @@
     }
 
     fn tell(&self, key: Key, statement: Statement) {
-        self.quarantine.learn(Fact {
+        self.quarantine.apply_fact(Fact {
             by: key.author,
             fingerprint: Fingerprint(key.subject),
             statement,
--- a/crates/kelpworks/src/membership/share.rs
+++ b/crates/kelpworks/src/membership/share.rs
@@ -1,12 +1,12 @@
 //! This daemon's part of what trials may take of the whole fleet.
 //!
 //! ```
-//! use kelpworks::membership::share::part;
+//! use kelpworks::membership::share::fair_share;
 //!
 //! // A fifth of the demand gets a fifth of the rate, whoever else is there.
-//! assert_eq!(part(1_000.0, 200, &[500, 300]), 200.0);
+//! assert_eq!(fair_share(1_000.0, 200, &[500, 300]), 200.0);
 //! // Without any demand, all get the same.
-//! assert_eq!(part(900.0, 0, &[0, 0]), 300.0);
+//! assert_eq!(fair_share(900.0, 0, &[0, 0]), 300.0);
 //! ```
 //!
 //! The parts of daemons that see the same members and samples add up to the whole. Since they see
@@ -20,7 +20,7 @@
 const LEAST_WEIGHT: f64 = 0.02;
 
 /// The part of `rate` that falls to a daemon by its demand and that of the other live ones.
-pub fn part(rate: f64, own: u32, others: &[u32]) -> f64 {
+pub fn fair_share(rate: f64, own: u32, others: &[u32]) -> f64 {
     let count = others.len() as f64 + 1.0;
     let demands = others.iter().map(|&d| f64::from(d));
     let total: f64 = demands.clone().sum::<f64>() + f64::from(own);
@@ -67,7 +67,7 @@
 
 impl Demand {
     /// What peers should know, in positions a second.
-    pub fn told(&self) -> u32 {
+    pub fn reported(&self) -> u32 {
         self.told
     }
 
--- a/crates/kelpworks/src/membership/trials.rs
+++ b/crates/kelpworks/src/membership/trials.rs
@@ -9,10 +9,10 @@
 
 use super::Peers;
 use super::share::Demand;
+use super::share::fair_share;
 use super::share::fleet_positions;
-use super::share::part;
+use crate::active_config::ActiveConfig;
 use crate::admission::Admission;
-use crate::in_force::InForce;
 use crate::register::Register;
 
 /// How often the rate is set; the demand is that of one such interval.
@@ -23,7 +23,7 @@
 pub(crate) struct TrialShare {
     pub(crate) peers: Peers,
     pub(crate) admission: Admission,
-    pub(crate) config: Arc<ArcSwap<InForce>>,
+    pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
     /// Changes with each configuration that comes in force.
     pub(crate) register: watch::Receiver<Arc<Register>>,
 }
@@ -41,7 +41,7 @@
                 // At once: until a rate is set trials fill all the room there is, and each that
                 // was accepted is answered whole.
                 Ok(()) = self.register.changed() => {
-                    self.set_rate(demand.told());
+                    self.set_rate(demand.reported());
                     continue;
                 }
                 _ = tick.tick() => {}
@@ -60,7 +60,7 @@
             return;
         }
         let whole = config.rules.trial_share * fleet_positions(&config.register);
-        let rate = part(whole, own, &self.peers.trial_demands());
+        let rate = fair_share(whole, own, &self.peers.trial_demands());
         metrics::gauge!("kelpworks_trial_rate").set(rate);
         self.admission.set_trial_rate(rate);
     }
--- a/crates/kelpworks/src/membership/upstream_facts.rs
+++ b/crates/kelpworks/src/membership/upstream_facts.rs
@@ -1,4 +1,4 @@
-//! Carries what daemons observe of upstreams between the keeper and the peers.
+//! Carries what daemons observe of upstreams between the monitor and the peers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,9 +10,9 @@
 
 use super::Peers;
 use crate::upstreams::Observation;
-use crate::upstreams::PeerWord;
+use crate::upstreams::ObservationKind;
+use crate::upstreams::PeerReport;
 use crate::upstreams::Report;
-use crate::upstreams::Trouble;
 use kelpworks_coord::facts::Kind;
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::id::UpstreamId;
@@ -74,15 +74,15 @@
         *stated = now;
     }
 
-    /// Tells the keeper what the others state, when it differs from what it was told.
-    fn tell(&self, told: &mut Vec<PeerWord>) {
+    /// Tells the monitor what the others state, when it differs from what it was told.
+    fn tell(&self, told: &mut Vec<PeerReport>) {
         let me = NodeId::of(&self.peers.contact().name);
-        let mut words: BTreeMap<UpstreamId, PeerWord> = BTreeMap::new();
+        let mut words: BTreeMap<UpstreamId, PeerReport> = BTreeMap::new();
         for kind in [Kind::Leaving, Kind::Quarantine, Kind::Down] {
-            let facts = self.peers.standing(kind);
+            let facts = self.peers.active_facts(kind);
             for fact in facts.iter().filter(|f| f.key.author != me) {
                 let upstream = UpstreamId(fact.key.subject);
-                let word = words.entry(upstream).or_insert(PeerWord {
+                let word = words.entry(upstream).or_insert(PeerReport {
                     upstream,
                     leaving: false,
                     down: 0,
@@ -93,7 +93,7 @@
                 }
             }
         }
-        let words: Vec<PeerWord> = words.into_values().collect();
+        let words: Vec<PeerReport> = words.into_values().collect();
         if *told != words {
             let _ = self.reports.send(Report::Peers(words.clone()));
             *told = words;
@@ -101,9 +101,9 @@
     }
 }
 
-fn kind(trouble: Trouble) -> Kind {
+fn kind(trouble: ObservationKind) -> Kind {
     match trouble {
-        Trouble::Leaving => Kind::Leaving,
-        Trouble::Down => Kind::Down,
+        ObservationKind::Leaving => Kind::Leaving,
+        ObservationKind::Down => Kind::Down,
     }
 }
--- a/crates/kelpworks/src/operators/mod.rs
+++ b/crates/kelpworks/src/operators/mod.rs
@@ -19,7 +19,7 @@
 use salvo::writing::Json;
 use tokio::sync::watch;
 
-use crate::border::era::Eras;
+use crate::clients::era::Eras;
 use crate::entry::Entry;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
--- a/crates/kelpworks/src/pipeline/driver.rs
+++ b/crates/kelpworks/src/pipeline/driver.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::admission::Permit;
-use crate::border::engine::Engine;
+use crate::clients::engine::Engine;
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::ModelKey;
@@ -22,8 +22,8 @@
 use crate::pipeline::step::StepFailure;
 use crate::quarantine;
 use crate::quarantine::Quarantine;
+use crate::retry::AbandonReason;
 use crate::retry::Cooldowns;
-use crate::retry::GiveUp;
 use crate::retry::RetryBudget;
 use crate::routing;
 use crate::upstreams::Report;
@@ -34,7 +34,7 @@
 use kelpworks_wire::OutputForm;
 
 /// The result of this module.
-pub(crate) type Result<T> = std::result::Result<T, Ending>;
+pub(crate) type Result<T> = std::result::Result<T, SessionError>;
 
 /// A session to drive.
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Error)]
 #[non_exhaustive]
-pub enum Ending {
+pub enum SessionError {
     /// No path through the stages within the deadline.
     #[error("no upstream can take the request: {0}")]
     NoPath(routing::Error),
@@ -83,7 +83,7 @@
         /// How the stage failed.
         failure: StepFailure,
         /// Why it is not tried again.
-        reason: GiveUp,
+        reason: AbandonReason,
     },
     /// Upstreams crashed while they ran the request.
     #[error(transparent)]
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Why it ended.
-    pub result: std::result::Result<FinishReason, Ending>,
+    pub result: std::result::Result<FinishReason, SessionError>,
     /// Whether any of it may have run.
     pub verdict: Verdict,
     /// Stages replaced on the way.
@@ -138,9 +138,9 @@
         let deadline = job.deadline;
         let result = tokio::select! {
             result = session.answer(permit, tx) => result,
-            () = tx.closed() => Err(Ending::CallerGone),
-            () = tokio::time::sleep_until(deadline) => Err(Ending::Deadline),
-            () = self.abort.cancelled() => Err(Ending::Stopped),
+            () = tx.closed() => Err(SessionError::CallerGone),
+            () = tokio::time::sleep_until(deadline) => Err(SessionError::Deadline),
+            () = self.abort.cancelled() => Err(SessionError::Stopped),
         };
         permit.used(session.known.len() as u32);
         if result.is_ok() {
--- a/crates/kelpworks/src/pipeline/mod.rs
+++ b/crates/kelpworks/src/pipeline/mod.rs
@@ -16,8 +16,8 @@
 pub mod tokens;
 
 pub use driver::Driver;
-pub use driver::Ending;
 pub use driver::Job;
 pub use driver::Outcome;
+pub use driver::SessionError;
 pub use step::Deadlines;
 pub use step::StepFailure;
--- a/crates/kelpworks/src/pipeline/path.rs
+++ b/crates/kelpworks/src/pipeline/path.rs
@@ -6,11 +6,11 @@
 use log::info;
 use tokio::time::Instant;
 
-use crate::border::engine::Engine;
+use crate::clients::engine::Engine;
 use crate::fleet::Fleet;
 use crate::fleet::ModelKey;
-use crate::pipeline::driver::Ending;
 use crate::pipeline::driver::Result;
+use crate::pipeline::driver::SessionError;
 use crate::pipeline::hop::HopState;
 use crate::pipeline::session::Session;
 use crate::routing;
@@ -34,13 +34,13 @@
                 // Its caller has nothing yet and may ask elsewhere; one that has a part of the
                 // answer can only get the rest here.
                 Err(e) if !self.has_sent() && give_up <= Instant::now() => {
-                    return Err(Ending::NoPath(e));
+                    return Err(SessionError::NoPath(e));
                 }
                 Err(e) if self.job.deadline <= Instant::now() + NO_PATH_WAIT => {
-                    return Err(Ending::NoPath(e));
+                    return Err(SessionError::NoPath(e));
                 }
                 Err(e) if self.verdict == Verdict::NotRun && self.hops.is_empty() => {
-                    return Err(Ending::NoPath(e));
+                    return Err(SessionError::NoPath(e));
                 }
                 Err(_) => tokio::time::sleep(NO_PATH_WAIT).await,
             }
@@ -76,7 +76,9 @@
         self.fixed.version = model.versions[usize::from(path.version)].clone();
         self.take(&fleet, &path);
         let on_path = self.hops.iter().map(|h| h.upstream);
-        self.driver.quarantine.routed(self.job.fingerprint, on_path);
+        self.driver
+            .quarantine
+            .record_path(self.job.fingerprint, on_path);
         self.assignment = Some(Assignment::new(&fleet, &path.hops));
         let names: Vec<&str> = self.hops.iter().map(|h| &*h.name).collect();
         info!(
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -10,21 +10,21 @@
 use log::info;
 use tokio::time::Instant;
 
-use crate::border::engine::Engine;
+use crate::clients::engine::Engine;
 use crate::fleet::Counters;
 use crate::fleet::Fleet;
 use crate::fleet::UpstreamKey;
 use crate::pipeline::driver::Driver;
-use crate::pipeline::driver::Ending;
 use crate::pipeline::driver::Result;
+use crate::pipeline::driver::SessionError;
 use crate::pipeline::driver::jittered;
 use crate::pipeline::path::NO_PATH_WAIT;
 use crate::pipeline::session::Session;
 use crate::pipeline::step::StepFailure;
 use crate::quarantine;
+use crate::retry::AbandonReason;
 use crate::retry::Attempt;
 use crate::retry::Decision;
-use crate::retry::GiveUp;
 use crate::routing;
 use crate::upstreams::Report;
 use crate::verdict::Verdict;
@@ -82,7 +82,7 @@
         match failure {
             // Waiting is not a failure of the session; only its deadline bounds it.
             StepFailure::Busy(after) => self.wait_or_move(at, after).await,
-            StepFailure::Quarantined(refusal) => Err(Ending::Quarantined(refusal)),
+            StepFailure::Quarantined(refusal) => Err(SessionError::Quarantined(refusal)),
             StepFailure::Refused {
                 reason: RefusalReason::PositionGap,
                 ..
@@ -98,7 +98,7 @@
             StepFailure::Refused {
                 reason: RefusalReason::Invalid,
                 ..
-            } => Err(Ending::Stage(failure)),
+            } => Err(SessionError::Stage(failure)),
             StepFailure::Refused { .. } => self.move_off(upstream, "stage refused").await,
             StepFailure::Unreachable
             | StepFailure::Silent
@@ -196,7 +196,7 @@
         }
         let checked = self.driver.quarantine.check(self.job.fingerprint);
         if let Err(refusal @ quarantine::Refusal::Crashes { .. }) = checked {
-            return Err(Ending::Quarantined(refusal));
+            return Err(SessionError::Quarantined(refusal));
         }
         self.recoveries += 1;
         let delay = self.back_off(failure)?;
@@ -226,15 +226,15 @@
         let sent = self.has_sent();
         match decision {
             Decision::RetryAt(delay) => Ok(delay),
-            Decision::GiveUp(_) if sent && self.recoveries <= MAX_RECOVERIES => {
+            Decision::Abandon(_) if sent && self.recoveries <= MAX_RECOVERIES => {
                 Ok(jittered(SLOWEST_BACKOFF))
             }
-            Decision::GiveUp(GiveUp::Budget) if self.recoveries <= SURE_RECOVERIES => {
+            Decision::Abandon(AbandonReason::Budget) if self.recoveries <= SURE_RECOVERIES => {
                 Ok(jittered(SLOWEST_BACKOFF))
             }
-            Decision::GiveUp(reason) => {
+            Decision::Abandon(reason) => {
                 let failure = failure.clone();
-                Err(Ending::Retries { failure, reason })
+                Err(SessionError::Retries { failure, reason })
             }
         }
     }
@@ -245,14 +245,14 @@
         let known = self.known.len() as u32;
         self.driver
             .quarantine
-            .reached(self.job.fingerprint, known, true);
+            .record_progress(self.job.fingerprint, known, true);
     }
 
     /// Upstreams that a suspect had better not move to: those where others run, and all in the
     /// failure domain of the one that died with it, which may die for the same reason. Never one
     /// that keeps its place.
     pub(super) fn apart_from(&self, fleet: &Fleet, keep: &[routing::Hop]) -> Vec<UpstreamKey> {
-        let places = self.driver.quarantine.places(self.job.fingerprint);
+        let places = self.driver.quarantine.routing_hints(self.job.fingerprint);
         let mut apart = places.occupied;
         if let Some(crashed) = places.crashed.and_then(|key| fleet.upstreams.get(key)) {
             let same = fleet.upstreams.iter();
--- a/crates/kelpworks/src/pipeline/release.rs
+++ b/crates/kelpworks/src/pipeline/release.rs
@@ -10,8 +10,8 @@
 use log::debug;
 use log::warn;
 
-use crate::border::engine::Engine;
-use crate::border::engine::Error;
+use crate::clients::engine::Engine;
+use crate::clients::engine::Error;
 use kelpworks_wire::CancelRequest;
 
 /// Wait for an engine to take a cancel, or to answer a probe.
--- a/crates/kelpworks/src/pipeline/session.rs
+++ b/crates/kelpworks/src/pipeline/session.rs
@@ -7,13 +7,13 @@
 use tokio::time::Instant;
 
 use crate::admission::Permit;
-use crate::border::engine::Engine;
+use crate::clients::engine::Engine;
 use crate::fleet::Health;
 use crate::fleet::UpstreamKey;
 use crate::pipeline::driver::Driver;
-use crate::pipeline::driver::Ending;
 use crate::pipeline::driver::Job;
 use crate::pipeline::driver::Result;
+use crate::pipeline::driver::SessionError;
 use crate::pipeline::hop::HopState;
 use crate::pipeline::release::release;
 use crate::pipeline::step::Call;
@@ -21,7 +21,7 @@
 use crate::pipeline::step::Output;
 use crate::pipeline::step::StepFailure;
 use crate::pipeline::tokens;
-use crate::quarantine::Wanted;
+use crate::quarantine::PendingStep;
 use crate::routing::Assignment;
 use crate::verdict::Verdict;
 use kelpworks_wire::CancelRequest;
@@ -94,7 +94,7 @@
         self.route("new session").await?;
         let most = self.job.prompt.len() + self.job.max_tokens as usize;
         loop {
-            permit.turn().await;
+            permit.wait_until_resumed().await;
             self.leave_if_asked();
             let asked = Instant::now();
             let token = self.next_token().await?;
@@ -107,8 +107,8 @@
             let known = self.known.len() as u32;
             self.driver
                 .quarantine
-                .reached(self.job.fingerprint, known, false);
-            tx.send(token).await.map_err(|_| Ending::CallerGone)?;
+                .record_progress(self.job.fingerprint, known, false);
+            tx.send(token).await.map_err(|_| SessionError::CallerGone)?;
             if self.known.len() == most {
                 return Ok(FinishReason::Length);
             }
@@ -191,7 +191,7 @@
             0 => StepInput::Tokens(self.known[hop.have as usize..].to_vec()),
             _ => self.hops[at - 1].output(&self.fixed.session, hop.have, count),
         };
-        let turn = self.driver.quarantine.begin(Wanted {
+        let turn = self.driver.quarantine.begin(PendingStep {
             fingerprint: self.job.fingerprint,
             upstream: hop.upstream,
             name: &upstream.name,
@@ -207,7 +207,7 @@
             deadlines: &self.driver.deadlines,
             count,
         };
-        if turn.is_apart() {
+        if turn.is_isolated() {
             call.incarnation = call.alive().await?;
         }
         // Until the reply says otherwise: this future may be dropped after the step was sent.
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -9,8 +9,8 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::border::engine;
-use crate::border::engine::Engine;
+use crate::clients::engine;
+use crate::clients::engine::Engine;
 use crate::fleet::Counters;
 use crate::pipeline::hop::HopState;
 use crate::quarantine;
--- a/crates/kelpworks/src/pipeline/tokens.rs
+++ b/crates/kelpworks/src/pipeline/tokens.rs
@@ -2,7 +2,7 @@
 //! as a space and three hexadecimal digits. Token 0 ends an answer.
 //!
 //! Limits: it stands for the tokenizer of a real model, which belongs to that
-//! model's adapter on the engine border.
+//! model's adapter on the engine client.
 
 /// The token that ends an answer.
 pub const END: u32 = 0;
--- a/crates/kelpworks/src/placement/input.rs
+++ b/crates/kelpworks/src/placement/input.rs
@@ -63,7 +63,7 @@
 
 /// Layers that a host holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldRange {
+pub struct HostRange {
     /// The host.
     pub host: HostKey,
     /// The model.
@@ -86,7 +86,7 @@
     /// Links, a square matrix over [`Input::domains`], row major.
     pub links: Vec<LinkCost>,
     /// What hosts hold today.
-    pub holdings: Vec<HeldRange>,
+    pub loaded_ranges: Vec<HostRange>,
     /// Bytes a second that the weight store delivers to the whole fleet; above 0.
     pub weight_rate: Rate,
 }
@@ -113,7 +113,7 @@
                 .collect(),
             models: models.collect(),
             links: links(register, default_link),
-            holdings: Vec::new(),
+            loaded_ranges: Vec::new(),
             weight_rate: rate,
         }
     }
--- a/crates/kelpworks/src/placement/mod.rs
+++ b/crates/kelpworks/src/placement/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! * [`plan()`] places all models anew, near today's holdings where that costs little rate;
 //! * [`repair()`] changes a plan in force after a loss, by the fewest moves;
-//! * [`held`] is the plan that today's holdings amount to;
-//! * [`absorb`] puts hosts to use that joined or came back;
+//! * [`plan_from_loaded`] is the plan that today's holdings amount to;
+//! * [`assign_idle_hosts`] puts hosts to use that joined or came back;
 //! * [`improve`] gives a better plan when it is worth the moves;
 //! * [`orders()`] leads from today's holdings to a plan without a model ceasing to be whole;
 //! * [`Plan::explain`] gives the reason for each host, for the log.
@@ -17,7 +17,7 @@
 //! use std::time::Duration;
 //!
 //! use kelpworks::fleet::{DomainKey, LinkCost, ModelKey};
-//! use kelpworks::placement::{HostSpec, Input, Lost, ModelSpec, orders, plan, repair};
+//! use kelpworks::placement::{FailureScope, HostSpec, Input, ModelSpec, orders, plan, repair};
 //! use kelpworks::units::{Rate, Size};
 //!
 //! let host = |i: u16| HostSpec {
@@ -40,7 +40,7 @@
 //!         demand: 1.0,
 //!     }],
 //!     links: vec![link; 4],
-//!     holdings: Vec::new(),
+//!     loaded_ranges: Vec::new(),
 //!     weight_rate: Rate(2_000_000_000),
 //! };
 //! let placed = plan(&input);
@@ -50,8 +50,8 @@
 //! let steps = orders(&input, &placed).steps;
 //! assert_eq!(steps.len(), 8);
 //!
-//! input.holdings = placed.holdings(&input);
-//! let lost = Lost::Host(input.host_named("host-3").unwrap());
+//! input.loaded_ranges = placed.host_ranges(&input);
+//! let lost = FailureScope::Host(input.host_named("host-3").unwrap());
 //! assert_eq!(repair(&input, &placed, lost).moves(&input), 0);
 //! ```
 //!
@@ -75,8 +75,8 @@
 mod state;
 mod today;
 
-pub use input::HeldRange;
 pub use input::HostKey;
+pub use input::HostRange;
 pub use input::HostSpec;
 pub use input::Input;
 pub use input::KV_HEADROOM;
@@ -99,11 +99,11 @@
 pub use plan::Stage;
 pub use planner::MOVE_TOLERANCE;
 pub use planner::plan;
+pub use repair::FailureScope;
 pub use repair::IMPROVE_HYSTERESIS;
-pub use repair::Lost;
-pub use repair::absorb;
-pub use repair::held;
+pub use repair::assign_idle_hosts;
 pub use repair::improve;
+pub use repair::plan_from_loaded;
 pub use repair::repair;
 pub use repair::without;
 
--- a/crates/kelpworks/src/placement/orders.rs
+++ b/crates/kelpworks/src/placement/orders.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::input::HeldRange;
 use super::input::HostKey;
+use super::input::HostRange;
 use super::input::Input;
 use super::plan::Plan;
 use super::plan::covers;
@@ -93,7 +93,7 @@
     /// Number of its wave, from 0; never less than that of the step before.
     pub wave: u32,
     /// The host and the range.
-    pub range: HeldRange,
+    pub range: HostRange,
     /// What to do with the range.
     pub action: Action,
     /// Why.
@@ -121,7 +121,7 @@
     pub switches: Vec<Switch>,
     /// Ranges of the plan that can't be loaded without breaking a model that is whole; empty when
     /// the steps lead to the plan. Another live host, or more memory, would help.
-    pub blocked: Vec<HeldRange>,
+    pub blocked: Vec<HostRange>,
 }
 
 /// The steps from today's holdings to the plan.
@@ -171,11 +171,11 @@
 struct Run<'a> {
     input: &'a Input,
     /// Ranges held after the steps so far, on live hosts.
-    held: Vec<HeldRange>,
+    held: Vec<HostRange>,
     /// Ranges of the plan.
-    wanted: Vec<HeldRange>,
+    wanted: Vec<HostRange>,
     /// Ranges held at the start.
-    start: Vec<HeldRange>,
+    start: Vec<HostRange>,
     /// The steps so far.
     steps: Vec<OrderStep>,
     /// The switches so far.
@@ -186,13 +186,13 @@
 
 impl<'a> Run<'a> {
     fn new(input: &'a Input, plan: &Plan) -> Run<'a> {
-        let live = |h: &&HeldRange| input.host(h.host).live;
-        let held: Vec<HeldRange> = input.holdings.iter().filter(live).cloned().collect();
+        let live = |h: &&HostRange| input.host(h.host).live;
+        let held: Vec<HostRange> = input.loaded_ranges.iter().filter(live).cloned().collect();
         Run {
             input,
             start: held.clone(),
             held,
-            wanted: plan.holdings(input),
+            wanted: plan.host_ranges(input),
             steps: Vec::new(),
             switches: Vec::new(),
             wave: 0,
@@ -200,17 +200,17 @@
     }
 
     /// Ranges of the plan that are not held yet.
-    fn missing(&self) -> Vec<HeldRange> {
-        let lacks = |w: &&HeldRange| !self.held.iter().any(|h| serves(h, w));
+    fn missing(&self) -> Vec<HostRange> {
+        let lacks = |w: &&HostRange| !self.held.iter().any(|h| serves(h, w));
         self.wanted.iter().filter(lacks).cloned().collect()
     }
 
-    fn bytes(&self, range: &HeldRange) -> u64 {
+    fn bytes(&self, range: &HostRange) -> u64 {
         let layers = range.layers.end - range.layers.first;
         u64::from(layers) * self.input.model(range.model).layer_size.0
     }
 
-    fn has_room(&self, range: &HeldRange) -> bool {
+    fn has_room(&self, range: &HostRange) -> bool {
         let on_host = self.held.iter().filter(|h| h.host == range.host);
         let used: u64 = on_host.map(|h| self.bytes(h)).sum();
         used + self.bytes(range) <= self.input.weight_memory(range.host)
@@ -219,9 +219,9 @@
     /// A wave of all loads that there is room for; returns whether there were any.
     fn load(&mut self) -> bool {
         let fitting = self.missing();
-        let mut ranked: Vec<(usize, HeldRange)> = Vec::new();
+        let mut ranked: Vec<(usize, HostRange)> = Vec::new();
         for range in fitting.into_iter().filter(|r| self.has_room(r)) {
-            let same = |r: &HeldRange| {
+            let same = |r: &HostRange| {
                 r.model == range.model && r.version == range.version && r.layers == range.layers
             };
             let held = self.held.iter().filter(|h| same(h)).count();
@@ -255,8 +255,8 @@
 
     /// A wave of drops; returns whether there were any.
     fn unload(&mut self, care: Care) -> bool {
-        let planned = |h: &HeldRange| self.wanted.iter().any(|w| serves(h, w));
-        let obsolete: Vec<HeldRange> = self.held.iter().filter(|h| !planned(h)).cloned().collect();
+        let planned = |h: &HostRange| self.wanted.iter().any(|w| serves(h, w));
+        let obsolete: Vec<HostRange> = self.held.iter().filter(|h| !planned(h)).cloned().collect();
         let missing = self.missing();
         let versions = self.versions();
         let budget = ROOM_TIME.as_secs_f64() * self.input.weight_rate.0 as f64;
@@ -285,7 +285,7 @@
     }
 
     /// Takes the step that drops a range.
-    fn drop_range(&mut self, range: HeldRange, drain: Drain, for_room: bool) {
+    fn drop_range(&mut self, range: HostRange, drain: Drain, for_room: bool) {
         let reason = match (drain, for_room) {
             (Drain::Version, _) => OrderReason::Superseded,
             (_, true) => OrderReason::Room,
@@ -316,7 +316,7 @@
     }
 
     /// What must drain before a range may be dropped; `None` when it may not be dropped.
-    fn drain(&self, range: &HeldRange, care: Care, versions: &[VersionState]) -> Option<Drain> {
+    fn drain(&self, range: &HostRange, care: Care, versions: &[VersionState]) -> Option<Drain> {
         let find = |version: &str| {
             let same = |v: &&VersionState| v.model == range.model && *v.version == *version;
             versions.iter().find(same)
@@ -355,8 +355,8 @@
     }
 
     /// See [`VersionState::share`], for the version of a range.
-    fn share(&self, of: &HeldRange) -> f64 {
-        let rate = |ranges: &[HeldRange], layer| -> f64 {
+    fn share(&self, of: &HostRange) -> f64 {
+        let rate = |ranges: &[HostRange], layer| -> f64 {
             let hosts = holders(ranges.iter(), of, layer);
             hosts.iter().map(|&h| self.input.host(h).layer_rate).sum()
         };
@@ -366,7 +366,7 @@
     }
 
     /// Whether enough replicas of each layer stay when a range is dropped.
-    fn keeps(&self, range: &HeldRange, care: Care) -> bool {
+    fn keeps(&self, range: &HostRange, care: Care) -> bool {
         // Holders change at the ends of ranges only, so one layer between two ends is enough.
         let ends = self.start.iter().chain(&self.held);
         let ends = ends.filter(|h| h.model == range.model && h.version == range.version);
@@ -378,7 +378,7 @@
         layers.into_iter().all(|l| self.keeps_layer(range, care, l))
     }
 
-    fn keeps_layer(&self, range: &HeldRange, care: Care, layer: u32) -> bool {
+    fn keeps_layer(&self, range: &HostRange, care: Care, layer: u32) -> bool {
         let others = self.held.iter().filter(|h| h.host != range.host);
         let left = holders(others, range, layer);
         if care == Care::Whole {
@@ -388,7 +388,7 @@
         let domains = self.domains(&start).min(KEEP_DOMAINS);
         // Of the planned replicas, not of those at the start: the answer must stay the same when
         // orders are asked for anew half way.
-        let of_layer = |w: &&HeldRange| w.model == range.model && contains(&w.layers, layer);
+        let of_layer = |w: &&HostRange| w.model == range.model && contains(&w.layers, layer);
         let planned = self.wanted.iter().filter(of_layer).count();
         left.len() >= planned.div_ceil(KEEP_DIVISOR).max(1) && self.domains(&left) >= domains
     }
@@ -402,7 +402,7 @@
 }
 
 /// Whether a held range is all that the plan wants on its host.
-fn serves(held: &HeldRange, wanted: &HeldRange) -> bool {
+fn serves(held: &HostRange, wanted: &HostRange) -> bool {
     held.host == wanted.host
         && held.model == wanted.model
         && held.version == wanted.version
@@ -411,8 +411,8 @@
 
 /// Hosts that hold a layer of the same model and version as `range`, each once.
 fn holders<'h>(
-    held: impl Iterator<Item = &'h HeldRange>,
-    range: &HeldRange,
+    held: impl Iterator<Item = &'h HostRange>,
+    range: &HostRange,
     layer: u32,
 ) -> Vec<HostKey> {
     let same = held.filter(|h| h.model == range.model && h.version == range.version);
@@ -424,8 +424,8 @@
 }
 
 /// Whether every layer is held in the version of a range.
-fn is_whole(input: &Input, held: &[HeldRange], of: &HeldRange) -> bool {
-    let same = |h: &&HeldRange| h.model == of.model && h.version == of.version;
+fn is_whole(input: &Input, held: &[HostRange], of: &HostRange) -> bool {
+    let same = |h: &&HostRange| h.model == of.model && h.version == of.version;
     let mut ranges: Vec<&LayerRange> = held.iter().filter(same).map(|h| &h.layers).collect();
     ranges.sort_by_key(|r| r.first);
     let mut end = 0;
--- a/crates/kelpworks/src/placement/plan.rs
+++ b/crates/kelpworks/src/placement/plan.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-use super::input::HeldRange;
 use super::input::HostKey;
+use super::input::HostRange;
 use super::input::Input;
 use crate::fleet::DomainKey;
 use crate::fleet::ModelKey;
@@ -200,14 +200,14 @@
     }
 
     /// Whether every stage keeps a replica when the hosts that `lost` names are gone.
-    pub fn stands_without(&self, lost: impl Fn(HostKey) -> bool) -> bool {
+    pub fn survives_loss_of(&self, lost: impl Fn(HostKey) -> bool) -> bool {
         let mut stages = self.models.iter().flat_map(|m| &m.stages);
         stages.all(|s| s.hosts.iter().any(|&h| !lost(h)))
     }
 
     /// Whether every stage keeps a replica when this failure domain is gone.
-    pub fn stands_without_domain(&self, input: &Input, domain: DomainKey) -> bool {
-        self.stands_without(|h| input.host(h).domain == domain)
+    pub fn survives_loss_of_domain(&self, input: &Input, domain: DomainKey) -> bool {
+        self.survives_loss_of(|h| input.host(h).domain == domain)
     }
 
     /// Bytes that hosts have to load to get from today's holdings to this plan.
@@ -222,7 +222,7 @@
             return 0;
         };
         let spec = input.model(model);
-        let held = input.holdings.iter().any(|r| {
+        let held = input.loaded_ranges.iter().any(|r| {
             r.host == host
                 && r.model == model
                 && r.version == spec.version
@@ -235,10 +235,10 @@
     }
 
     /// What hosts hold when the plan is in force.
-    pub fn holdings(&self, input: &Input) -> Vec<HeldRange> {
+    pub fn host_ranges(&self, input: &Input) -> Vec<HostRange> {
         let range = |host| {
             let (model, layers) = self.layers(host)?;
-            Some(HeldRange {
+            Some(HostRange {
                 host,
                 model,
                 version: self.model(model)?.version.clone(),
--- a/crates/kelpworks/src/placement/repair.rs
+++ b/crates/kelpworks/src/placement/repair.rs
@@ -21,30 +21,30 @@
 
 /// What was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum FailureScope {
     /// One host.
     Host(HostKey),
     /// All hosts of one failure domain.
     FailureDomain(DomainKey),
 }
 
-impl Lost {
+impl FailureScope {
     /// Whether a host is gone with it.
     pub fn covers(self, input: &Input, host: HostKey) -> bool {
         match self {
-            Lost::Host(h) => h == host,
-            Lost::FailureDomain(d) => input.host(host).domain == d,
+            FailureScope::Host(h) => h == host,
+            FailureScope::FailureDomain(d) => input.host(host).domain == d,
         }
     }
 }
 
 /// The input without what was lost: its hosts are not live and hold nothing.
-pub fn without(input: &Input, lost: Lost) -> Input {
+pub fn without(input: &Input, lost: FailureScope) -> Input {
     let mut left = input.clone();
     for host in input.host_keys().filter(|&h| lost.covers(input, h)) {
         left.hosts[host.index()].live = false;
     }
-    left.holdings.retain(|h| !lost.covers(input, h.host));
+    left.loaded_ranges.retain(|h| !lost.covers(input, h.host));
     left
 }
 
@@ -57,7 +57,7 @@
 /// # Panics
 ///
 /// When the plan is not of this input.
-pub fn repair(input: &Input, plan_in_force: &Plan, lost: Lost) -> Plan {
+pub fn repair(input: &Input, plan_in_force: &Plan, lost: FailureScope) -> Plan {
     let left = without(input, lost);
     let view = View::new(&left);
     let mut state = state_of(&left, &view, plan_in_force);
@@ -81,7 +81,7 @@
 /// # Panics
 ///
 /// When a key in the input points past what it indexes.
-pub fn held(input: &Input) -> Option<Plan> {
+pub fn plan_from_loaded(input: &Input) -> Option<Plan> {
     let view = View::new(input);
     let state = today::state(input, &view)?;
     Some(finish(input, &state))
@@ -93,7 +93,7 @@
 /// # Panics
 ///
 /// When the plan is not of this input.
-pub fn absorb(input: &Input, plan_in_force: &Plan) -> Plan {
+pub fn assign_idle_hosts(input: &Input, plan_in_force: &Plan) -> Plan {
     let view = View::new(input);
     let mut state = state_of(input, &view, plan_in_force);
     today::take_held(input, &mut state);
--- a/crates/kelpworks/src/placement/tests.rs
+++ b/crates/kelpworks/src/placement/tests.rs
@@ -69,7 +69,7 @@
         hosts,
         models,
         links: ends.map(link).collect(),
-        holdings: Vec::new(),
+        loaded_ranges: Vec::new(),
         weight_rate: Rate(LAYER),
     }
 }
@@ -113,11 +113,12 @@
         .sum();
     assert_eq!(placed, plan.assignments.iter().flatten().count());
     if plan.shortfalls.is_empty() {
-        let domains = (0..input.domains.len()).map(|d| Lost::FailureDomain(DomainKey(d as u16)));
-        let losses = input.host_keys().map(Lost::Host).chain(domains);
+        let domains =
+            (0..input.domains.len()).map(|d| FailureScope::FailureDomain(DomainKey(d as u16)));
+        let losses = input.host_keys().map(FailureScope::Host).chain(domains);
         for lost in losses {
             assert!(
-                plan.stands_without(|h| lost.covers(input, h)),
+                plan.survives_loss_of(|h| lost.covers(input, h)),
                 "stands without {lost:?}"
             );
         }
--- a/crates/kelpworks/src/placement/tests/changes.rs
+++ b/crates/kelpworks/src/placement/tests/changes.rs
@@ -10,9 +10,9 @@
         .map(|i| (10, 100.0 + f64::from(i % 3) * 70.0))
         .collect();
     let mut input = input(3, dealt(3, &shapes), vec![model("m", 30, 1.0)]);
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     for h in 0..lost {
-        input = without(&input, Lost::Host(HostKey(h)));
+        input = without(&input, FailureScope::Host(HostKey(h)));
     }
     let again = plan(&input);
     check(&input, &again);
@@ -24,12 +24,16 @@
 }
 
 #[rstest]
-#[case::replicas_left(&[(8, 100.0); 12], Lost::Host(HostKey(0)), 0)]
-#[case::second_domain_gone(&[(8, 100.0); 5], Lost::Host(HostKey(1)), 1)]
-fn repair_moves_the_least(#[case] shapes: &[(u64, f64)], #[case] lost: Lost, #[case] moves: usize) {
+#[case::replicas_left(&[(8, 100.0); 12], FailureScope::Host(HostKey(0)), 0)]
+#[case::second_domain_gone(&[(8, 100.0); 5], FailureScope::Host(HostKey(1)), 1)]
+fn repair_moves_the_least(
+    #[case] shapes: &[(u64, f64)],
+    #[case] lost: FailureScope,
+    #[case] moves: usize,
+) {
     let mut input = input(2, dealt(2, shapes), vec![model("m", 16, 1.0)]);
     let before = plan(&input);
-    input.holdings = before.holdings(&input);
+    input.loaded_ranges = before.host_ranges(&input);
     let after = repair(&input, &before, lost);
     check(&without(&input, lost), &after);
     assert_eq!(after.moves(&input), moves);
@@ -50,12 +54,12 @@
         vec![model("m", 8, 1.0)],
     );
     let mut before = plan(&input);
-    input.holdings = before.holdings(&input);
+    input.loaded_ranges = before.host_ranges(&input);
     assert_eq!(improve(&input, &before), None);
     input.hosts.extend(dealt(2, &vec![(8, 100.0); joined]));
     before.assignments.resize(hosts + joined, None);
     assert_eq!(improve(&input, &before).is_some(), adopted);
-    let absorbed = absorb(&input, &before);
+    let absorbed = assign_idle_hosts(&input, &before);
     check(&input, &absorbed);
     assert_eq!(absorbed.moves(&input), joined);
     assert_eq!(improve(&input, &absorbed), None);
@@ -69,11 +73,11 @@
     let shapes: Vec<(u64, f64)> = (0..18).map(|i| (8, 100.0 + f64::from(i % 4))).collect();
     let mut input = input(3, dealt(3, &shapes), vec![model("m", 24, 1.0)]);
     let before = plan(&input);
-    input.holdings = before.holdings(&input);
-    let lost = Lost::FailureDomain(DomainKey(domain));
+    input.loaded_ranges = before.host_ranges(&input);
+    let lost = FailureScope::FailureDomain(DomainKey(domain));
     let repaired = repair(&input, &before, lost);
     assert_eq!(repaired.moves(&input), 0);
-    assert_eq!(absorb(&input, &repaired), before);
+    assert_eq!(assign_idle_hosts(&input, &repaired), before);
 }
 
 /// Models of one stage of 4 layers each; every host may hold one, and only the models named.
@@ -125,9 +129,9 @@
         shortfalls: vec![],
     };
     check(&input, &before);
-    input.holdings = before.holdings(&input);
-    let after = repair(&input, &before, Lost::Host(HostKey(1)));
-    check(&without(&input, Lost::Host(HostKey(1))), &after);
+    input.loaded_ranges = before.host_ranges(&input);
+    let after = repair(&input, &before, FailureScope::Host(HostKey(1)));
+    check(&without(&input, FailureScope::Host(HostKey(1))), &after);
     assert_eq!(after.shortfalls, []);
     assert_eq!(after.moves(&input), 2);
 }
@@ -150,9 +154,9 @@
 fn hosts_that_are_alike_keep_what_they_hold(#[case] holders: [u32; 2]) {
     let mut input = input(1, dealt(1, &[(4, 100.0); 8]), vec![model("m", 8, 1.0)]);
     // Only half of the model is held, so these are no cuts to keep.
-    input.holdings = plan(&input).holdings(&input);
-    input.holdings.truncate(2);
-    for (h, holder) in input.holdings.iter_mut().zip(holders) {
+    input.loaded_ranges = plan(&input).host_ranges(&input);
+    input.loaded_ranges.truncate(2);
+    for (h, holder) in input.loaded_ranges.iter_mut().zip(holders) {
         h.host = HostKey(holder);
         h.layers = LayerRange { first: 4, end: 8 };
     }
@@ -186,7 +190,7 @@
     let mut input = input(2, dealt(2, shapes), vec![model("m", layers, 1.0)]);
     let stages = replicas.iter().enumerate();
     let stages = stages.flat_map(|(s, &count)| std::iter::repeat_n(s, count));
-    let range = |(host, stage): (HostKey, usize)| HeldRange {
+    let range = |(host, stage): (HostKey, usize)| HostRange {
         host,
         model: ModelKey(0),
         version: Arc::from("v1"),
@@ -195,7 +199,7 @@
             end: cuts[stage + 1],
         },
     };
-    input.holdings = input.host_keys().zip(stages).map(range).collect();
+    input.loaded_ranges = input.host_keys().zip(stages).map(range).collect();
     let found = plan(&input);
     check(&input, &found);
     assert!(found.scale(&input) >= (1.0 - MOVE_TOLERANCE) * input.bound());
--- a/crates/kelpworks/src/placement/tests/invariants.rs
+++ b/crates/kelpworks/src/placement/tests/invariants.rs
@@ -70,7 +70,7 @@
     #[test]
     fn repair_keeps_the_invariants(input in any_input(), lost in 0_u16..4) {
         let before = plan(&input);
-        let lost = Lost::FailureDomain(DomainKey(lost));
+        let lost = FailureScope::FailureDomain(DomainKey(lost));
         check(&without(&input, lost), &repair(&input, &before, lost));
     }
 
@@ -82,7 +82,7 @@
         rate in 1_u32..50,
     ) {
         let mut input = before.clone();
-        input.holdings = plan(&before).holdings(&before);
+        input.loaded_ranges = plan(&before).host_ranges(&before);
         if let Some(host) = input.hosts.get_mut(lost as usize) {
             host.live = false;
         }
@@ -94,8 +94,8 @@
         let orders = orders(&input, &next);
         let held = follow(&input, &orders);
         if orders.blocked.is_empty() {
-            let wanted = next.holdings(&input);
-            let serves = |w: &HeldRange, h: &HeldRange| {
+            let wanted = next.host_ranges(&input);
+            let serves = |w: &HostRange, h: &HostRange| {
                 h.host == w.host && h.model == w.model && h.version == w.version
                     && h.layers.first <= w.layers.first && w.layers.end <= h.layers.end
             };
--- a/crates/kelpworks/src/placement/tests/orders.rs
+++ b/crates/kelpworks/src/placement/tests/orders.rs
@@ -4,10 +4,10 @@
 
 /// Applies orders step by step; after each, memory is kept and no version that was whole stops
 /// being so before the one to serve is. Returns the holdings at the end.
-pub(super) fn follow(input: &Input, orders: &Orders) -> Vec<HeldRange> {
-    let mut held = input.holdings.clone();
+pub(super) fn follow(input: &Input, orders: &Orders) -> Vec<HostRange> {
+    let mut held = input.loaded_ranges.clone();
     held.retain(|h| input.host(h.host).live);
-    let whole = |held: &[HeldRange], model: ModelKey, version: &str| {
+    let whole = |held: &[HostRange], model: ModelKey, version: &str| {
         (0..input.model(model).layers).all(|l| {
             held.iter().any(|h| {
                 h.model == model
@@ -29,7 +29,7 @@
             }
         }
         let on_host = held.iter().filter(|h| h.host == step.range.host);
-        let bytes = |h: &HeldRange| u64::from(h.layers.end - h.layers.first) * LAYER;
+        let bytes = |h: &HostRange| u64::from(h.layers.end - h.layers.first) * LAYER;
         let used: u64 = on_host.map(bytes).sum();
         assert!(used <= input.weight_memory(step.range.host), "memory");
         for h in &before {
@@ -70,7 +70,7 @@
 #[test]
 fn a_new_version_rolls_without_a_cut() {
     let mut input = input(2, dealt(2, &[(4, 100.0); 8]), vec![model("m", 8, 1.0)]);
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let next = plan(&input);
     let orders = orders(&input, &next);
@@ -82,7 +82,7 @@
 #[test]
 fn a_version_that_has_no_second_replica_is_not_cut() {
     let mut input = input(2, dealt(2, &[(4, 100.0); 2]), vec![model("m", 8, 1.0)]);
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let orders = orders(&input, &plan(&input));
     assert_eq!(orders.steps, []);
@@ -92,7 +92,7 @@
 /// Twelve hosts that hold the one stage of a model, and a new version of it to load.
 fn twelve_hosts_to_roll() -> Input {
     let mut input = input(2, dealt(2, &[(16, 100.0); 12]), vec![model("m", 16, 1.0)]);
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     input
 }
@@ -127,7 +127,7 @@
         }
         next.steps.retain(|s| s.wave == 0);
         drops.push(dropped(&next, 0));
-        input.holdings = follow(&input, &next);
+        input.loaded_ranges = follow(&input, &next);
     }
     assert_eq!(drops, [3, 0, 3, 0, 6, 0]);
 }
@@ -135,7 +135,7 @@
 #[test]
 fn new_sessions_switch_once_the_new_version_has_half_of_the_rate() {
     let mut input = input(2, dealt(2, &[(4, 100.0); 3]), vec![model("m", 4, 1.0)]);
-    input.holdings = plan(&input).holdings(&input);
+    input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let orders = orders(&input, &plan(&input));
     assert_eq!(follow(&input, &orders).len(), 3);
@@ -153,8 +153,8 @@
     }
     let mut input = input(2, hosts, vec![model("m", 16, 1.0)]);
     let next = plan(&input);
-    input.holdings = next.holdings(&input);
-    for h in &mut input.holdings {
+    input.loaded_ranges = next.host_ranges(&input);
+    for h in &mut input.loaded_ranges {
         let first = 8 - h.layers.first;
         let end = first + 8;
         h.layers = LayerRange { first, end };
--- a/crates/kelpworks/src/placement/today.rs
+++ b/crates/kelpworks/src/placement/today.rs
@@ -26,7 +26,7 @@
 /// Places idle hosts on the slots whose layers they hold, of whatever version.
 pub(super) fn take_held(input: &Input, state: &mut State<'_>) {
     let ranges = ranges(state);
-    for held in &input.holdings {
+    for held in &input.loaded_ranges {
         let same = |r: &SlotRange| r.model == usize::from(held.model.0) && r.layers == held.layers;
         let Some(slot) = ranges.iter().position(same) else {
             continue;
@@ -46,7 +46,7 @@
     while at < layers {
         let starts = |r: &LayerRange| r.first == at && r.end > at && r.end <= layers;
         let of_model = input
-            .holdings
+            .loaded_ranges
             .iter()
             .filter(|h| usize::from(h.model.0) == model);
         let mut counts: Vec<(u32, usize)> = Vec::new();
@@ -67,7 +67,7 @@
 
 /// Swaps hosts that are alike, and nothing else, until no swap saves a byte.
 pub(super) fn keep_alike(input: &Input, state: &mut State<'_>) {
-    if input.holdings.is_empty() {
+    if input.loaded_ranges.is_empty() {
         return;
     }
     let ranges = ranges(state);
@@ -118,7 +118,7 @@
 /// serve.
 fn held_bytes(input: &Input, host: HostKey, slot: &SlotRange) -> u64 {
     let model = &input.models[slot.model];
-    let held = input.holdings.iter().any(|h| {
+    let held = input.loaded_ranges.iter().any(|h| {
         h.host == host
             && usize::from(h.model.0) == slot.model
             && h.version == model.version
--- a/crates/kelpworks/src/quarantine/mod.rs
+++ b/crates/kelpworks/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 //! let request = fingerprint("studio", "caption", "a red mug");
 //! here.refuse(request);
 //! assert!(here.check(request).is_err());
-//! there.learn(facts.try_recv().unwrap());
+//! there.apply_fact(facts.try_recv().unwrap());
 //! assert!(there.check(request).is_err());
 //! ```
 //!
@@ -32,7 +32,7 @@
 
 mod fact;
 mod state;
-mod turn;
+mod step_guard;
 
 #[cfg(test)]
 mod tests;
@@ -58,8 +58,8 @@
 
 pub use fact::Fact;
 pub use fact::Statement;
-pub use turn::Turn;
-pub use turn::Wanted;
+pub use step_guard::PendingStep;
+pub use step_guard::StepGuard;
 
 /// The result of this module.
 pub type Result<T> = std::result::Result<T, Refusal>;
@@ -71,17 +71,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// How long a request is refused after its second crash. Default 5 min.
-    pub refuse: Duration,
+    pub refusal_ttl: Duration,
     /// How long a suspicion lasts when nothing clears it. Default 5 min.
-    pub remember: Duration,
+    pub suspicion_ttl: Duration,
     /// How long after its latest fact another daemon is still thought to be at work on its
     /// suspects, so that this one waits. Default 3 s: a fact comes with each suspect that it
     /// clears.
-    pub hold: Duration,
+    pub peer_test_timeout: Duration,
     /// Wait between a crash and the first turn of a suspect, where other daemons hear of it.
     /// Default 50 ms: the daemons see the crash at about the same time, and each has to know of
     /// the others' suspects before any is run again. Recovery takes that much longer.
-    pub settle: Duration,
+    pub isolation_delay: Duration,
     /// Tokens past the point of the crash that clear a suspect. Default 2: the first comes from
     /// replaying what was in flight in one step, which may take another way through the engine
     /// than the step that crashed it; the second is an ordinary step again.
@@ -93,10 +93,10 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            refuse: Duration::from_secs(300),
-            remember: Duration::from_secs(300),
-            hold: Duration::from_secs(3),
-            settle: Duration::from_millis(50),
+            refusal_ttl: Duration::from_secs(300),
+            suspicion_ttl: Duration::from_secs(300),
+            peer_test_timeout: Duration::from_secs(3),
+            isolation_delay: Duration::from_millis(50),
             clear_after: 2,
             max_tracked: 4_096,
         }
@@ -124,7 +124,7 @@
 
 /// Upstreams that matter to the path of a suspect.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct RoutingHints {
     /// The latest that died while it ran there.
     pub crashed: Option<UpstreamKey>,
     /// Those on the paths of other suspects.
@@ -170,17 +170,17 @@
         }
     }
 
-    /// What this daemon finds out from now on, for other daemons to [`Quarantine::learn`].
+    /// What this daemon finds out from now on, for other daemons to [`Quarantine::apply_fact`].
     pub fn subscribe(&self) -> broadcast::Receiver<Fact> {
         self.facts.subscribe()
     }
 
     /// Takes a fact that another daemon found out. Facts may come late, twice or out of order.
-    pub fn learn(&self, fact: Fact) {
+    pub fn apply_fact(&self, fact: Fact) {
         if fact.by == self.me {
             return;
         }
-        self.lock().learn(self.now(), fact);
+        self.lock().apply_fact(self.now(), fact);
         self.changed.notify_waiters();
     }
 
@@ -200,19 +200,25 @@
     }
 
     /// What a suspect's path should take note of; empty for all others.
-    pub fn places(&self, fingerprint: Fingerprint) -> Places {
-        self.lock().places(fingerprint)
+    pub fn routing_hints(&self, fingerprint: Fingerprint) -> RoutingHints {
+        self.lock().routing_hints(fingerprint)
     }
 
     /// Notes where a suspect is routed to; of others it takes no note.
-    pub fn routed(&self, fingerprint: Fingerprint, upstreams: impl Iterator<Item = UpstreamKey>) {
-        self.lock().routed(fingerprint, upstreams);
+    pub fn record_path(
+        &self,
+        fingerprint: Fingerprint,
+        upstreams: impl Iterator<Item = UpstreamKey>,
+    ) {
+        self.lock().record_path(fingerprint, upstreams);
     }
 
     /// Notes that a session has come as far as so many known tokens, and whether its answer is
     /// whole with them.
-    pub fn reached(&self, fingerprint: Fingerprint, known: u32, whole: bool) {
-        let facts = self.lock().reached(self.now(), fingerprint, known, whole);
+    pub fn record_progress(&self, fingerprint: Fingerprint, known: u32, whole: bool) {
+        let facts = self
+            .lock()
+            .record_progress(self.now(), fingerprint, known, whole);
         self.publish(facts);
     }
 
--- a/crates/kelpworks/src/quarantine/state.rs
+++ b/crates/kelpworks/src/quarantine/state.rs
@@ -11,11 +11,11 @@
 use crate::fleet::UpstreamKey;
 use crate::quarantine::Config;
 use crate::quarantine::Fact;
-use crate::quarantine::Places;
+use crate::quarantine::PendingStep;
 use crate::quarantine::Refusal;
 use crate::quarantine::Result;
+use crate::quarantine::RoutingHints;
 use crate::quarantine::Statement;
-use crate::quarantine::Wanted;
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_coord::poison::Action;
@@ -106,8 +106,8 @@
 impl State {
     pub(super) fn new(cfg: &Config, me: NodeId) -> State {
         let poison = PoisonConfig {
-            refuse: span(cfg.refuse),
-            remember: span(cfg.remember),
+            refuse: span(cfg.refusal_ttl),
+            remember: span(cfg.suspicion_ttl),
             max_tracked: cfg.max_tracked,
         };
         State {
@@ -167,8 +167,8 @@
     }
 
     /// Asks to begin a step, and notes that it is in flight.
-    pub(super) fn begin(&mut self, now: Instant, wanted: Wanted<'_>) -> Begin {
-        let Wanted {
+    pub(super) fn begin(&mut self, now: Instant, wanted: PendingStep<'_>) -> Begin {
+        let PendingStep {
             fingerprint,
             upstream,
             known,
@@ -198,7 +198,7 @@
         Begin::Begun { key, apart }
     }
 
-    fn take_turn(&mut self, now: Instant, wanted: Wanted<'_>) -> bool {
+    fn take_turn(&mut self, now: Instant, wanted: PendingStep<'_>) -> bool {
         let fingerprint = wanted.fingerprint;
         let suspect = self.suspects.get(&fingerprint);
         if suspect.is_some_and(|s| s.turn.is_some())
@@ -249,7 +249,7 @@
         }
         self.forget(now);
         if told {
-            self.settled_at = now + span(self.cfg.settle);
+            self.settled_at = now + span(self.cfg.isolation_delay);
         }
         let blame = !self.others_ran(now, UpstreamId::of(name));
         let life = self.life(upstream, name);
@@ -287,7 +287,7 @@
         for action in actions {
             let (fingerprint, statement) = match action {
                 Action::RerunApart { fingerprint, .. } => {
-                    let remaining = self.cfg.remember;
+                    let remaining = self.cfg.suspicion_ttl;
                     let statement = Statement::Suspect {
                         upstream,
                         remaining,
@@ -296,7 +296,7 @@
                 }
                 Action::Refuse(fingerprint) => {
                     self.suspects.remove(&fingerprint);
-                    let remaining = self.cfg.refuse;
+                    let remaining = self.cfg.refusal_ttl;
                     (fingerprint, Statement::Refused { remaining })
                 }
                 Action::Clear(fingerprint) => {
@@ -314,7 +314,7 @@
     }
 
     /// A step further; clears a suspect that has come past the point of its crash.
-    pub(super) fn reached(
+    pub(super) fn record_progress(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -339,18 +339,18 @@
     }
 
     pub(super) fn refuse(&mut self, now: Instant, fingerprint: Fingerprint) -> Vec<Fact> {
-        self.refused(now, fingerprint, span(self.cfg.refuse));
+        self.refused(now, fingerprint, span(self.cfg.refusal_ttl));
         self.facts(vec![Action::Refuse(fingerprint)], UpstreamId(0))
     }
 
-    pub(super) fn learn(&mut self, now: Instant, fact: Fact) {
+    pub(super) fn apply_fact(&mut self, now: Instant, fact: Fact) {
         self.forget(now);
         let Fact {
             by,
             fingerprint,
             statement,
         } = fact;
-        let until = now + span(self.cfg.hold);
+        let until = now + span(self.cfg.peer_test_timeout);
         let other = self.others.entry(by).or_insert_with(|| Other {
             suspects: HashMap::new(),
             until,
@@ -420,18 +420,18 @@
             .retain(|_, o| o.until > now && !o.suspects.is_empty());
     }
 
-    pub(super) fn places(&self, fingerprint: Fingerprint) -> Places {
+    pub(super) fn routing_hints(&self, fingerprint: Fingerprint) -> RoutingHints {
         let Some(me) = self.suspects.get(&fingerprint) else {
-            return Places::default();
+            return RoutingHints::default();
         };
         let others = self.suspects.iter().filter(|(f, _)| **f != fingerprint);
-        Places {
+        RoutingHints {
             crashed: me.crashed_on,
             occupied: others.flat_map(|(_, s)| s.path.iter().copied()).collect(),
         }
     }
 
-    pub(super) fn routed(
+    pub(super) fn record_path(
         &mut self,
         fingerprint: Fingerprint,
         upstreams: impl Iterator<Item = UpstreamKey>,
--- a/crates/kelpworks/src/quarantine/turn.rs
+++ b/crates/kelpworks/src/quarantine/step_guard.rs
@@ -14,7 +14,7 @@
 
 /// A step that is about to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct PendingStep<'a> {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Where the step is to run.
@@ -27,7 +27,7 @@
 
 /// A step in flight. Dropping it ends the step, also when its future is dropped.
 #[derive(Debug)]
-pub struct Turn<'a> {
+pub struct StepGuard<'a> {
     quarantine: &'a Quarantine,
     key: StepKey,
     name: &'a str,
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// When the request is refused, at once or after the wait.
-    pub async fn begin<'a>(&'a self, wanted: Wanted<'a>) -> Result<Turn<'a>> {
+    pub async fn begin<'a>(&'a self, wanted: PendingStep<'a>) -> Result<StepGuard<'a>> {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -48,7 +48,7 @@
             let begin = self.lock().begin(self.now(), wanted);
             match begin {
                 Begin::Begun { key, apart } => {
-                    return Ok(Turn {
+                    return Ok(StepGuard {
                         quarantine: self,
                         key,
                         name: wanted.name,
@@ -64,9 +64,9 @@
     }
 }
 
-impl Turn<'_> {
+impl StepGuard<'_> {
     /// Whether this is a suspect's step, for which its upstream's death would count.
-    pub fn is_apart(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.apart
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for StepGuard<'_> {
     fn drop(&mut self) {
         if self.quarantine.lock().end(self.quarantine.now(), self.key) {
             self.quarantine.changed.notify_waiters();
--- a/crates/kelpworks/src/quarantine/tests.rs
+++ b/crates/kelpworks/src/quarantine/tests.rs
@@ -11,8 +11,8 @@
 use crate::fleet::UpstreamKey;
 use crate::quarantine::Config;
 use crate::quarantine::Fact;
+use crate::quarantine::PendingStep;
 use crate::quarantine::Statement;
-use crate::quarantine::Wanted;
 use crate::quarantine::fingerprint;
 use crate::quarantine::state::Begin;
 use crate::quarantine::state::State;
@@ -95,11 +95,11 @@
             }
             Reach(request, known) => {
                 let request = Fingerprint(request);
-                self.state.reached(self.now, request, known, false)
+                self.state.record_progress(self.now, request, known, false)
             }
             Whole(request, known) => {
                 let request = Fingerprint(request);
-                self.state.reached(self.now, request, known, true)
+                self.state.record_progress(self.now, request, known, true)
             }
             Check(request) => {
                 let checked = self.state.check(self.now, Fingerprint(request));
@@ -121,7 +121,7 @@
     }
 
     fn start(&mut self, request: u64, upstream: usize, known: u32) -> String {
-        let wanted = Wanted {
+        let wanted = PendingStep {
             fingerprint: Fingerprint(request),
             upstream: self.keys[upstream],
             name: NAMES[upstream],
@@ -142,7 +142,7 @@
             fingerprint: Fingerprint(request),
             statement,
         };
-        self.state.learn(self.now, fact);
+        self.state.apply_fact(self.now, fact);
         Vec::new()
     }
 }
--- a/crates/kelpworks/src/retry/budget.rs
+++ b/crates/kelpworks/src/retry/budget.rs
@@ -64,13 +64,13 @@
     /// Try again after this delay, elsewhere if possible.
     RetryAt(Duration),
     /// Answer the caller now.
-    GiveUp(GiveUp),
+    Abandon(AbandonReason),
 }
 
 /// Why a request is not tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum GiveUp {
+pub enum AbandonReason {
     /// It may have run, and must not run twice.
     MayHaveRun,
     /// The caller's deadline comes first.
@@ -81,19 +81,19 @@
     Budget,
 }
 
-impl GiveUp {
+impl AbandonReason {
     /// The word for the log and the caller.
     pub fn as_str(self) -> &'static str {
         match self {
-            GiveUp::MayHaveRun => "may have run and is not idempotent",
-            GiveUp::Deadline => "deadline",
-            GiveUp::Attempts => "attempts",
-            GiveUp::Budget => "retry budget",
+            AbandonReason::MayHaveRun => "may have run and is not idempotent",
+            AbandonReason::Deadline => "deadline",
+            AbandonReason::Attempts => "attempts",
+            AbandonReason::Budget => "retry budget",
         }
     }
 }
 
-impl fmt::Display for GiveUp {
+impl fmt::Display for AbandonReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -131,21 +131,21 @@
         self.at = self.at.max(now);
         self.earn(self.cfg.floor * passed.as_secs_f64());
         if attempt.verdict == Verdict::MayHaveRun && !attempt.idempotent {
-            return Decision::GiveUp(GiveUp::MayHaveRun);
+            return Decision::Abandon(AbandonReason::MayHaveRun);
         }
         if attempt.attempts >= self.cfg.attempts {
-            return Decision::GiveUp(GiveUp::Attempts);
+            return Decision::Abandon(AbandonReason::Attempts);
         }
         let delay = self.backoff(attempt.attempts, rng);
         if delay >= attempt.left {
-            return Decision::GiveUp(GiveUp::Deadline);
+            return Decision::Abandon(AbandonReason::Deadline);
         }
         let cost = match attempt.verdict {
             Verdict::NotRun => self.cfg.not_run_cost,
             Verdict::MayHaveRun => 1.0,
         };
         if self.balance < cost {
-            return Decision::GiveUp(GiveUp::Budget);
+            return Decision::Abandon(AbandonReason::Budget);
         }
         self.balance -= cost;
         Decision::RetryAt(delay)
--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -30,9 +30,9 @@
 #[cfg(test)]
 mod tests;
 
+pub use crate::retry::budget::AbandonReason;
 pub use crate::retry::budget::Attempt;
 pub use crate::retry::budget::Decision;
-pub use crate::retry::budget::GiveUp;
 pub use crate::retry::budget::RetryBudget;
 pub use crate::retry::budget::RetryConfig;
 pub use crate::retry::busy::BusyConfig;
--- a/crates/kelpworks/src/retry/tests.rs
+++ b/crates/kelpworks/src/retry/tests.rs
@@ -11,12 +11,12 @@
 
 use crate::fleet::Counters;
 use crate::fleet::UpstreamKey;
+use crate::retry::AbandonReason;
 use crate::retry::Attempt;
 use crate::retry::BusyConfig;
 use crate::retry::Cooldowns;
 use crate::retry::DeadlineConfig;
 use crate::retry::Decision;
-use crate::retry::GiveUp;
 use crate::retry::RetryBudget;
 use crate::retry::RetryConfig;
 use crate::retry::StepDeadline;
@@ -45,14 +45,17 @@
 #[rstest]
 #[case::idempotent(attempt(MayHaveRun, true, 1, ms(1000)), None)]
 #[case::not_run(attempt(NotRun, false, 1, ms(1000)), None)]
-#[case::at_most_once(attempt(MayHaveRun, false, 1, ms(1000)), Some(GiveUp::MayHaveRun))]
-#[case::attempts(attempt(NotRun, true, 10, ms(1000)), Some(GiveUp::Attempts))]
-#[case::deadline(attempt(NotRun, true, 1, ms(0)), Some(GiveUp::Deadline))]
-fn decisions(#[case] attempt: Attempt, #[case] expected: Option<GiveUp>) {
+#[case::at_most_once(
+    attempt(MayHaveRun, false, 1, ms(1000)),
+    Some(AbandonReason::MayHaveRun)
+)]
+#[case::attempts(attempt(NotRun, true, 10, ms(1000)), Some(AbandonReason::Attempts))]
+#[case::deadline(attempt(NotRun, true, 1, ms(0)), Some(AbandonReason::Deadline))]
+fn decisions(#[case] attempt: Attempt, #[case] expected: Option<AbandonReason>) {
     let mut budget = RetryBudget::new(RetryConfig::default());
     let got = match budget.decide(ms(0), &attempt, &mut rng()) {
         Decision::RetryAt(_) => None,
-        Decision::GiveUp(reason) => Some(reason),
+        Decision::Abandon(reason) => Some(reason),
     };
     assert_eq!(got, expected);
 }
--- a/crates/kelpworks/src/routing/index.rs
+++ b/crates/kelpworks/src/routing/index.rs
@@ -9,7 +9,7 @@
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
-use crate::fleet::Holding;
+use crate::fleet::LayerAssignment;
 use crate::fleet::ModelKey;
 use crate::fleet::Upstream;
 use crate::fleet::UpstreamKey;
@@ -187,7 +187,7 @@
     let layers = fleet.models[usize::from(model.0)].layers;
     let mut held = Vec::new();
     for (key, upstream) in serving(fleet, model) {
-        for h in &upstream.holdings {
+        for h in &upstream.layer_assignments {
             if holds(h, model, version, layers) {
                 held.push((key, upstream, h));
             }
@@ -256,7 +256,7 @@
         .filter(|(_, u)| matches!(u.health, Health::Live | Health::Suspect))
 }
 
-fn holds(h: &Holding, model: ModelKey, version: u16, layers: u32) -> bool {
+fn holds(h: &LayerAssignment, model: ModelKey, version: u16, layers: u32) -> bool {
     let sound = h.layers.first < h.layers.end && h.layers.end <= layers;
     h.model == model && h.version == version && sound
 }
--- a/crates/kelpworks/src/routing/mod.rs
+++ b/crates/kelpworks/src/routing/mod.rs
@@ -253,7 +253,7 @@
     }
     let layers = fleet.models[usize::from(query.model.0)].layers;
     hop.layers.end <= layers
-        && upstream.holdings.iter().any(|h| {
+        && upstream.layer_assignments.iter().any(|h| {
             let same = h.model == query.model && h.version == version;
             same && h.layers.first <= hop.layers.first && hop.layers.end <= h.layers.end
         })
--- a/crates/kelpworks/src/routing/tests.rs
+++ b/crates/kelpworks/src/routing/tests.rs
@@ -13,7 +13,7 @@
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
-use crate::fleet::Holding;
+use crate::fleet::LayerAssignment;
 use crate::fleet::LinkCost;
 use crate::fleet::ModelKey;
 use crate::fleet::ModelView;
@@ -46,7 +46,7 @@
         domain: DomainKey(domain),
         health,
         layer_rate: 1000.0,
-        holdings: vec![Holding {
+        layer_assignments: vec![LayerAssignment {
             model: ModelKey(0),
             version,
             layers: LayerRange { first, end },
@@ -185,7 +185,7 @@
     let (fleet, keys) = fleet(&specs);
     let hop = |i: usize| Hop {
         upstream: keys[i],
-        layers: fleet.upstreams[keys[i]].holdings[0].layers.clone(),
+        layers: fleet.upstreams[keys[i]].layer_assignments[0].layers.clone(),
     };
     let keep = [hop(0), hop(2)];
     let avoid: Vec<UpstreamKey> = avoid.iter().map(|&i| keys[i]).collect();
--- a/crates/kelpworks/src/upstreams/mod.rs
+++ b/crates/kelpworks/src/upstreams/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! One task owns the view and publishes snapshots; requests only read them.
 
-mod keeper;
+mod monitor;
 mod poll;
 mod view;
 
@@ -17,10 +17,10 @@
 use kelpworks_wire::EngineState;
 use kelpworks_wire::HostState;
 
-pub use keeper::Keeper;
-pub use keeper::KeeperConfig;
+pub use monitor::UpstreamMonitor;
+pub use monitor::UpstreamMonitorConfig;
 
-/// What the keeper learns.
+/// What the monitor learns.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum Report {
@@ -33,14 +33,14 @@
     /// An upstream did not answer a poll.
     Silent(UpstreamKey),
     /// The host list was read.
-    HostList(Vec<HostSeen>),
+    HostList(Vec<ListedHost>),
     /// What other daemons state of upstreams; of those not listed they state nothing.
-    Peers(Vec<PeerWord>),
+    Peers(Vec<PeerReport>),
 }
 
 /// What other daemons state of one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerWord {
+pub struct PeerReport {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Whether any states that it takes no new work: leaving, or in quarantine.
@@ -55,12 +55,12 @@
     /// Host name of the upstream.
     pub upstream: Arc<str>,
     /// What is the matter with it.
-    pub kind: Trouble,
+    pub kind: ObservationKind,
 }
 
 /// What is the matter with an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Trouble {
+pub enum ObservationKind {
     /// It takes no new work.
     Leaving,
     /// It does not answer.
@@ -69,7 +69,7 @@
 
 /// A host on the platform's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostSeen {
+pub struct ListedHost {
     /// Host name.
     pub name: String,
     /// Live or leaving.
--- a/crates/kelpworks/src/upstreams/keeper.rs
+++ b/crates/kelpworks/src/upstreams/monitor.rs
@@ -9,19 +9,19 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::border::engine::HttpEngine;
+use crate::clients::engine::HttpEngine;
 use crate::fleet::Fleet;
 use crate::fleet::UpstreamKey;
 use crate::register::Register;
 use crate::upstreams::Observation;
-use crate::upstreams::PeerWord;
+use crate::upstreams::PeerReport;
 use crate::upstreams::Report;
 use crate::upstreams::poll;
 use crate::upstreams::view::View;
 
-/// Settings of the keeper.
+/// Settings of the monitor.
 #[derive(Clone, Debug)]
-pub struct KeeperConfig {
+pub struct UpstreamMonitorConfig {
     /// How often each upstream is asked for its state.
     pub state_poll: Duration,
     /// How long an upstream may take to answer.
@@ -30,8 +30,8 @@
 
 /// Owner of the view of the fleet.
 #[derive(Debug)]
-pub struct Keeper {
-    cfg: KeeperConfig,
+pub struct UpstreamMonitor {
+    cfg: UpstreamMonitorConfig,
     engine: Arc<HttpEngine>,
     view: View,
     fleet: Arc<ArcSwap<Fleet>>,
@@ -41,16 +41,16 @@
     observed: watch::Sender<Vec<Observation>>,
 }
 
-impl Keeper {
-    /// A keeper that publishes into `fleet`.
+impl UpstreamMonitor {
+    /// A monitor that publishes into `fleet`.
     pub fn new(
-        cfg: KeeperConfig,
+        cfg: UpstreamMonitorConfig,
         engine: Arc<HttpEngine>,
         register: watch::Receiver<Arc<Register>>,
         fleet: Arc<ArcSwap<Fleet>>,
-    ) -> Keeper {
+    ) -> UpstreamMonitor {
         let (reports_tx, reports) = mpsc::unbounded_channel();
-        Keeper {
+        UpstreamMonitor {
             cfg,
             engine,
             view: View::default(),
@@ -138,7 +138,7 @@
         }
     }
 
-    fn take_peers(&mut self, words: &[PeerWord]) -> bool {
+    fn take_peers(&mut self, words: &[PeerReport]) -> bool {
         let changed = self.view.take_peers(words);
         for &key in &changed {
             self.note(true, key, "word of other daemons");
@@ -151,7 +151,7 @@
         if let Some(upstream) = self.view.fleet.upstreams.get(key).filter(|_| changed) {
             info!(
                 target: "decision", decision = "health", upstream = &*upstream.name,
-                health:? = upstream.health, holdings = upstream.holdings.len(), reason = reason;
+                health:? = upstream.health, holdings = upstream.layer_assignments.len(), reason = reason;
                 "upstream changed"
             );
         }
--- a/crates/kelpworks/src/upstreams/poll.rs
+++ b/crates/kelpworks/src/upstreams/poll.rs
@@ -6,9 +6,9 @@
 
 use tokio::time::Instant;
 
-use crate::border::engine::Engine;
-use crate::border::engine::HttpEngine;
-use crate::border::plain_service::PlainService;
+use crate::clients::engine::Engine;
+use crate::clients::engine::HttpEngine;
+use crate::clients::plain_service::PlainService;
 use crate::fleet::Counters;
 use crate::fleet::UpstreamKey;
 use crate::upstreams::Report;
--- a/crates/kelpworks/src/upstreams/view.rs
+++ b/crates/kelpworks/src/upstreams/view.rs
@@ -1,4 +1,4 @@
-//! The keeper's own state, and how a register and reports change it. No I/O.
+//! The monitor's own state, and how a register and reports change it. No I/O.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,7 +8,7 @@
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
-use crate::fleet::Holding;
+use crate::fleet::LayerAssignment;
 use crate::fleet::LinkCost;
 use crate::fleet::ModelView;
 use crate::fleet::Upstream;
@@ -17,10 +17,10 @@
 use crate::register::HostRole;
 use crate::register::Register;
 use crate::routing::Index;
-use crate::upstreams::HostSeen;
+use crate::upstreams::ListedHost;
 use crate::upstreams::Observation;
-use crate::upstreams::PeerWord;
-use crate::upstreams::Trouble;
+use crate::upstreams::ObservationKind;
+use crate::upstreams::PeerReport;
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_wire::EngineState;
 use kelpworks_wire::HostState;
@@ -41,7 +41,7 @@
 /// Answers to polls without a suspicion after which earlier ones are forgotten.
 const CLEAN_UNTIL_FORGOTTEN: u32 = 60;
 
-/// What the keeper knows of an upstream beside the snapshot.
+/// What the monitor knows of an upstream beside the snapshot.
 #[derive(Clone, Debug, Default)]
 struct Track {
     /// Polls without an answer since the last answer.
@@ -86,7 +86,7 @@
     }
 }
 
-/// The keeper's state.
+/// The monitor's state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: Fleet,
@@ -170,7 +170,7 @@
             domain: self.domain(&host.failure_domain),
             health: Health::Down,
             layer_rate: layer_rate(register, host),
-            holdings: Vec::new(),
+            layer_assignments: Vec::new(),
             service: service(host),
             incarnation: 0,
             counters: Arc::default(),
@@ -192,7 +192,7 @@
         upstream.domain = domain;
         upstream.layer_rate = layer_rate(register, host);
         upstream.service = service(host);
-        upstream.holdings = holdings;
+        upstream.layer_assignments = holdings;
     }
 
     fn domain(&self, name: &str) -> DomainKey {
@@ -214,8 +214,8 @@
         let restarted = upstream.incarnation != state.incarnation;
         upstream.incarnation = state.incarnation;
         upstream.counters.report(&state.load);
-        let changed = restarted || upstream.holdings != holdings;
-        upstream.holdings = holdings;
+        let changed = restarted || upstream.layer_assignments != holdings;
+        upstream.layer_assignments = holdings;
         if changed {
             self.reindex();
         }
@@ -253,7 +253,7 @@
     }
 
     /// Takes the platform's host list; tells whether any upstream's health changed.
-    pub(crate) fn take_host_list(&mut self, hosts: &[HostSeen]) -> bool {
+    pub(crate) fn take_host_list(&mut self, hosts: &[ListedHost]) -> bool {
         self.leaving = hosts
             .iter()
             .filter(|h| h.state == HostState::Leaving)
@@ -268,8 +268,9 @@
     }
 
     /// Takes what other daemons state; returns the upstreams whose health changed by it.
-    pub(crate) fn take_peers(&mut self, words: &[PeerWord]) -> Vec<UpstreamKey> {
-        let words: HashMap<UpstreamId, &PeerWord> = words.iter().map(|w| (w.upstream, w)).collect();
+    pub(crate) fn take_peers(&mut self, words: &[PeerReport]) -> Vec<UpstreamKey> {
+        let words: HashMap<UpstreamId, &PeerReport> =
+            words.iter().map(|w| (w.upstream, w)).collect();
         let named = self.fleet.upstreams.iter();
         let named: Vec<_> = named.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
         let mut changed = Vec::new();
@@ -297,8 +298,8 @@
             let track = &self.tracks[&key];
             let leaving = track.draining || self.leaving.contains(&*upstream.name);
             let kind = match track.misses {
-                MISSES_UNTIL_DOWN.. if track.answered => Trouble::Down,
-                _ if leaving => Trouble::Leaving,
+                MISSES_UNTIL_DOWN.. if track.answered => ObservationKind::Down,
+                _ if leaving => ObservationKind::Leaving,
                 _ => continue,
             };
             let upstream = Arc::clone(&upstream.name);
@@ -332,7 +333,7 @@
         }
     }
 
-    fn holdings(&self, loaded: &[LoadedRange]) -> Vec<Holding> {
+    fn holdings(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
         let mut holdings = Vec::new();
         for range in loaded {
             let Some(model) = self.fleet.model(&range.model) else {
@@ -343,7 +344,7 @@
                 continue;
             };
             let layers = range.layers.clone();
-            holdings.push(Holding {
+            holdings.push(LayerAssignment {
                 model,
                 version: version as u16,
                 layers,
@@ -356,7 +357,7 @@
         let mut by_model = vec![Vec::new(); self.fleet.models.len()];
         let mut by_service: HashMap<String, Vec<UpstreamKey>> = HashMap::new();
         for (key, upstream) in &self.fleet.upstreams {
-            for holding in &upstream.holdings {
+            for holding in &upstream.layer_assignments {
                 let keys: &mut Vec<UpstreamKey> = &mut by_model[usize::from(holding.model.0)];
                 if keys.last() != Some(&key) {
                     keys.push(key);
--- a/crates/kelpworks/tests/border_era.rs
+++ b/crates/kelpworks/tests/border_era.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kelpworks::border::era::EraSource;
-use kelpworks::border::era::Eras;
-use kelpworks::border::object_api::Condition;
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::Error;
-use kelpworks::border::object_api::HttpObjectApi;
-use kelpworks::border::object_api::ObjectApi;
-use kelpworks::executor::Hold;
+use kelpworks::clients::era::EraSource;
+use kelpworks::clients::era::Eras;
+use kelpworks::clients::object_api::Condition;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::Error;
+use kelpworks::clients::object_api::HttpObjectApi;
+use kelpworks::clients::object_api::ObjectApi;
+use kelpworks::executor::LeaseHandle;
 use kelpworks::executor::LeaseKeeper;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Incarnation;
@@ -124,7 +124,7 @@
 ) {
     let eras = Eras::default();
     eras.observe(Era(3), EraSource::Answer);
-    assert_eq!(eras.of_answer(told), taken);
+    assert_eq!(eras.check_response_era(told), taken);
     assert!(eras.latest() >= Era(3), "never falls");
 }
 
@@ -132,18 +132,26 @@
 #[test]
 fn an_era_that_skips_others_is_believed_when_told_twice_in_a_row() {
     let eras = Eras::default();
-    assert_eq!(eras.of_answer(Some(Era(3))), Ok(Era(3)), "the first is");
-    assert_eq!(eras.of_answer(Some(Era(900))), Err(Error::Lost));
-    assert_eq!(eras.of_answer(Some(Era(3))), Ok(Era(3)), "as before");
-    assert_eq!(eras.of_answer(Some(Era(900))), Err(Error::Lost));
-    assert_eq!(eras.of_answer(Some(Era(7))), Err(Error::Lost));
+    assert_eq!(
+        eras.check_response_era(Some(Era(3))),
+        Ok(Era(3)),
+        "the first is"
+    );
+    assert_eq!(eras.check_response_era(Some(Era(900))), Err(Error::Lost));
+    assert_eq!(
+        eras.check_response_era(Some(Era(3))),
+        Ok(Era(3)),
+        "as before"
+    );
+    assert_eq!(eras.check_response_era(Some(Era(900))), Err(Error::Lost));
+    assert_eq!(eras.check_response_era(Some(Era(7))), Err(Error::Lost));
     assert!(
         !eras.observe(Era(3), EraSource::Peer),
         "a peer that is behind"
     );
-    assert_eq!(eras.of_answer(Some(Era(7))), Ok(Era(7)));
+    assert_eq!(eras.check_response_era(Some(Era(7))), Ok(Era(7)));
     assert_eq!(
-        eras.of_answer(Some(Era(8))),
+        eras.check_response_era(Some(Era(8))),
         Ok(Era(8)),
         "the next one at once"
     );
@@ -152,7 +160,7 @@
 #[test]
 fn an_api_without_eras_is_in_the_first() {
     let eras = Eras::default();
-    assert_eq!(eras.of_answer(None), Ok(Era::FIRST));
+    assert_eq!(eras.check_response_era(None), Ok(Era::FIRST));
     assert_eq!(eras.condition(Version::initial(7)), Ok(7));
 }
 
@@ -171,7 +179,7 @@
         watch: Span::from_millis(100),
         ..lease::Config::default()
     };
-    let hold = Arc::new(Hold::new(cfg, owner));
+    let hold = Arc::new(LeaseHandle::new(cfg, owner));
     let keeper = LeaseKeeper::new(client(&fake, &eras), Arc::clone(&hold));
     let leave = CancellationToken::new();
     let kept = {
--- a/crates/kelpworks/tests/border_object_api.rs
+++ b/crates/kelpworks/tests/border_object_api.rs
@@ -15,14 +15,14 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-use kelpworks::border::host_list;
-use kelpworks::border::host_list::HostListApi;
-use kelpworks::border::host_list::HttpHostList;
-use kelpworks::border::object_api::Condition;
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::Error;
-use kelpworks::border::object_api::HttpObjectApi;
-use kelpworks::border::object_api::ObjectApi;
+use kelpworks::clients::host_list;
+use kelpworks::clients::host_list::HostListApi;
+use kelpworks::clients::host_list::HttpHostList;
+use kelpworks::clients::object_api::Condition;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::Error;
+use kelpworks::clients::object_api::HttpObjectApi;
+use kelpworks::clients::object_api::ObjectApi;
 use kelpworks_coord::id::Version;
 
 const OBJECT: &str = r#"{"kind": "k", "name": "n", "version": 7, "body": "text"}"#;
@@ -243,7 +243,7 @@
         .watch("k", Version::initial(4), Duration::from_millis(10))
         .await;
     assert_eq!(silent, Err(Error::Silent));
-    api.fresh();
+    api.reset_connections();
     let bookmark = api.watch("k", Version::initial(4), LONG).await.unwrap();
     assert_eq!(
         (bookmark.events.len(), bookmark.version),
@@ -258,7 +258,7 @@
     let server = Server::start(Answer::Reply(200, OBJECT)).await;
     let api = server.api();
     let _a = api.get("k", "n").await;
-    api.fresh();
+    api.reset_connections();
     let _b = api.get("k", "n").await;
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
 }
--- a/crates/kelpworks/tests/claims_slice.rs
+++ b/crates/kelpworks/tests/claims_slice.rs
@@ -10,18 +10,18 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::HttpObjectApi;
 use kelpworks::claims::CLAIM_KIND;
 use kelpworks::claims::ClaimKey;
 use kelpworks::claims::Claims;
 use kelpworks::claims::Config;
 use kelpworks::claims::Error;
 use kelpworks::claims::Header;
-use kelpworks::claims::Kept;
+use kelpworks::claims::KeyedReply;
 use kelpworks::claims::Peers;
 use kelpworks::claims::Reply;
 use kelpworks::claims::RunError;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::HttpObjectApi;
 use kelpworks::verdict::Verdict;
 use kelpworks_coord::claim::PeerStatus;
 use kelpworks_coord::id::Incarnation;
@@ -32,7 +32,7 @@
 use kelpworks_fakes::ObjectApi;
 use kelpworks_fakes::ObjectApiConfig;
 
-type Answer = Result<Kept, Error<&'static str>>;
+type Answer = Result<KeyedReply, Error<&'static str>>;
 
 /// Another daemon in the same process, asked directly.
 #[derive(Clone, Default)]
--- a/crates/kelpworks/tests/config_accept.rs
+++ b/crates/kelpworks/tests/config_accept.rs
@@ -24,7 +24,7 @@
 const RETRY: RetryPolicy = RetryPolicy {
     attempts: 4,
     pause: Duration::from_millis(10),
-    give_up: Duration::from_secs(2),
+    timeout: Duration::from_secs(2),
 };
 
 /// A register with these models and one host that carries them all.
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::caller::Caller;
 use crate::support;
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::HttpObjectApi;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::HttpObjectApi;
 use kelpworks::config::accept;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
--- a/crates/kelpworks/tests/executor_fence.rs
+++ b/crates/kelpworks/tests/executor_fence.rs
@@ -24,21 +24,21 @@
 use crate::executor_support::rules;
 use crate::executor_support::stands;
 use crate::executor_support::until_now;
-use kelpworks::border::engine::Engine;
-use kelpworks::border::engine::HttpEngine;
-use kelpworks::border::engine::Result;
-use kelpworks::border::object_api::Deadlines;
-use kelpworks::border::object_api::HttpObjectApi;
+use kelpworks::active_config::ActiveConfig;
+use kelpworks::clients::engine::Engine;
+use kelpworks::clients::engine::HttpEngine;
+use kelpworks::clients::engine::Result;
+use kelpworks::clients::object_api::Deadlines;
+use kelpworks::clients::object_api::HttpObjectApi;
 use kelpworks::executor::Config;
 use kelpworks::executor::Executor;
-use kelpworks::executor::Hold;
+use kelpworks::executor::LeaseHandle;
 use kelpworks::executor::lease_config;
 use kelpworks::fleet::Fleet;
-use kelpworks::in_force::InForce;
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
-use kelpworks::upstreams::Keeper;
-use kelpworks::upstreams::KeeperConfig;
+use kelpworks::upstreams::UpstreamMonitor;
+use kelpworks::upstreams::UpstreamMonitorConfig;
 use kelpworks_fakes::Link;
 use kelpworks_fakes::LinkState;
 use kelpworks_fakes::StandIns;
@@ -99,7 +99,7 @@
 /// An executor whose orders are held, behind a link to the object API.
 struct Paused {
     orders: Arc<HeldOrders>,
-    hold: Arc<Hold>,
+    hold: Arc<LeaseHandle>,
     link: Link,
     stop: CancellationToken,
     /// Keeps the register in force.
@@ -109,16 +109,16 @@
 async fn paused(fakes: &StandIns, register: &str) -> Paused {
     let register = Register::parse("register", register).expect("a register");
     let rules = Rules::parse("rules", &rules(), &register).expect("rules");
-    let config = InForce::new(1, register.clone(), rules);
+    let config = ActiveConfig::new(1, register.clone(), rules);
     let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
     let (register_tx, register_rx) = watch::channel(Arc::new(register));
     let stop = CancellationToken::new();
-    let keeper_cfg = KeeperConfig {
+    let keeper_cfg = UpstreamMonitorConfig {
         state_poll: POLL,
         poll_deadline: CALL,
     };
     let border = Arc::new(HttpEngine::new(CALL));
-    let keeper = Keeper::new(keeper_cfg, border, register_rx, Arc::clone(&fleet));
+    let keeper = UpstreamMonitor::new(keeper_cfg, border, register_rx, Arc::clone(&fleet));
     tokio::spawn(keeper.run(stop.clone()));
     let orders = Arc::new(HeldOrders {
         inner: HttpEngine::new(CALL),
@@ -136,7 +136,7 @@
     let api = HttpObjectApi::new(&link.url(), Deadlines::default()).expect("a URL");
     let config = Arc::new(ArcSwap::from_pointee(config));
     let executor = Executor::new(cfg, "paused", Arc::clone(&orders), api, config, fleet);
-    let hold = executor.hold();
+    let hold = executor.lease_handle();
     tokio::spawn(executor.run(CancellationToken::new(), stop.clone()));
     Paused {
         orders,
--- a/crates/kelpworks/tests/overload_admission.rs
+++ b/crates/kelpworks/tests/overload_admission.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 use kelpworks::admission::Admission;
-use kelpworks::admission::Ask;
+use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
 use kelpworks_wire::Class;
 
@@ -15,12 +15,12 @@
 const LIMIT: u32 = 4;
 const QUEUE: u32 = 16;
 
-fn ask(class: Class) -> Ask<'static> {
+fn ask(class: Class) -> AdmissionRequest<'static> {
     let team = match class {
         Class::Paying => "merchandisers",
         Class::Trial => "trial-sellers",
     };
-    Ask {
+    AdmissionRequest {
         team,
         class,
         weight: 1,
--- a/crates/kelpworks/tests/peers_facts.rs
+++ b/crates/kelpworks/tests/peers_facts.rs
@@ -10,16 +10,16 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use kelpworks::border::engine::HttpEngine;
+use kelpworks::clients::engine::HttpEngine;
 use kelpworks::fleet::Fleet;
 use kelpworks::fleet::Health;
 use kelpworks::register::Register;
-use kelpworks::upstreams::Keeper;
-use kelpworks::upstreams::KeeperConfig;
 use kelpworks::upstreams::Observation;
-use kelpworks::upstreams::PeerWord;
+use kelpworks::upstreams::ObservationKind;
+use kelpworks::upstreams::PeerReport;
 use kelpworks::upstreams::Report;
-use kelpworks::upstreams::Trouble;
+use kelpworks::upstreams::UpstreamMonitor;
+use kelpworks::upstreams::UpstreamMonitorConfig;
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_fakes::Connections;
 use kelpworks_fakes::FleetConfig;
@@ -49,12 +49,12 @@
         let register = Register::parse("register", &text).expect("a register");
         let (register_tx, register) = watch::channel(Arc::new(register));
         let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
-        let cfg = KeeperConfig {
+        let cfg = UpstreamMonitorConfig {
             state_poll,
             poll_deadline: Duration::from_secs(5),
         };
         let engine = Arc::new(HttpEngine::new(Duration::from_secs(5)));
-        let keeper = Keeper::new(cfg, engine, register, Arc::clone(&fleet));
+        let keeper = UpstreamMonitor::new(cfg, engine, register, Arc::clone(&fleet));
         let (reports, observed) = (keeper.reports(), keeper.observed());
         let stop = CancellationToken::new();
         tokio::spawn(keeper.run(stop.clone()));
@@ -83,7 +83,7 @@
 
     fn peers_say(&self, leaving: bool, down: u32) {
         let upstream = UpstreamId::of(ENGINE);
-        let word = PeerWord {
+        let word = PeerReport {
             upstream,
             leaving,
             down,
@@ -148,6 +148,6 @@
         .wait_for(|o| !o.is_empty())
         .await
         .expect("a keeper");
-    let kinds: Vec<(&str, Trouble)> = seen.iter().map(|o| (&*o.upstream, o.kind)).collect();
-    assert_eq!(kinds, [(ENGINE, Trouble::Down)]);
+    let kinds: Vec<(&str, ObservationKind)> = seen.iter().map(|o| (&*o.upstream, o.kind)).collect();
+    assert_eq!(kinds, [(ENGINE, ObservationKind::Down)]);
 }
--- a/crates/kelpworks/tests/peers_links.rs
+++ b/crates/kelpworks/tests/peers_links.rs
@@ -111,7 +111,7 @@
     for peers in &three.all {
         until("the fact is known", async || {
             peers
-                .standing(kind)
+                .active_facts(kind)
                 .iter()
                 .any(|f| f.key.subject == subject)
         })
@@ -120,7 +120,7 @@
     three.all[0].clear_fact(kind, subject);
     for peers in &three.all {
         until("the fact is cleared", async || {
-            peers.standing(kind).is_empty()
+            peers.active_facts(kind).is_empty()
         })
         .await;
     }
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -8,7 +8,7 @@
 
 use kelpworks::membership::Config;
 use kelpworks::membership::share::Demand;
-use kelpworks::membership::share::part;
+use kelpworks::membership::share::fair_share;
 use kelpworks::status::MemberState;
 use kelpworks_coord::facts::Kind;
 use kelpworks_coord::time::Span;
@@ -149,7 +149,7 @@
         let now = kelpworks_coord::time::Instant::from_millis(net.now_ms());
         let nodes = (0..daemons).filter_map(|at| net.node(at));
         nodes
-            .filter(|n| !n.standing(now, Kind::Down).is_empty())
+            .filter(|n| !n.active_facts(now, Kind::Down).is_empty())
             .count()
     };
     let mut net = net(daemons, 1, seed);
@@ -171,7 +171,7 @@
         let parts = (0..demands.len()).map(|at| {
             let mut others = demands.clone();
             let own = others.remove(at);
-            part(1_000.0, own, &others)
+            fair_share(1_000.0, own, &others)
         });
         let sum: f64 = parts.sum();
         prop_assert!((sum - 1_000.0).abs() < 1e-6, "{}", sum);
--- a/crates/kelpworks/tests/poison/mod.rs
+++ b/crates/kelpworks/tests/poison/mod.rs
@@ -40,7 +40,7 @@
 /// Long enough for facts to arrive also on a machine with much else to do.
 fn patient() -> quarantine::Config {
     quarantine::Config {
-        settle: Duration::from_millis(500),
+        isolation_delay: Duration::from_millis(500),
         ..quarantine::Config::default()
     }
 }
@@ -78,7 +78,7 @@
     /// The same, with so many daemons; only a word from a daemon ends the wait for it.
     pub(crate) async fn start_daemons(count: usize, replicas: u32, restart: Duration) -> Bench {
         let cfg = quarantine::Config {
-            hold: PATIENCE * 2,
+            peer_test_timeout: PATIENCE * 2,
             ..patient()
         };
         Bench::start_with(count, replicas, restart, cfg).await
@@ -147,7 +147,7 @@
             let mut facts = from.subscribe();
             tokio::spawn(async move {
                 while let Ok(fact) = facts.recv().await {
-                    to.iter().for_each(|q| q.learn(fact));
+                    to.iter().for_each(|q| q.apply_fact(fact));
                 }
             });
         }
--- a/crates/kelpworks/tests/poison_requests.rs
+++ b/crates/kelpworks/tests/poison_requests.rs
@@ -122,7 +122,7 @@
 ) {
     let bench = Bench::start(1, RESTART).await;
     for &statement in statements {
-        bench.daemons[0].quarantine().learn(Fact {
+        bench.daemons[0].quarantine().apply_fact(Fact {
             by: NodeId(1),
             fingerprint: fingerprint("studio", "caption", "a mug"),
             statement,
--- a/crates/kelpworks/tests/retry_driver.rs
+++ b/crates/kelpworks/tests/retry_driver.rs
@@ -18,29 +18,29 @@
 use tokio_util::task::TaskTracker;
 
 use kelpworks::admission::Admission;
-use kelpworks::admission::Ask;
-use kelpworks::border::engine;
-use kelpworks::border::engine::Engine;
+use kelpworks::admission::AdmissionRequest;
+use kelpworks::clients::engine;
+use kelpworks::clients::engine::Engine;
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::Fleet;
 use kelpworks::fleet::Health;
-use kelpworks::fleet::Holding;
+use kelpworks::fleet::LayerAssignment;
 use kelpworks::fleet::LinkCost;
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::ModelView;
 use kelpworks::fleet::Upstream;
 use kelpworks::pipeline::Deadlines;
 use kelpworks::pipeline::Driver;
-use kelpworks::pipeline::Ending;
 use kelpworks::pipeline::Job;
 use kelpworks::pipeline::Outcome;
+use kelpworks::pipeline::SessionError;
 use kelpworks::quarantine;
 use kelpworks::quarantine::Quarantine;
 use kelpworks::quarantine::fingerprint;
+use kelpworks::retry::AbandonReason;
 use kelpworks::retry::BusyConfig;
 use kelpworks::retry::Cooldowns;
 use kelpworks::retry::DeadlineConfig;
-use kelpworks::retry::GiveUp;
 use kelpworks::retry::RetryBudget;
 use kelpworks::retry::RetryConfig;
 use kelpworks::verdict::Verdict;
@@ -205,7 +205,7 @@
                 domain: DomainKey(0),
                 health: Health::Live,
                 layer_rate: 1_000.0,
-                holdings: vec![Holding {
+                layer_assignments: vec![LayerAssignment {
                     model: ModelKey(0),
                     version: 0,
                     layers: LayerRange { first, end },
@@ -244,7 +244,7 @@
 /// Runs one session to its end; its tokens are read at once.
 async fn run(driver: &Driver<Script>, name: &str) -> (Outcome, u32) {
     let admission = Admission::new(kelpworks::admission::Config::default());
-    let ask = Ask {
+    let ask = AdmissionRequest {
         team: "studio",
         class: Class::Paying,
         weight: 1,
@@ -316,7 +316,7 @@
     let driver = driver(script, retries);
     for n in 0..REQUESTS {
         let (outcome, tokens) = run(&driver, &n.to_string()).await;
-        assert!(matches!(outcome.result, Err(Ending::Retries { .. })));
+        assert!(matches!(outcome.result, Err(SessionError::Retries { .. })));
         assert_eq!((outcome.verdict, tokens), (Verdict::MayHaveRun, 0));
     }
     let sent = driver.engine.sent.load(Ordering::Relaxed);
@@ -326,14 +326,14 @@
 /// With the budget spent: one that has sent nothing ends at its third failure, one that has sent
 /// tokens is completed.
 #[rstest]
-#[case::nothing_sent(0, 10, Err(GiveUp::Budget), 0, 3)]
+#[case::nothing_sent(0, 10, Err(AbandonReason::Budget), 0, 3)]
 #[case::nothing_sent_and_two_failures(0, 4, Ok(()), TOKENS, 2)]
 #[case::tokens_sent(2, 10, Ok(()), TOKENS, 5)]
 #[tokio::test(start_paused = true)]
 async fn an_answer_begun_is_completed(
     #[case] good: i64,
     #[case] bad: i64,
-    #[case] expected: Result<(), GiveUp>,
+    #[case] expected: Result<(), AbandonReason>,
     #[case] tokens: u32,
     #[case] recoveries: u32,
 ) {
@@ -350,7 +350,7 @@
     let (outcome, got) = run(&driver, "a").await;
     let result = match outcome.result {
         Ok(_) => Ok(()),
-        Err(Ending::Retries { reason, .. }) => Err(reason),
+        Err(SessionError::Retries { reason, .. }) => Err(reason),
         Err(other) => panic!("{other}"),
     };
     assert_eq!((result, got), (expected, tokens));
@@ -361,7 +361,7 @@
 fn fleet_without_last_stage() -> Fleet {
     let mut fleet = fleet();
     for upstream in fleet.upstreams.values_mut() {
-        if upstream.holdings[0].layers.first == LAST_STAGE {
+        if upstream.layer_assignments[0].layers.first == LAST_STAGE {
             upstream.health = Health::Down;
         }
     }
@@ -395,7 +395,7 @@
         shared.store(Arc::new(fleet()));
     });
     let (outcome, got) = run(&driver, "a").await;
-    let told = matches!(outcome.result, Err(Ending::NoPath(_)));
+    let told = matches!(outcome.result, Err(SessionError::NoPath(_)));
     assert_eq!((outcome.result.is_ok(), told, got), (whole, !whole, tokens));
     assert!(seconds.contains(&driver.start.elapsed().as_secs()));
 }
--- a/crates/kelpworks/tests/support/mod.rs
+++ b/crates/kelpworks/tests/support/mod.rs
@@ -6,14 +6,14 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use kelpworks::border::era::Eras;
-use kelpworks::border::object_api::Condition;
-use kelpworks::border::object_api::Error;
-use kelpworks::border::object_api::Object;
-use kelpworks::border::object_api::ObjectApi;
-use kelpworks::border::object_api::ObjectList;
-use kelpworks::border::object_api::Result;
-use kelpworks::border::object_api::WatchReply;
+use kelpworks::clients::era::Eras;
+use kelpworks::clients::object_api::Condition;
+use kelpworks::clients::object_api::Error;
+use kelpworks::clients::object_api::Object;
+use kelpworks::clients::object_api::ObjectApi;
+use kelpworks::clients::object_api::ObjectList;
+use kelpworks::clients::object_api::Result;
+use kelpworks::clients::object_api::WatchReply;
 use kelpworks::config::accept::Which;
 use kelpworks::config::head::BLOB_KIND;
 use kelpworks::config::head::HEAD_KIND;
@@ -270,5 +270,5 @@
         &self.eras
     }
 
-    fn fresh(&self) {}
+    fn reset_connections(&self) {}
 }
