--- a/crates/kelpworks-relay/src/peers.rs
+++ b/crates/kelpworks-relay/src/peers.rs
@@ -201,7 +201,7 @@
                 // last daemon has it.
                 () = self.documents.configuration_changed() => {}
                 // Most daemons don't ask the store, and what they hold may be from before.
-                () = self.eras.after(era) => era = self.eras.latest(),
+                () = self.eras.wait_for_later(era) => era = self.eras.latest(),
             }
             for address in self.partners() {
                 let peers = Arc::clone(&self);
--- a/crates/kelpworks/examples/demo.rs
+++ b/crates/kelpworks/examples/demo.rs
@@ -67,7 +67,7 @@
 }
 
 async fn serve(daemons: &[Daemon]) -> Result<u32> {
-    let bound = daemons[0].bound();
+    let bound = daemons[0].bound_addresses();
     println!("callers:  http://{}", bound.callers);
     println!("status:   http://{}/status", bound.operators);
     println!("metrics:  http://{}/metrics", bound.operators);
@@ -87,7 +87,7 @@
     let client = reqwest::Client::new();
     let (mut asked, mut wrong) = (0, 0);
     for (n, daemon) in daemons.iter().enumerate() {
-        let base = format!("http://{}", daemon.bound().callers);
+        let base = format!("http://{}", daemon.bound_addresses().callers);
         for team in &TEAMS {
             let prompt = format!("shot {n} of {}", team.name);
             asked += 2;
--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -277,11 +277,11 @@
             return;
         };
         let daemon = &mut self.daemons[call.daemon];
-        daemon.budget.succeeded();
+        daemon.budget.record_success();
         daemon.deadlines[at].observe(took, 1);
         if self.answer == Answer::Cooldown {
             let counters = &daemon.fleet.upstreams[daemon.keys[at]].counters;
-            daemon.cooldowns.served(daemon.keys[at], counters);
+            daemon.cooldowns.clear_cooldown(daemon.keys[at], counters);
         }
         let latency = now + LINK - call.came;
         if latency <= DEADLINE {
@@ -303,7 +303,7 @@
             let none = Duration::ZERO;
             daemon
                 .cooldowns
-                .refused(key, counters, none, now_ms, &mut self.rng);
+                .record_refusal(key, counters, none, now_ms, &mut self.rng);
         }
         let attempt = Attempt {
             verdict: if self.answer.is_silent() {
@@ -316,7 +316,7 @@
             left: (call.came + DEADLINE).saturating_sub(now),
         };
         match daemon.budget.decide(now, &attempt, &mut self.rng) {
-            Decision::RetryAt(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
+            Decision::RetryAfter(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
             Decision::Abandon(_) => {
                 self.calls.remove(&id);
             }
--- a/crates/kelpworks/examples/measure/capacity/path.rs
+++ b/crates/kelpworks/examples/measure/capacity/path.rs
@@ -118,7 +118,7 @@
         let mut time = Series::new("caller side and driver", what, "tokens");
         let fakes = threads.fakes(&model(), FleetConfig::pipeline(&model(), stages, 1))?;
         let daemon = threads.daemon(&fakes, RARE_POLLS)?;
-        let base = format!("http://{}", daemon.bound().callers);
+        let base = format!("http://{}", daemon.bound_addresses().callers);
         answers(threads, &base, 8, 8)?;
         for (tokens, turns) in ANSWERS {
             let requests = f64::from(turns) * CALLERS as f64;
@@ -181,7 +181,7 @@
     let fakes = threads.fakes(&model(), FleetConfig::pipeline(&model(), 2, 1))?;
     let daemon = threads.daemon(&fakes, RARE_POLLS)?;
     for (tokens, _) in ANSWERS {
-        let mut stream = ask(daemon.bound().callers, PROMPT, tokens)?;
+        let mut stream = ask(daemon.bound_addresses().callers, PROMPT, tokens)?;
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer)?;
         let told = model().answer(&kelpworks_fakes::tokens(PROMPT.as_bytes()), tokens);
@@ -268,7 +268,7 @@
     }
     let fakes = threads.fakes(&model(), cfg)?;
     let daemon = threads.daemon(&fakes, RARE_POLLS)?;
-    let address = daemon.bound().callers;
+    let address = daemon.bound_addresses().callers;
     let before = cost::memory();
     let mut kept = Vec::new();
     for count in CONNECTIONS {
--- a/crates/kelpworks/examples/measure/net.rs
+++ b/crates/kelpworks/examples/measure/net.rs
@@ -190,7 +190,7 @@
         }
         let contacts = net.contacts();
         for at in 0..cfg.daemons {
-            net.act(at, |node, now| node.on_listed(now, &contacts));
+            net.act(at, |node, now| node.on_member_list(now, &contacts));
         }
         net
     }
@@ -279,7 +279,7 @@
         let started = 1_000 + self.now_ms;
         self.add(at, started);
         let contacts = self.contacts();
-        self.act(at, |node, now| node.on_listed(now, &contacts));
+        self.act(at, |node, now| node.on_member_list(now, &contacts));
     }
 
     /// Cuts a link one way, or lets it through again.
--- a/crates/kelpworks/examples/measure/overload.rs
+++ b/crates/kelpworks/examples/measure/overload.rs
@@ -226,7 +226,7 @@
             team,
             bases: daemons
                 .iter()
-                .map(|d| format!("http://{}", d.bound().callers))
+                .map(|d| format!("http://{}", d.bound_addresses().callers))
                 .collect(),
             model: model.clone(),
             client: reqwest::Client::new(),
--- a/crates/kelpworks/examples/measure/path_policy.rs
+++ b/crates/kelpworks/examples/measure/path_policy.rs
@@ -19,8 +19,8 @@
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::Upstream;
 use kelpworks::fleet::UpstreamKey;
-use kelpworks::routing::Assignment;
 use kelpworks::routing::Hop;
+use kelpworks::routing::PathGuard;
 use kelpworks::routing::PathQuery;
 use kelpworks::routing::choose_path;
 use kelpworks_wire::Class;
@@ -53,7 +53,7 @@
 struct Session {
     daemon: usize,
     hops: Vec<Hop>,
-    assignment: Option<Assignment>,
+    assignment: Option<PathGuard>,
     /// Index of the hop that runs next.
     at: usize,
     left: u32,
@@ -145,7 +145,7 @@
         let daemon = self.sessions[id].daemon;
         self.sessions[id].assignment = None;
         let hops = self.path(daemon);
-        let assignment = Assignment::new(&self.daemons[daemon], &hops);
+        let assignment = PathGuard::new(&self.daemons[daemon], &hops);
         let left = self.rng.random_range(TOKENS.0..=TOKENS.1);
         let session = &mut self.sessions[id];
         session.hops = hops;
--- a/crates/kelpworks/examples/measure/recovery.rs
+++ b/crates/kelpworks/examples/measure/recovery.rs
@@ -191,7 +191,7 @@
 
 fn call(daemon: &Daemon, seed: u64) -> Call {
     Call {
-        base: format!("http://{}", daemon.bound().callers),
+        base: format!("http://{}", daemon.bound_addresses().callers),
         token: TEAM.token.to_owned(),
         model: MODEL.to_owned(),
         prompt: format!("valve {seed}, upstream side, shut and dripping"),
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -223,7 +223,7 @@
 
     /// What the daemon does once a second.
     fn set_rate(&mut self, way: Way, net: &mut Net, at: usize) {
-        let own = self.demand.note(self.asked - self.asked_before);
+        let own = self.demand.observe(self.asked - self.asked_before);
         self.asked_before = self.asked;
         let mut others = Vec::new();
         net.act(at, |node, _| {
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -268,7 +268,7 @@
 
 async fn until(daemons: &[Daemon], holds: impl Fn(&status::Status) -> bool) {
     for daemon in daemons {
-        while !status_of(daemon.bound().operators)
+        while !status_of(daemon.bound_addresses().operators)
             .await
             .is_some_and(|s| holds(&s))
         {
@@ -280,7 +280,7 @@
 async fn until_any(daemons: &[Daemon], generation: u64) {
     loop {
         for daemon in daemons {
-            let status = status_of(daemon.bound().operators).await;
+            let status = status_of(daemon.bound_addresses().operators).await;
             if status.is_some_and(|s| s.generation == generation) {
                 return;
             }
--- a/crates/kelpworks/examples/measure/throughput.rs
+++ b/crates/kelpworks/examples/measure/throughput.rs
@@ -155,7 +155,7 @@
     let daemons = support::daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
     let bases: Vec<String> = daemons
         .iter()
-        .map(|d| format!("http://{}", d.bound().callers))
+        .map(|d| format!("http://{}", d.bound_addresses().callers))
         .collect();
     let tally = Arc::new(Tally::default());
     let client = reqwest::Client::new();
--- a/crates/kelpworks/examples/support/mod.rs
+++ b/crates/kelpworks/examples/support/mod.rs
@@ -142,7 +142,7 @@
 }
 
 pub(crate) async fn ready(daemon: &Daemon) {
-    let url = format!("http://{}/readyz", daemon.bound().operators);
+    let url = format!("http://{}/readyz", daemon.bound_addresses().operators);
     loop {
         let answer = reqwest::get(&url).await;
         if answer.is_ok_and(|a| a.status().is_success()) {
--- a/crates/kelpworks/src/admission/mod.rs
+++ b/crates/kelpworks/src/admission/mod.rs
@@ -16,7 +16,7 @@
 //! let ask = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
 //! let permit = admission.admit(ask).await?;
 //! permit.wait_until_resumed().await;
-//! permit.used(80);
+//! permit.record_usage(80);
 //! # Ok(())
 //! # }
 //! ```
@@ -206,7 +206,7 @@
     }
 
     /// Notes the positions that the request really ran; the rest of its cost is given back.
-    pub fn used(&self, positions: u32) {
+    pub fn record_usage(&self, positions: u32) {
         self.place.used.store(positions, Ordering::Relaxed);
     }
 }
--- a/crates/kelpworks/src/clients/era.rs
+++ b/crates/kelpworks/src/clients/era.rs
@@ -118,7 +118,7 @@
     }
 
     /// Waits for an era later than this one.
-    pub async fn after(&self, era: Era) {
+    pub async fn wait_for_later(&self, era: Era) {
         let mut latest = self.latest.subscribe();
         // The sender lives as long as `self`.
         let _ = latest.wait_for(|latest| *latest > era).await;
@@ -164,7 +164,7 @@
     ) -> Result<WatchReply> {
         let reply = tokio::select! {
             biased;
-            () = self.after(from.era) => return Err(Error::Expired),
+            () = self.wait_for_later(from.era) => return Err(Error::Expired),
             reply = watch => reply?,
         };
         match reply.version.era > from.era {
--- a/crates/kelpworks/src/clients/object_api.rs
+++ b/crates/kelpworks/src/clients/object_api.rs
@@ -321,7 +321,7 @@
     ///
     /// [`Error::Url`] when the URL cannot be used.
     pub fn new(base: &str, deadlines: Deadlines) -> Result<HttpObjectApi> {
-        HttpObjectApi::sharing(base, deadlines, Eras::default())
+        HttpObjectApi::with_eras(base, deadlines, Eras::default())
     }
 
     /// The same, for one of several clients of a daemon.
@@ -329,7 +329,7 @@
     /// # Errors
     ///
     /// As [`HttpObjectApi::new`].
-    pub fn sharing(base: &str, deadlines: Deadlines, eras: Eras) -> Result<HttpObjectApi> {
+    pub fn with_eras(base: &str, deadlines: Deadlines, eras: Eras) -> Result<HttpObjectApi> {
         let base = Url::parse(base).map_err(|_| Error::Url)?;
         if base.cannot_be_a_base() {
             return Err(Error::Url);
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -260,7 +260,7 @@
     }
 
     /// The addresses it got.
-    pub fn bound(&self) -> BoundAddresses {
+    pub fn bound_addresses(&self) -> BoundAddresses {
         self.bound
     }
 
@@ -415,7 +415,7 @@
         callers,
         operators,
         peers,
-    } = daemon.bound();
+    } = daemon.bound_addresses();
     println!(
         "{}",
         serde_json::json!({ "callers": callers, "operators": operators, "peers": peers })
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -111,7 +111,7 @@
                     attempts.failed(key, Verdict::MayHaveRun);
                 }
                 Ok(_) => {
-                    self.retries().succeeded();
+                    self.retries().record_success();
                     return ended.map_err(|lost| attempts.failure(&lost));
                 }
                 // Another upstream would say the same.
@@ -151,7 +151,7 @@
         let now = Duration::from_millis(self.entry.driver.now_ms());
         let decision = self.retries().decide(now, &attempt, &mut rand::rng());
         match decision {
-            Decision::RetryAt(delay) => Some(delay),
+            Decision::RetryAfter(delay) => Some(delay),
             Decision::Abandon(reason) => {
                 info!(
                     target: "decision", decision = "give_up", request = attempts.call.id.as_str(),
--- a/crates/kelpworks/src/executor/lease_keeper.rs
+++ b/crates/kelpworks/src/executor/lease_keeper.rs
@@ -118,7 +118,7 @@
             let era = self.hold.era();
             tokio::select! {
                 () = leave.cancelled() => break,
-                () = self.api.eras().after(era) => {
+                () = self.api.eras().wait_for_later(era) => {
                     let latest = self.api.eras().latest();
                     self.drive(Event::Era(latest)).await;
                 }
--- a/crates/kelpworks/src/fleet.rs
+++ b/crates/kelpworks/src/fleet.rs
@@ -63,7 +63,7 @@
     pub reported: AtomicU32,
     /// Steps of this daemon sent since that report.
     pub sent_since_report: AtomicU32,
-    /// Sessions of this daemon whose path goes through it; kept by `routing::Assignment`.
+    /// Sessions of this daemon whose path goes through it; kept by `routing::PathGuard`.
     pub sessions: AtomicU32,
     /// Smoothed time of one decode step as observed, in microseconds; 0 when unknown.
     pub step_us: AtomicU64,
--- a/crates/kelpworks/src/membership/mod.rs
+++ b/crates/kelpworks/src/membership/mod.rs
@@ -20,7 +20,7 @@
 //! let now = Instant::ZERO;
 //! let mut a = Node::new(Config::default(), contact("a"), now);
 //! let mut b = Node::new(Config::default(), contact("b"), now);
-//! b.on_listed(now, &[contact("a")]);
+//! b.on_member_list(now, &[contact("a")]);
 //! let sent = b.tick(now);
 //! let Some(Action::Heartbeat { message, .. }) = sent.first() else { unreachable!() };
 //! let answer = a.on_heartbeat(now, message);
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -134,7 +134,7 @@
     }
 
     /// The object API's list of daemons was read.
-    pub fn on_listed(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
+    pub fn on_member_list(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = self.take_contacts(now, contacts);
         let entries = contacts.iter().map(|c| membership::Entry {
             node: NodeId::of(&c.name),
--- a/crates/kelpworks/src/membership/peers.rs
+++ b/crates/kelpworks/src/membership/peers.rs
@@ -262,7 +262,7 @@
 
     /// The object API's list of daemons was read.
     pub fn listed(&self, contacts: &[MemberContact]) {
-        self.act(|node, now| node.on_listed(now, contacts));
+        self.act(|node, now| node.on_member_list(now, contacts));
     }
 
     /// A generation is in force; peers are told, and may fetch its texts here from now on.
--- a/crates/kelpworks/src/membership/share.rs
+++ b/crates/kelpworks/src/membership/share.rs
@@ -73,7 +73,7 @@
 
     /// Notes the positions that trials asked for in the last second; returns what peers should
     /// know, which changes only when the demand does by more than a tenth.
-    pub fn note(&mut self, asked: u64) -> u32 {
+    pub fn observe(&mut self, asked: u64) -> u32 {
         self.smoothed = self.smoothed * MEMORY + asked as f64 * (1.0 - MEMORY);
         let told = f64::from(self.told);
         if (self.smoothed - told).abs() > told * TELL {
--- a/crates/kelpworks/src/membership/trials.rs
+++ b/crates/kelpworks/src/membership/trials.rs
@@ -47,7 +47,7 @@
                 _ = tick.tick() => {}
             }
             let asked = self.admission.trial_demand();
-            let own = demand.note(asked - asked_before);
+            let own = demand.observe(asked - asked_before);
             asked_before = asked;
             self.peers.set_trial_demand(own);
             self.set_rate(own);
--- a/crates/kelpworks/src/pipeline/driver.rs
+++ b/crates/kelpworks/src/pipeline/driver.rs
@@ -142,7 +142,7 @@
             () = tokio::time::sleep_until(deadline) => Err(SessionError::Deadline),
             () = self.abort.cancelled() => Err(SessionError::Stopped),
         };
-        permit.used(session.known.len() as u32);
+        permit.record_usage(session.known.len() as u32);
         if result.is_ok() {
             session.succeeded();
         }
--- a/crates/kelpworks/src/pipeline/path.rs
+++ b/crates/kelpworks/src/pipeline/path.rs
@@ -14,7 +14,7 @@
 use crate::pipeline::hop::HopState;
 use crate::pipeline::session::Session;
 use crate::routing;
-use crate::routing::Assignment;
+use crate::routing::PathGuard;
 use crate::routing::PathQuery;
 use crate::verdict::Verdict;
 
@@ -79,7 +79,7 @@
         self.driver
             .quarantine
             .record_path(self.job.fingerprint, on_path);
-        self.assignment = Some(Assignment::new(&fleet, &path.hops));
+        self.assignment = Some(PathGuard::new(&fleet, &path.hops));
         let names: Vec<&str> = self.hops.iter().map(|h| &*h.name).collect();
         info!(
             target: "decision", decision = "route", request = self.fixed.session.as_str(),
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -51,13 +51,13 @@
             return after;
         };
         let now_ms = self.now_ms();
-        lock(&self.cooldowns).refused(upstream, counters, after, now_ms, &mut rand::rng())
+        lock(&self.cooldowns).record_refusal(upstream, counters, after, now_ms, &mut rand::rng())
     }
 
     /// Notes that an upstream served; it cools no longer.
     pub(super) fn served(&self, upstream: UpstreamKey, counters: &Counters) {
         if counters.busy_until_ms.load(Ordering::Relaxed) != 0 {
-            lock(&self.cooldowns).served(upstream, counters);
+            lock(&self.cooldowns).clear_cooldown(upstream, counters);
         }
     }
 }
@@ -225,7 +225,7 @@
         let decision = self.driver.decide(&attempt);
         let sent = self.has_sent();
         match decision {
-            Decision::RetryAt(delay) => Ok(delay),
+            Decision::RetryAfter(delay) => Ok(delay),
             Decision::Abandon(_) if sent && self.recoveries <= MAX_RECOVERIES => {
                 Ok(jittered(SLOWEST_BACKOFF))
             }
@@ -241,7 +241,7 @@
 
     /// Notes that the answer is whole.
     pub(super) fn succeeded(&self) {
-        lock(&self.driver.retries).succeeded();
+        lock(&self.driver.retries).record_success();
         let known = self.known.len() as u32;
         self.driver
             .quarantine
--- a/crates/kelpworks/src/pipeline/session.rs
+++ b/crates/kelpworks/src/pipeline/session.rs
@@ -22,7 +22,7 @@
 use crate::pipeline::step::StepFailure;
 use crate::pipeline::tokens;
 use crate::quarantine::PendingStep;
-use crate::routing::Assignment;
+use crate::routing::PathGuard;
 use crate::verdict::Verdict;
 use kelpworks_wire::CancelRequest;
 use kelpworks_wire::FinishReason;
@@ -43,7 +43,7 @@
     /// When a stage that could not move off a leaving upstream is looked at again.
     pub(super) leave_again: Instant,
     /// What the path counts for on its upstreams, while it lasts.
-    pub(super) assignment: Option<Assignment>,
+    pub(super) assignment: Option<PathGuard>,
     /// Upstreams that failed or refused this session; taken last.
     pub(super) avoid: Vec<UpstreamKey>,
     /// Attempt number that the next new stage gets.
@@ -223,7 +223,7 @@
         }
         match result {
             // Silence has other causes, which would blame innocent requests.
-            Err(StepFailure::Gone | StepFailure::Restarted) => turn.crashed(),
+            Err(StepFailure::Gone | StepFailure::Restarted) => turn.record_crash(),
             Ok(_) => self.driver.served(hop.upstream, &upstream.counters),
             Err(_) => {}
         }
--- a/crates/kelpworks/src/quarantine/step_guard.rs
+++ b/crates/kelpworks/src/quarantine/step_guard.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes that the upstream died under the step.
-    pub fn crashed(&self) {
+    pub fn record_crash(&self) {
         let quarantine = self.quarantine;
         let told = quarantine.facts.receiver_count() > 0;
         let now = quarantine.now();
--- a/crates/kelpworks/src/retry/budget.rs
+++ b/crates/kelpworks/src/retry/budget.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     /// Try again after this delay, elsewhere if possible.
-    RetryAt(Duration),
+    RetryAfter(Duration),
     /// Answer the caller now.
     Abandon(AbandonReason),
 }
@@ -120,7 +120,7 @@
     }
 
     /// Notes a success, which earns a part of a retry.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.earn(self.cfg.ratio);
     }
 
@@ -148,7 +148,7 @@
             return Decision::Abandon(AbandonReason::Budget);
         }
         self.balance -= cost;
-        Decision::RetryAt(delay)
+        Decision::RetryAfter(delay)
     }
 
     fn earn(&mut self, retries: f64) {
--- a/crates/kelpworks/src/retry/busy.rs
+++ b/crates/kelpworks/src/retry/busy.rs
@@ -64,7 +64,7 @@
     /// Notes a refusal, sets the upstream's cooldown, and returns what is left of the one in
     /// force. A later refusal never shortens it. `retry_after` is the upstream's own word, which
     /// counts when it is longer, up to the cap.
-    pub fn refused<R: Rng>(
+    pub fn record_refusal<R: Rng>(
         &mut self,
         upstream: UpstreamKey,
         counters: &Counters,
@@ -92,7 +92,7 @@
     }
 
     /// Notes that the upstream served: it cools no longer.
-    pub fn served(&mut self, upstream: UpstreamKey, counters: &Counters) {
+    pub fn clear_cooldown(&mut self, upstream: UpstreamKey, counters: &Counters) {
         if self.refusals.remove(upstream).is_some() {
             counters.busy_until_ms.store(0, Ordering::Relaxed);
         }
--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -18,7 +18,7 @@
 //!     left: Duration::from_secs(10),
 //! };
 //! let decision = budget.decide(Duration::ZERO, &attempt, &mut rand::rng());
-//! assert!(matches!(decision, Decision::RetryAt(_)));
+//! assert!(matches!(decision, Decision::RetryAfter(_)));
 //! ```
 //!
 //! Limits: budget, cooldowns and deadlines are of one daemon; they are not shared.
--- a/crates/kelpworks/src/retry/tests.rs
+++ b/crates/kelpworks/src/retry/tests.rs
@@ -54,7 +54,7 @@
 fn decisions(#[case] attempt: Attempt, #[case] expected: Option<AbandonReason>) {
     let mut budget = RetryBudget::new(RetryConfig::default());
     let got = match budget.decide(ms(0), &attempt, &mut rng()) {
-        Decision::RetryAt(_) => None,
+        Decision::RetryAfter(_) => None,
         Decision::Abandon(reason) => Some(reason),
     };
     assert_eq!(got, expected);
@@ -72,10 +72,10 @@
     let mut retries = 0;
     for step in 0..1000 {
         if step < successes {
-            budget.succeeded();
+            budget.record_success();
         }
         let decision = budget.decide(ms(step.into()), &failed, &mut rng());
-        retries += u32::from(matches!(decision, Decision::RetryAt(_)));
+        retries += u32::from(matches!(decision, Decision::RetryAfter(_)));
     }
     assert!(retries.abs_diff(expected) <= 1, "{retries}");
 }
@@ -100,15 +100,15 @@
     let mut rng = rng();
     let mut left = Duration::ZERO;
     for &now in refusals {
-        left = cooldowns.refused(key, &counters, ms(retry_after), now, &mut rng);
+        left = cooldowns.record_refusal(key, &counters, ms(retry_after), now, &mut rng);
     }
     let left = left.as_millis() as u64;
     assert!(expected.contains(&left), "{left}");
     let until = counters.busy_until_ms.load(Ordering::Relaxed);
     assert_eq!(until, refusals[refusals.len() - 1] + left);
-    cooldowns.served(key, &counters);
+    cooldowns.clear_cooldown(key, &counters);
     assert_eq!(counters.busy_until_ms.load(Ordering::Relaxed), 0);
-    let again = cooldowns.refused(key, &counters, ms(0), 30_000, &mut rng);
+    let again = cooldowns.record_refusal(key, &counters, ms(0), 30_000, &mut rng);
     assert!((50..75).contains(&again.as_millis()));
 }
 
@@ -137,7 +137,7 @@
         let mut budget = RetryBudget::new(RetryConfig::default());
         let attempt = attempt(NotRun, true, attempts, ms(left));
         let decision = budget.decide(ms(0), &attempt, &mut StdRng::seed_from_u64(seed));
-        if let Decision::RetryAt(delay) = decision {
+        if let Decision::RetryAfter(delay) = decision {
             prop_assert!(delay < ms(left));
         }
     }
--- a/crates/kelpworks/src/routing/mod.rs
+++ b/crates/kelpworks/src/routing/mod.rs
@@ -19,10 +19,10 @@
 //! Limits: costs are estimates from lagged reports; a path is the cheapest of those weighed, not
 //! of all. Links are known by failure domain, not by host.
 
-mod assignment;
 mod cost;
 mod explain;
 mod index;
+mod path_guard;
 mod search;
 mod service;
 
@@ -35,12 +35,12 @@
 use kelpworks_wire::Class;
 use kelpworks_wire::LayerRange;
 
-pub use crate::routing::assignment::Assignment;
 pub use crate::routing::explain::Explanation;
 pub use crate::routing::explain::HopReason;
 pub use crate::routing::explain::Reason;
 pub use crate::routing::explain::RunnerUp;
 pub use crate::routing::index::Index;
+pub use crate::routing::path_guard::PathGuard;
 pub use crate::routing::service::choose_service;
 
 use crate::fleet::DomainKey;
--- a/crates/kelpworks/src/routing/tests.rs
+++ b/crates/kelpworks/src/routing/tests.rs
@@ -19,11 +19,11 @@
 use crate::fleet::ModelView;
 use crate::fleet::Upstream;
 use crate::fleet::UpstreamKey;
-use crate::routing::Assignment;
 use crate::routing::CachedPrefix;
 use crate::routing::Error;
 use crate::routing::Hop;
 use crate::routing::Path;
+use crate::routing::PathGuard;
 use crate::routing::PathQuery;
 use crate::routing::Reason;
 use crate::routing::choose_path;
@@ -244,9 +244,9 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut start = || {
         let path = choose_path(&fleet, &query(), &mut rng).unwrap();
-        Assignment::new(&fleet, &path.hops)
+        PathGuard::new(&fleet, &path.hops)
     };
-    let assigned: Vec<Assignment> = (0..80).map(|_| start()).collect();
+    let assigned: Vec<PathGuard> = (0..80).map(|_| start()).collect();
     let sessions = |key: &UpstreamKey| {
         let counters = &fleet.upstreams[*key].counters;
         counters.sessions.load(Ordering::Relaxed)
--- a/crates/kelpworks/tests/border_era.rs
+++ b/crates/kelpworks/tests/border_era.rs
@@ -36,7 +36,7 @@
 }
 
 fn client(fake: &fakes::ObjectApi, eras: &Eras) -> HttpObjectApi {
-    let api = HttpObjectApi::sharing(&fake.url(), Deadlines::default(), eras.clone());
+    let api = HttpObjectApi::with_eras(&fake.url(), Deadlines::default(), eras.clone());
     api.expect("a URL")
 }
 
--- a/crates/kelpworks/tests/claims_support/mod.rs
+++ b/crates/kelpworks/tests/claims_support/mod.rs
@@ -116,14 +116,14 @@
             Daemon::start(&settings, metrics).await
         });
         let daemon = starting.await.expect("no panic").expect("a daemon");
-        let operators = daemon.bound().operators;
+        let operators = daemon.bound_addresses().operators;
         until(async || {
             let ready = reqwest::get(format!("http://{operators}/readyz")).await;
             ready.is_ok_and(|r| r.status().is_success()).then_some(())
         })
         .await;
         Host {
-            base: format!("http://{}", daemon.bound().callers),
+            base: format!("http://{}", daemon.bound_addresses().callers),
             daemon: Some(daemon),
             runtime: Some(runtime),
         }
@@ -203,7 +203,7 @@
     /// Waits until a daemon shows so many others in a state.
     pub(crate) async fn sees(&self, host: usize, others: usize, state: MemberState) {
         let daemon = self.hosts[host].daemon.as_ref().expect("not stopped yet");
-        let operators = daemon.bound().operators;
+        let operators = daemon.bound_addresses().operators;
         until(async || {
             let members = fetch(operators, PATIENCE).await.ok()?.members;
             let count = members.iter().filter(|m| m.state == state).count();
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -72,7 +72,7 @@
 
     /// Base URL for callers.
     pub(crate) fn base(&self) -> String {
-        format!("http://{}", self.daemon.bound().callers)
+        format!("http://{}", self.daemon.bound_addresses().callers)
     }
 
     pub(crate) fn caller(&self) -> Caller {
--- a/crates/kelpworks/tests/contract_callers.rs
+++ b/crates/kelpworks/tests/contract_callers.rs
@@ -295,7 +295,7 @@
 #[tokio::test]
 async fn no_http(#[case] name: &str, #[case] bytes: Vec<u8>) {
     let setup = start(TIGHT).await;
-    let mut stream = TcpStream::connect(setup.daemon.bound().callers)
+    let mut stream = TcpStream::connect(setup.daemon.bound_addresses().callers)
         .await
         .expect("connected");
     // The daemon may close before it has read everything.
--- a/crates/kelpworks/tests/contract_services.rs
+++ b/crates/kelpworks/tests/contract_services.rs
@@ -84,7 +84,7 @@
 
     /// Sends a `PUT` with its path as it stands, and gives the whole reply.
     async fn put(&self, path: &str) -> String {
-        let callers = self.setup.daemon.bound().callers;
+        let callers = self.setup.daemon.bound_addresses().callers;
         let mut stream = TcpStream::connect(callers).await.expect("connected");
         let head = format!(
             "PUT {path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {TOKEN}\r\n\
--- a/crates/kelpworks/tests/executor_support/mod.rs
+++ b/crates/kelpworks/tests/executor_support/mod.rs
@@ -161,7 +161,7 @@
     let body = serde_json::json!({
         "model": "caption", "prompt": prompt, "max_tokens": max_tokens,
     });
-    let url = format!("http://{}/v1/completions", daemon.bound().callers);
+    let url = format!("http://{}/v1/completions", daemon.bound_addresses().callers);
     let req = reqwest::Client::new().post(url).bearer_auth(TOKEN);
     let res = req.json(&body).send().await.ok()?;
     if !res.status().is_success() {
--- a/crates/kelpworks/tests/path/mod.rs
+++ b/crates/kelpworks/tests/path/mod.rs
@@ -95,7 +95,7 @@
 
     /// Base URL for callers of the `n`th daemon.
     pub(crate) fn base(&self, n: usize) -> String {
-        format!("http://{}", self.daemons[n].bound().callers)
+        format!("http://{}", self.daemons[n].bound_addresses().callers)
     }
 
     /// A caller of the paying team at the `n`th daemon.
--- a/crates/kelpworks/tests/path_input.rs
+++ b/crates/kelpworks/tests/path_input.rs
@@ -239,7 +239,7 @@
 async fn a_broken_head_is_refused(#[case] head: Vec<u8>) {
     let bench = Bench::start(1, Duration::ZERO).await;
     let ran = runs(&bench);
-    let mut conn = TcpStream::connect(bench.daemons[0].bound().callers)
+    let mut conn = TcpStream::connect(bench.daemons[0].bound_addresses().callers)
         .await
         .expect("connects");
     // The daemon may close before it has read all.
--- a/crates/kelpworks/tests/path_slow.rs
+++ b/crates/kelpworks/tests/path_slow.rs
@@ -26,7 +26,7 @@
 const PATIENCE: Duration = Duration::from_secs(300);
 
 async fn connect(bench: &Bench) -> TcpStream {
-    let address = bench.daemons[0].bound().callers;
+    let address = bench.daemons[0].bound_addresses().callers;
     TcpStream::connect(address).await.expect("connects")
 }
 
--- a/crates/kelpworks/tests/peers/mod.rs
+++ b/crates/kelpworks/tests/peers/mod.rs
@@ -123,7 +123,7 @@
 
 /// What a daemon tells operators.
 pub(crate) async fn status(daemon: &Daemon) -> Status {
-    let address = daemon.bound().operators;
+    let address = daemon.bound_addresses().operators;
     fetch(address, PATIENCE).await.expect("a status")
 }
 
--- a/crates/kelpworks/tests/peers_daemons.rs
+++ b/crates/kelpworks/tests/peers_daemons.rs
@@ -24,7 +24,7 @@
     all_at(&daemons, 1).await;
     platform.swap(2);
     all_at(&daemons, 2).await;
-    let name = daemons[0].bound().peers.to_string();
+    let name = daemons[0].bound_addresses().peers.to_string();
     let listed = platform.fakes.object_api.list("kelpworks.member");
     assert_eq!(listed.len(), 3);
     assert!(listed.iter().any(|o| o.body.contains(&name)), "{listed:?}");
@@ -106,7 +106,7 @@
     for (daemon, name) in daemons.iter().zip(NAMES) {
         platform.fakes.host_list.set_host(HostEntry {
             name: name.to_owned(),
-            address: daemon.bound().peers.to_string(),
+            address: daemon.bound_addresses().peers.to_string(),
             failure_domain: "domain-0".to_owned(),
             state: HostState::Live,
         });
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -181,10 +181,12 @@
 #[test]
 fn a_steady_demand_is_told_once() {
     let mut demand = Demand::default();
-    let told: Vec<u32> = (0..40).map(|n| demand.note(1_000 + n % 3 * 20)).collect();
+    let told: Vec<u32> = (0..40)
+        .map(|n| demand.observe(1_000 + n % 3 * 20))
+        .collect();
     let last = told[39];
     assert!((900..=1_100).contains(&last), "{told:?}");
     assert!(told[10..].iter().all(|&t| t == last), "{told:?}");
-    let silent: Vec<u32> = (0..20).map(|_| demand.note(0)).collect();
+    let silent: Vec<u32> = (0..20).map(|_| demand.observe(0)).collect();
     assert_eq!(silent[19], 0, "{silent:?}");
 }
--- a/crates/kelpworks/tests/poison/mod.rs
+++ b/crates/kelpworks/tests/poison/mod.rs
@@ -160,7 +160,10 @@
     }
 
     fn url(&self, n: usize) -> String {
-        format!("http://{}/v1/completions", self.daemons[n].bound().callers)
+        format!(
+            "http://{}/v1/completions",
+            self.daemons[n].bound_addresses().callers
+        )
     }
 
     /// Sends a request until it is no longer under test by another daemon.
@@ -226,7 +229,7 @@
 }
 
 async fn live_peers(daemon: &Daemon) -> usize {
-    let status = fetch(daemon.bound().operators, PATIENCE).await;
+    let status = fetch(daemon.bound_addresses().operators, PATIENCE).await;
     let members = status.expect("a status").members;
     let live = members.iter().filter(|m| m.state == MemberState::Live);
     live.count()
