--- a/crates/kelpworks-relay/src/peers.rs
+++ b/crates/kelpworks-relay/src/peers.rs
@@ -39,7 +39,7 @@
 use jsonrpsee::server::Server;
 use jsonrpsee::server::ServerConfig;
 use jsonrpsee::server::ServerHandle;
-use kelpworks::border::era::Eras;
+use kelpworks::clients::era::Eras;
 use kelpworks::membership::links;
 use kelpworks::membership::links::Links;
 use rand::seq::IndexedRandom;
@@ -201,7 +201,7 @@
                 // last daemon has it.
                 () = self.documents.configuration_changed() => {}
                 // Most daemons don't ask the store, and what they hold may be from before.
-                () = self.eras.after(era) => era = self.eras.latest(),
+                () = self.eras.wait_for_later(era) => era = self.eras.latest(),
             }
             for address in self.partners() {
                 let peers = Arc::clone(&self);
--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -18,7 +18,7 @@
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::Fleet;
 use kelpworks::fleet::Health;
-use kelpworks::fleet::Holding;
+use kelpworks::fleet::LayerAssignment;
 use kelpworks::fleet::LinkCost;
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::ModelView;
@@ -148,7 +148,7 @@
         domain: DomainKey(0),
         health: Health::Live,
         layer_rate: f64::from(slots) / SERVICE.as_secs_f64(),
-        holdings: vec![Holding {
+        layer_assignments: vec![LayerAssignment {
             model: ModelKey(0),
             version: 0,
             layers: LayerRange { first: 0, end: 1 },
@@ -277,11 +277,11 @@
             return;
         };
         let daemon = &mut self.daemons[call.daemon];
-        daemon.budget.succeeded();
+        daemon.budget.record_success();
         daemon.deadlines[at].observe(took, 1);
         if self.answer == Answer::Cooldown {
             let counters = &daemon.fleet.upstreams[daemon.keys[at]].counters;
-            daemon.cooldowns.served(daemon.keys[at], counters);
+            daemon.cooldowns.clear_cooldown(daemon.keys[at], counters);
         }
         let latency = now + LINK - call.came;
         if latency <= DEADLINE {
@@ -303,7 +303,7 @@
             let none = Duration::ZERO;
             daemon
                 .cooldowns
-                .refused(key, counters, none, now_ms, &mut self.rng);
+                .record_refusal(key, counters, none, now_ms, &mut self.rng);
         }
         let attempt = Attempt {
             verdict: if self.answer.is_silent() {
@@ -316,8 +316,8 @@
             left: (call.came + DEADLINE).saturating_sub(now),
         };
         match daemon.budget.decide(now, &attempt, &mut self.rng) {
-            Decision::RetryAt(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
-            Decision::GiveUp(_) => {
+            Decision::RetryAfter(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
+            Decision::Abandon(_) => {
                 self.calls.remove(&id);
             }
         }
--- a/crates/kelpworks/examples/measure/path_policy.rs
+++ b/crates/kelpworks/examples/measure/path_policy.rs
@@ -19,8 +19,8 @@
 use kelpworks::fleet::ModelKey;
 use kelpworks::fleet::Upstream;
 use kelpworks::fleet::UpstreamKey;
-use kelpworks::routing::Assignment;
 use kelpworks::routing::Hop;
+use kelpworks::routing::PathGuard;
 use kelpworks::routing::PathQuery;
 use kelpworks::routing::choose_path;
 use kelpworks_wire::Class;
@@ -53,7 +53,7 @@
 struct Session {
     daemon: usize,
     hops: Vec<Hop>,
-    assignment: Option<Assignment>,
+    assignment: Option<PathGuard>,
     /// Index of the hop that runs next.
     at: usize,
     left: u32,
@@ -145,7 +145,7 @@
         let daemon = self.sessions[id].daemon;
         self.sessions[id].assignment = None;
         let hops = self.path(daemon);
-        let assignment = Assignment::new(&self.daemons[daemon], &hops);
+        let assignment = PathGuard::new(&self.daemons[daemon], &hops);
         let left = self.rng.random_range(TOKENS.0..=TOKENS.1);
         let session = &mut self.sessions[id];
         session.hops = hops;
@@ -248,7 +248,8 @@
             end: (stage + 1) * LAYERS / 4,
         };
         let fleet = &self.daemons[daemon];
-        let holds = |key: &&UpstreamKey| fleet.upstreams[**key].holdings[0].layers == layers;
+        let holds =
+            |key: &&UpstreamKey| fleet.upstreams[**key].layer_assignments[0].layers == layers;
         let holders: Vec<UpstreamKey> = self.keys.iter().filter(holds).copied().collect();
         self.turn += 1;
         let rng = &mut self.rng;
@@ -283,7 +284,7 @@
         let fleet = &self.daemons[0];
         let stage = |s: u32| {
             let holds = fleet.upstreams.values();
-            let holds = holds.filter(|u| u.holdings[0].layers.first == s * LAYERS / 4);
+            let holds = holds.filter(|u| u.layer_assignments[0].layers.first == s * LAYERS / 4);
             holds.map(|u| u.layer_rate).sum::<f64>() / f64::from(LAYERS / 4)
         };
         (0..4).map(stage).fold(f64::INFINITY, f64::min)
--- a/crates/kelpworks/src/border/era.rs
+++ b/crates/kelpworks/src/clients/era.rs
@@ -7,8 +7,8 @@
 //! of it first.
 //!
 //! ```
-//! use kelpworks::border::era::Eras;
-//! use kelpworks::border::era::EraSource;
+//! use kelpworks::clients::era::Eras;
+//! use kelpworks::clients::era::EraSource;
 //! use kelpworks_coord::id::Era;
 //!
 //! let eras = Eras::default();
@@ -118,7 +118,7 @@
     }
 
     /// Waits for an era later than this one.
-    pub async fn after(&self, era: Era) {
+    pub async fn wait_for_later(&self, era: Era) {
         let mut latest = self.latest.subscribe();
         // The sender lives as long as `self`.
         let _ = latest.wait_for(|latest| *latest > era).await;
@@ -130,7 +130,7 @@
     ///
     /// [`Error::Lost`] when the answer is of an earlier era than the latest, can't be told from one,
     /// or tells an era that is not believed yet.
-    pub fn of_answer(&self, told: Option<Era>) -> Result<Era> {
+    pub fn check_response_era(&self, told: Option<Era>) -> Result<Era> {
         let era = told.unwrap_or(Era::FIRST);
         self.observe(era, EraSource::Answer);
         match era == self.latest() {
@@ -164,7 +164,7 @@
     ) -> Result<WatchReply> {
         let reply = tokio::select! {
             biased;
-            () = self.after(from.era) => return Err(Error::Expired),
+            () = self.wait_for_later(from.era) => return Err(Error::Expired),
             reply = watch => reply?,
         };
         match reply.version.era > from.era {
--- a/crates/kelpworks/src/membership/mod.rs
+++ b/crates/kelpworks/src/membership/mod.rs
@@ -20,7 +20,7 @@
 //! let now = Instant::ZERO;
 //! let mut a = Node::new(Config::default(), contact("a"), now);
 //! let mut b = Node::new(Config::default(), contact("b"), now);
-//! b.on_listed(now, &[contact("a")]);
+//! b.on_member_list(now, &[contact("a")]);
 //! let sent = b.tick(now);
 //! let Some(Action::Heartbeat { message, .. }) = sent.first() else { unreachable!() };
 //! let answer = a.on_heartbeat(now, message);
@@ -55,8 +55,8 @@
 pub use peers::Error;
 pub use peers::Peers;
 pub use peers::PeersConfig;
+pub use peers::ReceivedHead;
 pub use peers::Result;
-pub use peers::SeenHead;
 pub use traffic::TrafficTotals;
 pub use traffic::exchange_bytes;
 
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -134,7 +134,7 @@
     }
 
     /// The object API's list of daemons was read.
-    pub fn on_listed(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
+    pub fn on_member_list(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = self.take_contacts(now, contacts);
         let entries = contacts.iter().map(|c| membership::Entry {
             node: NodeId::of(&c.name),
@@ -242,7 +242,7 @@
     }
 
     /// A generation is in force here.
-    pub fn on_learned(&mut self, generation: u64) -> Vec<Action> {
+    pub fn on_config_activated(&mut self, generation: u64) -> Vec<Action> {
         self.generation = self.generation.max(generation);
         self.change_sample(|s| s.generation = s.generation.max(generation));
         let peers = self.peers();
@@ -301,7 +301,7 @@
     }
 
     /// Facts of a kind that hold now, of all authors.
-    pub fn standing(&self, now: Instant, kind: Kind) -> Vec<Fact> {
+    pub fn active_facts(&self, now: Instant, kind: Kind) -> Vec<Fact> {
         self.facts.standing(now, kind).collect()
     }
 
--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -18,7 +18,7 @@
 //!     left: Duration::from_secs(10),
 //! };
 //! let decision = budget.decide(Duration::ZERO, &attempt, &mut rand::rng());
-//! assert!(matches!(decision, Decision::RetryAt(_)));
+//! assert!(matches!(decision, Decision::RetryAfter(_)));
 //! ```
 //!
 //! Limits: budget, cooldowns and deadlines are of one daemon; they are not shared.
@@ -30,9 +30,9 @@
 #[cfg(test)]
 mod tests;
 
+pub use crate::retry::budget::AbandonReason;
 pub use crate::retry::budget::Attempt;
 pub use crate::retry::budget::Decision;
-pub use crate::retry::budget::GiveUp;
 pub use crate::retry::budget::RetryBudget;
 pub use crate::retry::budget::RetryConfig;
 pub use crate::retry::busy::BusyConfig;
--- a/crates/kelpworks/src/retry/tests.rs
+++ b/crates/kelpworks/src/retry/tests.rs
@@ -11,12 +11,12 @@
 
 use crate::fleet::Counters;
 use crate::fleet::UpstreamKey;
+use crate::retry::AbandonReason;
 use crate::retry::Attempt;
 use crate::retry::BusyConfig;
 use crate::retry::Cooldowns;
 use crate::retry::DeadlineConfig;
 use crate::retry::Decision;
-use crate::retry::GiveUp;
 use crate::retry::RetryBudget;
 use crate::retry::RetryConfig;
 use crate::retry::StepDeadline;
@@ -45,14 +45,17 @@
 #[rstest]
 #[case::idempotent(attempt(MayHaveRun, true, 1, ms(1000)), None)]
 #[case::not_run(attempt(NotRun, false, 1, ms(1000)), None)]
-#[case::at_most_once(attempt(MayHaveRun, false, 1, ms(1000)), Some(GiveUp::MayHaveRun))]
-#[case::attempts(attempt(NotRun, true, 10, ms(1000)), Some(GiveUp::Attempts))]
-#[case::deadline(attempt(NotRun, true, 1, ms(0)), Some(GiveUp::Deadline))]
-fn decisions(#[case] attempt: Attempt, #[case] expected: Option<GiveUp>) {
+#[case::at_most_once(
+    attempt(MayHaveRun, false, 1, ms(1000)),
+    Some(AbandonReason::MayHaveRun)
+)]
+#[case::attempts(attempt(NotRun, true, 10, ms(1000)), Some(AbandonReason::Attempts))]
+#[case::deadline(attempt(NotRun, true, 1, ms(0)), Some(AbandonReason::Deadline))]
+fn decisions(#[case] attempt: Attempt, #[case] expected: Option<AbandonReason>) {
     let mut budget = RetryBudget::new(RetryConfig::default());
     let got = match budget.decide(ms(0), &attempt, &mut rng()) {
-        Decision::RetryAt(_) => None,
-        Decision::GiveUp(reason) => Some(reason),
+        Decision::RetryAfter(_) => None,
+        Decision::Abandon(reason) => Some(reason),
     };
     assert_eq!(got, expected);
 }
@@ -69,10 +72,10 @@
     let mut retries = 0;
     for step in 0..1000 {
         if step < successes {
-            budget.succeeded();
+            budget.record_success();
         }
         let decision = budget.decide(ms(step.into()), &failed, &mut rng());
-        retries += u32::from(matches!(decision, Decision::RetryAt(_)));
+        retries += u32::from(matches!(decision, Decision::RetryAfter(_)));
     }
     assert!(retries.abs_diff(expected) <= 1, "{retries}");
 }
@@ -97,15 +100,15 @@
     let mut rng = rng();
     let mut left = Duration::ZERO;
     for &now in refusals {
-        left = cooldowns.refused(key, &counters, ms(retry_after), now, &mut rng);
+        left = cooldowns.record_refusal(key, &counters, ms(retry_after), now, &mut rng);
     }
     let left = left.as_millis() as u64;
     assert!(expected.contains(&left), "{left}");
     let until = counters.busy_until_ms.load(Ordering::Relaxed);
     assert_eq!(until, refusals[refusals.len() - 1] + left);
-    cooldowns.served(key, &counters);
+    cooldowns.clear_cooldown(key, &counters);
     assert_eq!(counters.busy_until_ms.load(Ordering::Relaxed), 0);
-    let again = cooldowns.refused(key, &counters, ms(0), 30_000, &mut rng);
+    let again = cooldowns.record_refusal(key, &counters, ms(0), 30_000, &mut rng);
     assert!((50..75).contains(&again.as_millis()));
 }
 
@@ -134,7 +137,7 @@
         let mut budget = RetryBudget::new(RetryConfig::default());
         let attempt = attempt(NotRun, true, attempts, ms(left));
         let decision = budget.decide(ms(0), &attempt, &mut StdRng::seed_from_u64(seed));
-        if let Decision::RetryAt(delay) = decision {
+        if let Decision::RetryAfter(delay) = decision {
             prop_assert!(delay < ms(left));
         }
     }
--- a/crates/kelpworks/src/routing/mod.rs
+++ b/crates/kelpworks/src/routing/mod.rs
@@ -19,10 +19,10 @@
 //! Limits: costs are estimates from lagged reports; a path is the cheapest of those weighed, not
 //! of all. Links are known by failure domain, not by host.
 
-mod assignment;
 mod cost;
 mod explain;
 mod index;
+mod path_guard;
 mod search;
 mod service;
 
@@ -35,12 +35,12 @@
 use kelpworks_wire::Class;
 use kelpworks_wire::LayerRange;
 
-pub use crate::routing::assignment::Assignment;
 pub use crate::routing::explain::Explanation;
 pub use crate::routing::explain::HopReason;
 pub use crate::routing::explain::Reason;
 pub use crate::routing::explain::RunnerUp;
 pub use crate::routing::index::Index;
+pub use crate::routing::path_guard::PathGuard;
 pub use crate::routing::service::choose_service;
 
 use crate::fleet::DomainKey;
@@ -253,7 +253,7 @@
     }
     let layers = fleet.models[usize::from(query.model.0)].layers;
     hop.layers.end <= layers
-        && upstream.holdings.iter().any(|h| {
+        && upstream.layer_assignments.iter().any(|h| {
             let same = h.model == query.model && h.version == version;
             same && h.layers.first <= hop.layers.first && hop.layers.end <= h.layers.end
         })
--- a/crates/kelpworks/src/routing/tests.rs
+++ b/crates/kelpworks/src/routing/tests.rs
@@ -13,17 +13,17 @@
 use crate::fleet::DomainKey;
 use crate::fleet::Fleet;
 use crate::fleet::Health;
-use crate::fleet::Holding;
+use crate::fleet::LayerAssignment;
 use crate::fleet::LinkCost;
 use crate::fleet::ModelKey;
 use crate::fleet::ModelView;
 use crate::fleet::Upstream;
 use crate::fleet::UpstreamKey;
-use crate::routing::Assignment;
 use crate::routing::CachedPrefix;
 use crate::routing::Error;
 use crate::routing::Hop;
 use crate::routing::Path;
+use crate::routing::PathGuard;
 use crate::routing::PathQuery;
 use crate::routing::Reason;
 use crate::routing::choose_path;
@@ -46,7 +46,7 @@
         domain: DomainKey(domain),
         health,
         layer_rate: 1000.0,
-        holdings: vec![Holding {
+        layer_assignments: vec![LayerAssignment {
             model: ModelKey(0),
             version,
             layers: LayerRange { first, end },
@@ -185,7 +185,7 @@
     let (fleet, keys) = fleet(&specs);
     let hop = |i: usize| Hop {
         upstream: keys[i],
-        layers: fleet.upstreams[keys[i]].holdings[0].layers.clone(),
+        layers: fleet.upstreams[keys[i]].layer_assignments[0].layers.clone(),
     };
     let keep = [hop(0), hop(2)];
     let avoid: Vec<UpstreamKey> = avoid.iter().map(|&i| keys[i]).collect();
@@ -244,9 +244,9 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut start = || {
         let path = choose_path(&fleet, &query(), &mut rng).unwrap();
-        Assignment::new(&fleet, &path.hops)
+        PathGuard::new(&fleet, &path.hops)
     };
-    let assigned: Vec<Assignment> = (0..80).map(|_| start()).collect();
+    let assigned: Vec<PathGuard> = (0..80).map(|_| start()).collect();
     let sessions = |key: &UpstreamKey| {
         let counters = &fleet.upstreams[*key].counters;
         counters.sessions.load(Ordering::Relaxed)
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -8,7 +8,7 @@
 
 use kelpworks::membership::Config;
 use kelpworks::membership::share::Demand;
-use kelpworks::membership::share::part;
+use kelpworks::membership::share::fair_share;
 use kelpworks::status::MemberState;
 use kelpworks_coord::facts::Kind;
 use kelpworks_coord::time::Span;
@@ -149,7 +149,7 @@
         let now = kelpworks_coord::time::Instant::from_millis(net.now_ms());
         let nodes = (0..daemons).filter_map(|at| net.node(at));
         nodes
-            .filter(|n| !n.standing(now, Kind::Down).is_empty())
+            .filter(|n| !n.active_facts(now, Kind::Down).is_empty())
             .count()
     };
     let mut net = net(daemons, 1, seed);
@@ -171,7 +171,7 @@
         let parts = (0..demands.len()).map(|at| {
             let mut others = demands.clone();
             let own = others.remove(at);
-            part(1_000.0, own, &others)
+            fair_share(1_000.0, own, &others)
         });
         let sum: f64 = parts.sum();
         prop_assert!((sum - 1_000.0).abs() < 1e-6, "{}", sum);
@@ -181,10 +181,12 @@
 #[test]
 fn a_steady_demand_is_told_once() {
     let mut demand = Demand::default();
-    let told: Vec<u32> = (0..40).map(|n| demand.note(1_000 + n % 3 * 20)).collect();
+    let told: Vec<u32> = (0..40)
+        .map(|n| demand.observe(1_000 + n % 3 * 20))
+        .collect();
     let last = told[39];
     assert!((900..=1_100).contains(&last), "{told:?}");
     assert!(told[10..].iter().all(|&t| t == last), "{told:?}");
-    let silent: Vec<u32> = (0..20).map(|_| demand.note(0)).collect();
+    let silent: Vec<u32> = (0..20).map(|_| demand.observe(0)).collect();
     assert_eq!(silent[19], 0, "{silent:?}");
 }
