--- a/crates/kelpworks-relay/tests/layout.rs
+++ b/crates/kelpworks-relay/tests/layout.rs
@@ -12,14 +12,14 @@
 use fleet_support::empty_hosts;
 use fleet_support::engines;
 use kelpworks_relay::config::Accelerator;
-use kelpworks_relay::config::Engines;
-use kelpworks_relay::layout::Host;
+use kelpworks_relay::config::EngineProfile;
+use kelpworks_relay::layout::EngineState;
+use kelpworks_relay::layout::capacity_requests_for;
 use kelpworks_relay::layout::layers_for;
 use kelpworks_relay::layout::plan;
-use kelpworks_relay::layout::room_for;
 
 /// Carries the orders of a plan out.
-fn carry_out(hosts: &mut [Host]) -> usize {
+fn carry_out(hosts: &mut [EngineState]) -> usize {
     let orders = plan(&engines(), hosts);
     for order in &orders {
         let host = hosts.iter_mut().find(|h| h.instance == order.instance);
@@ -29,7 +29,7 @@
 }
 
 /// Layers that a domain lacks.
-fn lacks(hosts: &[Host], domain: &str) -> usize {
+fn lacks(hosts: &[EngineState], domain: &str) -> usize {
     let held = |l: u16| {
         let mut here = hosts.iter().filter(|h| &*h.domain == domain);
         here.any(|h| h.layers.is_some_and(|r| r.contains(l)))
@@ -57,7 +57,7 @@
     let layers = layers_for(&engines, kind, 85.0);
     assert!(layers >= 1);
     assert!(f64::from(layers) * engines.layer_mb < kind.memory_mb);
-    let requests = engines.kv_room(kind, layers) / f64::from(layers) / 984.0;
+    let requests = engines.kv_capacity(kind, layers) / f64::from(layers) / 984.0;
     assert!(requests >= 80.0, "room for {requests} requests");
 }
 
@@ -112,7 +112,7 @@
 fn a_first_layer_that_only_a_limited_engine_holds_is_placed_once_more() {
     let mut hosts = empty_hosts(&["a"]);
     carry_out(&mut hosts);
-    let holds_first = |h: &&mut Host| h.layers.is_some_and(|r| r.contains(0));
+    let holds_first = |h: &&mut EngineState| h.layers.is_some_and(|r| r.contains(0));
     for host in hosts.iter_mut().filter(holds_first) {
         host.limited = true;
     }
@@ -127,7 +127,7 @@
 }
 
 /// Orders fit into the memory of their engines, and plans end.
-fn check_plans(mut hosts: Vec<Host>) -> Result<(), TestCaseError> {
+fn check_plans(mut hosts: Vec<EngineState>) -> Result<(), TestCaseError> {
     let engines = engines();
     let mut orders = 0;
     while orders < 200 {
@@ -195,7 +195,7 @@
     #[case] room: f64,
 ) {
     let engines = engines();
-    let host = |kind: &str, i| Host {
+    let host = |kind: &str, i| EngineState {
         instance: format!("{kind}-{i}").into(),
         domain: "a".into(),
         kind: kind.into(),
@@ -204,12 +204,12 @@
         limited: false,
     };
     let kinds = [("large", large), ("middle", middle), ("slow", slow)];
-    let hosts: Vec<Host> = kinds
+    let hosts: Vec<EngineState> = kinds
         .iter()
         .flat_map(|&(kind, n)| (0..n).map(move |i| host(kind, i)))
         .collect();
-    assert_eq!(room_for(&engines, &hosts, "a"), room);
-    let kind = |h: &Host| engines.kind(&h.kind).expect("known");
+    assert_eq!(capacity_requests_for(&engines, &hosts, "a"), room);
+    let kind = |h: &EngineState| engines.kind(&h.kind).expect("known");
     let held = hosts.iter().map(|h| layers_for(&engines, kind(h), room));
     let copies = f64::from(held.sum::<u16>()) / f64::from(LAYERS);
     assert!(copies >= 3.0 || room == 85.0, "{copies}");
@@ -226,7 +226,7 @@
         step_factor,
         read_factor: 8.0,
     };
-    let engines = Engines {
+    let engines = EngineProfile {
         kinds: vec![
             kind("fast", 36_000.0, 3.1),
             kind("roomy", 21_600.0, 16.0),
@@ -236,7 +236,7 @@
     };
     let mut hosts = Vec::new();
     for (kind, count) in [("fast", 4), ("roomy", 3), ("small", 24)] {
-        hosts.extend((0..count).map(|i| Host {
+        hosts.extend((0..count).map(|i| EngineState {
             instance: Arc::from(format!("{kind}-{i}")),
             domain: Arc::from("a"),
             kind: Arc::from(kind),
--- a/crates/kelpworks-relay/tests/limits.rs
+++ b/crates/kelpworks-relay/tests/limits.rs
@@ -121,7 +121,7 @@
     let at = after(start, 1_200);
     let admission = limiter.admit(at).expect("the first");
     assert!(!limiter.admits(after(at, 1)));
-    limiter.give_back(admission);
+    limiter.refund(admission);
     assert!(limiter.admits(after(at, 1)));
 }
 
@@ -132,7 +132,7 @@
     let first = limiter.admit(after(start, 1_200)).expect("the first");
     let later = after(start, 2_400);
     assert!(limiter.admit(later).is_some());
-    limiter.give_back(first);
+    limiter.refund(first);
     assert!(!limiter.admits(after(later, 1)));
 }
 
--- a/crates/kelpworks-relay/tests/owners.rs
+++ b/crates/kelpworks-relay/tests/owners.rs
@@ -13,13 +13,13 @@
 use fleet_support::entry;
 use fleet_support::range;
 use kelpworks_coord::id::Version;
-use kelpworks_relay::dialect::LayerRange;
-use kelpworks_relay::dialect::Start;
-use kelpworks_relay::dialect::UpstreamEntry;
-use kelpworks_relay::dialect::incarnation;
+use kelpworks_relay::adapter::LayerRange;
+use kelpworks_relay::adapter::StartTime;
+use kelpworks_relay::adapter::UpstreamEntry;
+use kelpworks_relay::adapter::incarnation;
+use kelpworks_relay::assignments::LayerAssignment;
+use kelpworks_relay::fleet::AddressOwner;
 use kelpworks_relay::fleet::Fleet;
-use kelpworks_relay::fleet::Owner;
-use kelpworks_relay::holdings::Holding;
 
 /// An engine `id` at an address by number, started then.
 fn engine(
@@ -31,7 +31,7 @@
     let mut host = empty_hosts(&["a"]).remove(0);
     host.layers = layers;
     let id: Arc<str> = Arc::from(id);
-    let start = start.map(Start);
+    let start = start.map(StartTime);
     UpstreamEntry {
         instance: incarnation(&id, start),
         id,
@@ -40,8 +40,8 @@
     }
 }
 
-fn owner(of: &UpstreamEntry, id: &str) -> Owner {
-    Owner {
+fn owner(of: &UpstreamEntry, id: &str) -> AddressOwner {
+    AddressOwner {
         address: of.address,
         id: Arc::from(id),
     }
@@ -67,16 +67,16 @@
         now,
     );
     let old = fleet.key_of("e@100").expect("registered");
-    fleet.take(old, 5_000.0);
-    fleet.refused(old, now);
-    fleet.outcome(old, true);
-    let loading = Holding {
+    fleet.reserve(old, 5_000.0);
+    fleet.record_refusal(old, now);
+    fleet.record_outcome(old, true);
+    let loading = LayerAssignment {
         orders: 3,
         layers: range(9, 18),
         loaded: false,
     };
     let instance = Arc::from("e@100");
-    assert!(fleet.tell_holding(&instance, loading, Duration::ZERO, now));
+    assert!(fleet.learn_assignment(&instance, loading, Duration::ZERO, now));
 
     let changes = fleet.replace(
         vec![engine("e", 1, Some(200), None)],
@@ -92,14 +92,14 @@
     assert_eq!(upstream.layers, None);
     assert_eq!(upstream.load().running, 0.0);
     assert!(!upstream.is_ejected(now));
-    assert_eq!(upstream.failing, 0.0);
-    assert_eq!(fleet.holdings().orders("e@200"), None);
+    assert_eq!(upstream.failure_rate, 0.0);
+    assert_eq!(fleet.assignments().orders("e@200"), None);
     // The end of a request to the old one takes nothing from the new one.
-    fleet.take(new, 10.0);
+    fleet.reserve(new, 10.0);
     fleet.release(old, 5_000.0);
-    assert_eq!(fleet.get(new).expect("there").own.reserved, 10.0);
+    assert_eq!(fleet.get(new).expect("there").local_load.reserved, 10.0);
     // Nor does a late word on the old one say anything of it.
-    assert!(!fleet.tell_holding(&instance, loading, Duration::ZERO, now));
+    assert!(!fleet.learn_assignment(&instance, loading, Duration::ZERO, now));
 }
 
 #[test]
@@ -132,9 +132,9 @@
     let old = engine("e", 1, Some(100), Some(range(0, 9)));
     fleet.replace(vec![old.clone()], Version::initial(1), now);
     let key = fleet.key_of("e@100").expect("there");
-    assert_eq!(fleet.tell_start(key, Start(100)), None);
-    assert_eq!(fleet.tell_start(key, Start(50)), None);
-    let changes = fleet.tell_start(key, Start(300)).expect("news");
+    assert_eq!(fleet.learn_start(key, StartTime(100)), None);
+    assert_eq!(fleet.learn_start(key, StartTime(50)), None);
+    let changes = fleet.learn_start(key, StartTime(300)).expect("news");
     assert_eq!(&*changes.added[0], "e@300");
     let key = fleet.key_of("e@300").expect("there");
     assert_eq!(fleet.get(key).expect("there").layers, None);
@@ -208,11 +208,15 @@
         now,
     );
     assert_eq!(names(&fleet), ["b", "c"]);
-    let changes = fleet.tell_owner(owner(&a, "a"), now).expect("news");
+    let changes = fleet.learn_owner(owner(&a, "a"), now).expect("news");
     assert_eq!((&*changes.removed[0], &*changes.added[0]), ("b", "a"));
     assert_eq!(names(&fleet), ["a", "c"]);
-    assert_eq!(fleet.tell_owner(owner(&a, "a"), now), None, "no news twice");
-    assert_eq!(fleet.told_owners(8, now)[0].0, owner(&a, "a"));
+    assert_eq!(
+        fleet.learn_owner(owner(&a, "a"), now),
+        None,
+        "no news twice"
+    );
+    assert_eq!(fleet.recent_owners(8, now)[0].0, owner(&a, "a"));
     // It holds while the entries stand as they are.
     let changes = fleet.replace(
         vec![b.clone(), a.clone(), elsewhere],
@@ -222,7 +226,7 @@
     assert!(changes.is_empty());
     // An older word changes nothing.
     let before = now - Duration::from_secs(1);
-    assert_eq!(fleet.tell_owner(owner(&a, "b"), before), None);
+    assert_eq!(fleet.learn_owner(owner(&a, "b"), before), None);
     // Who comes to the address later is another matter.
     let next = engine("next", 1, None, None);
     fleet.replace(
@@ -240,7 +244,7 @@
     let gone = engine("gone", 1, None, Some(range(0, 9)));
     fleet.replace(vec![gone.clone()], Version::initial(1), now);
     // Its address was given to an upstream of which no entry has come yet.
-    fleet.tell_owner(owner(&gone, "unknown"), now);
+    fleet.learn_owner(owner(&gone, "unknown"), now);
     assert_eq!(names(&fleet), Vec::<String>::new());
     let unknown = engine("unknown", 1, None, None);
     fleet.replace(vec![gone, unknown], Version::initial(2), now);
--- a/crates/kelpworks-relay/tests/path.rs
+++ b/crates/kelpworks-relay/tests/path.rs
@@ -17,12 +17,12 @@
 use fleet_support::placed;
 use fleet_support::range;
 use kelpworks_coord::id::Version;
-use kelpworks_relay::dialect::Stage;
+use kelpworks_relay::adapter::Lifecycle;
 use kelpworks_relay::fleet::Fleet;
 use kelpworks_relay::fleet::UpstreamKey;
-use kelpworks_relay::path::Ask;
 use kelpworks_relay::path::NoPath;
 use kelpworks_relay::path::Path;
+use kelpworks_relay::path::PathQuery;
 use kelpworks_relay::path::search;
 
 /// A fleet as the layout makes it.
@@ -30,8 +30,8 @@
     placed(empty_hosts(domains))
 }
 
-fn ask<'a>(domain: &'a str, first: &'a [UpstreamKey]) -> Ask<'a> {
-    Ask {
+fn ask<'a>(domain: &'a str, first: &'a [UpstreamKey]) -> PathQuery<'a> {
+    PathQuery {
         service: "llm",
         tokens: 984.0,
         domain,
@@ -42,7 +42,7 @@
     }
 }
 
-fn find(fleet: &Fleet, ask: &Ask<'_>, seed: u64) -> Result<Path, NoPath> {
+fn find(fleet: &Fleet, ask: &PathQuery<'_>, seed: u64) -> Result<Path, NoPath> {
     search(fleet, &engines(), ask, &mut StdRng::seed_from_u64(seed))
 }
 
@@ -105,7 +105,7 @@
     let now = Instant::now();
     fleet.eject(failed, now);
     for &key in full {
-        fleet.take(key, 1e12);
+        fleet.reserve(key, 1e12);
     }
     let path = find(&fleet, &ask("a", &[]), 1);
     assert!(matches!(path, Err(NoPath::Full(_))), "{path:?}");
@@ -149,8 +149,8 @@
     let start = Instant::now();
     let mut now = start;
     for refusals in 1..=4 {
-        fleet.refused(key, now);
-        fleet.good(key, now);
+        fleet.record_refusal(key, now);
+        fleet.record_success(key, now);
         let upstream = fleet.get(key).expect("known");
         assert!(upstream.is_ejected(now));
         assert_eq!(upstream.is_closed(), refusals == 4);
@@ -160,8 +160,8 @@
             "tried again"
         );
     }
-    fleet.refused(key, now);
-    fleet.accepted(key);
+    fleet.record_refusal(key, now);
+    fleet.record_acceptance(key);
     let upstream = fleet.get(key).expect("known");
     assert!(!upstream.is_ejected(now) && !upstream.is_closed());
 }
@@ -172,11 +172,11 @@
     let before = find(&fleet, &ask("a", &[]), 1).expect("a path");
     let slow = before.parts[0].0;
     let now = Instant::now();
-    assert!(fleet.tell_slowness(slow, 12.0, now));
-    assert!(!fleet.tell_slowness(slow, 1.0, now), "no later word");
+    assert!(fleet.learn_slowness(slow, 12.0, now));
+    assert!(!fleet.learn_slowness(slow, 1.0, now), "no later word");
     let without = find(&fleet, &ask("a", &[]), 1).expect("a path");
     assert!(without.keys().all(|k| k != slow));
-    let later = Ask {
+    let later = PathQuery {
         now: now + Duration::from_secs(3),
         ..ask("a", &[])
     };
@@ -190,7 +190,7 @@
     let whole = find(&fleet, &ask("a", &[]), 1).expect("a path");
     let taken: Vec<UpstreamKey> = whole.keys().collect();
     for &(_, layers) in &whole.parts {
-        let part = Ask {
+        let part = PathQuery {
             layers,
             avoid: &taken,
             ..ask("a", &[])
@@ -203,7 +203,7 @@
         assert!(path.parts.windows(2).all(|w| w[0].1.to == w[1].1.from));
         assert!(path.keys().all(|k| !taken.contains(&k)));
     }
-    let part = Ask {
+    let part = PathQuery {
         layers: range(20, 30),
         avoid: &taken,
         ..ask("a", &[])
@@ -222,7 +222,7 @@
         let path = find(&fleet, &ask("a", &[]), seed).expect("a path");
         assert!(path.keys().all(|k| k != failed));
     }
-    fleet.good(failed, now);
+    fleet.record_success(failed, now);
     let after = find(&fleet, &ask("a", &[]), 1).expect("a path");
     assert_eq!(after, before);
 }
@@ -244,7 +244,7 @@
     let mut fleet = fleet(&["a"]);
     let entries = fleet.entries().into_iter();
     let holds =
-        |r: Option<_>| r.is_some_and(|r: kelpworks_relay::dialect::LayerRange| r.contains(79));
+        |r: Option<_>| r.is_some_and(|r: kelpworks_relay::adapter::LayerRange| r.contains(79));
     if held {
         let keys: Vec<UpstreamKey> = fleet
             .iter()
@@ -252,7 +252,7 @@
             .map(|(k, _)| k)
             .collect();
         for key in keys {
-            fleet.take(key, 1e9);
+            fleet.reserve(key, 1e9);
         }
         let why = find(&fleet, &ask("a", &[]), 1);
         assert!(matches!(why, Err(NoPath::Full(71..=79))), "{why:?}");
@@ -271,7 +271,7 @@
     let mut entries = fleet.entries();
     for entry in &mut entries {
         if entry.instance == first {
-            entry.stage = Stage::Leaving;
+            entry.lifecycle = Lifecycle::Leaving;
         }
     }
     let changes = fleet.replace(entries, Version::initial(2), Instant::now());
@@ -290,11 +290,11 @@
     let silent_since = Instant::now();
     let dead = path.parts[1].0;
     tokio::time::advance(Duration::from_millis(45)).await;
-    fleet.good(dead, Instant::now());
+    fleet.record_success(dead, Instant::now());
     tokio::time::advance(Duration::from_millis(215)).await;
     let now = Instant::now();
     for &(key, _) in path.parts.iter().filter(|p| p.0 != dead) {
-        fleet.good(key, now);
+        fleet.record_success(key, now);
     }
     let suspects = fleet.unconfirmed(&path.parts, silent_since, now);
     assert_eq!(suspects, [dead]);
@@ -311,14 +311,14 @@
             .expect("known")
             .is_presumed_lost(Instant::now())
     };
-    fleet.good(key, Instant::now());
+    fleet.record_success(key, Instant::now());
     for _ in 0..9 {
         assert!(!is_lost(&fleet));
         fleet.eject(key, Instant::now());
         tokio::time::advance(Duration::from_millis(300)).await;
     }
     assert!(is_lost(&fleet));
-    fleet.good(key, Instant::now());
+    fleet.record_success(key, Instant::now());
     assert!(!is_lost(&fleet));
 }
 
@@ -328,10 +328,10 @@
     let path = find(&fleet, &ask("a", &[]), 1).expect("a path");
     let keys: Vec<UpstreamKey> = path.keys().collect();
     for &key in &keys[..3] {
-        fleet.note_silent(key, 1);
+        fleet.count_stalled_stream(key, 1);
     }
-    fleet.note_silent(keys[1], 1);
-    assert_eq!(fleet.most_silent(&keys), [keys[1]]);
+    fleet.count_stalled_stream(keys[1], 1);
+    assert_eq!(fleet.most_stalled(&keys), [keys[1]]);
 }
 
 proptest! {
--- a/crates/kelpworks-relay/tests/restored.rs
+++ b/crates/kelpworks-relay/tests/restored.rs
@@ -9,11 +9,11 @@
 
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
-use kelpworks_relay::dialect::LayerRange;
-use kelpworks_relay::dialect::Stage;
-use kelpworks_relay::dialect::Start;
-use kelpworks_relay::dialect::UpstreamEntry;
-use kelpworks_relay::dialect::incarnation;
+use kelpworks_relay::adapter::LayerRange;
+use kelpworks_relay::adapter::Lifecycle;
+use kelpworks_relay::adapter::StartTime;
+use kelpworks_relay::adapter::UpstreamEntry;
+use kelpworks_relay::adapter::incarnation;
 use kelpworks_relay::fleet::Fleet;
 use tokio::time::Instant;
 
@@ -25,13 +25,13 @@
 fn engine(id: &str, port: u16, layers: (u16, u16)) -> UpstreamEntry {
     let id: Arc<str> = Arc::from(id);
     UpstreamEntry {
-        instance: incarnation(&id, Some(Start(100))),
+        instance: incarnation(&id, Some(StartTime(100))),
         id,
-        start: Some(Start(100)),
+        start: Some(StartTime(100)),
         service: Arc::from("llm"),
         address: ([10, 0, 0, 1], port).into(),
         domain: Arc::from("a"),
-        stage: Stage::Ready,
+        lifecycle: Lifecycle::Ready,
         slots: 1,
         layers: Some(LayerRange {
             from: layers.0,
@@ -43,7 +43,7 @@
 
 fn leaving(entry: UpstreamEntry) -> UpstreamEntry {
     UpstreamEntry {
-        stage: Stage::Leaving,
+        lifecycle: Lifecycle::Leaving,
         ..entry
     }
 }
@@ -52,7 +52,7 @@
 fn shown(fleet: &Fleet) -> Vec<(String, u16, bool)> {
     let of = |e: &UpstreamEntry| {
         let from = e.layers.map_or(0, |l| l.from);
-        (e.id.to_string(), from, e.stage == Stage::Ready)
+        (e.id.to_string(), from, e.lifecycle == Lifecycle::Ready)
     };
     let mut shown: Vec<_> = fleet.entries().iter().map(of).collect();
     shown.sort();
@@ -98,8 +98,8 @@
         "its entry still stands"
     );
     let restarted = UpstreamEntry {
-        start: Some(Start(200)),
-        instance: incarnation(&a.id, Some(Start(200))),
+        start: Some(StartTime(200)),
+        instance: incarnation(&a.id, Some(StartTime(200))),
         ..a
     };
     fleet.replace(vec![restarted], REWRITTEN, Instant::now());
@@ -137,8 +137,8 @@
     let mut fleet = Fleet::default();
     let old = engine("a", 1, (0, 9));
     let new = UpstreamEntry {
-        start: Some(Start(200)),
-        instance: incarnation(&old.id, Some(Start(200))),
+        start: Some(StartTime(200)),
+        instance: incarnation(&old.id, Some(StartTime(200))),
         ..engine("a", 1, (40, 49))
     };
     fleet.replace(vec![new], BEFORE, Instant::now());
--- a/crates/kelpworks-relay/tests/spread.rs
+++ b/crates/kelpworks-relay/tests/traffic_plan.rs
@@ -18,13 +18,13 @@
 use fleet_support::engines;
 use fleet_support::placed;
 use fleet_support::range;
-use kelpworks_relay::dialect::LayerRange;
+use kelpworks_relay::adapter::LayerRange;
 use kelpworks_relay::fleet::Fleet;
 use kelpworks_relay::fleet::UpstreamKey;
-use kelpworks_relay::path::Ask;
+use kelpworks_relay::path::PathQuery;
 use kelpworks_relay::path::search;
-use kelpworks_relay::spread::Demand;
-use kelpworks_relay::spread::Spread;
+use kelpworks_relay::traffic_plan::Demand;
+use kelpworks_relay::traffic_plan::TrafficPlan;
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Tokens of a usual request.
@@ -42,8 +42,8 @@
     placed(hosts)
 }
 
-fn ask(domain: &str) -> Ask<'_> {
-    Ask {
+fn ask(domain: &str) -> PathQuery<'_> {
+    PathQuery {
         service: "llm",
         tokens: TOKENS,
         domain,
@@ -70,7 +70,7 @@
         let u = fleet.get(key).expect("known");
         let kind = engines.kind(u.entry.kind.as_deref().expect("a kind"));
         let layers = u.layers.expect("layers").len();
-        reserved / engines.kv_room(kind.expect("known"), layers)
+        reserved / engines.kv_capacity(kind.expect("known"), layers)
     };
     held.iter().map(fill).collect()
 }
@@ -97,8 +97,8 @@
     let mut cheapest: HashMap<UpstreamKey, f64> = HashMap::new();
     for domain in DOMAINS {
         let ask = ask(domain);
-        let spread = Spread::plan(&fleet, &engines, &ask, &demand(each as f64));
-        assert_eq!(spread.placed(), 1.0, "there is room for all");
+        let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(each as f64));
+        assert_eq!(spread.placed_fraction(), 1.0, "there is room for all");
         for _ in 0..each {
             let parts = spread.draw(&fleet, &engines, &ask, &mut rng);
             hold(&mut drawn, parts.expect("a path"));
@@ -117,7 +117,7 @@
     let fleet = fleet(1);
     let engines = engines();
     let ask = ask("b");
-    let spread = Spread::plan(&fleet, &engines, &ask, &demand(60.0));
+    let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..100 {
         let parts = spread
@@ -141,8 +141,12 @@
 #[tokio::test]
 async fn load_beyond_the_room_is_not_placed() {
     let fleet = fleet(1);
-    let spread = Spread::plan(&fleet, &engines(), &ask("a"), &demand(5_000.0));
-    assert!(spread.placed() < 0.2, "{}", spread.placed());
+    let spread = TrafficPlan::plan(&fleet, &engines(), &ask("a"), &demand(5_000.0));
+    assert!(
+        spread.placed_fraction() < 0.2,
+        "{}",
+        spread.placed_fraction()
+    );
 }
 
 /// An engine that fails after the plan was made is not drawn, nor one that has no room left.
@@ -154,7 +158,7 @@
     let mut fleet = fleet(1);
     let engines = engines();
     let ask = ask("a");
-    let spread = Spread::plan(&fleet, &engines, &ask, &demand(60.0));
+    let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
     let mut rng = StdRng::seed_from_u64(3);
     let parts = spread
         .draw(&fleet, &engines, &ask, &mut rng)
@@ -162,7 +166,7 @@
     let gone = parts[1].0;
     match failed {
         true => fleet.eject(gone, ask.now),
-        false => fleet.take(gone, 1e12),
+        false => fleet.reserve(gone, 1e12),
     }
     for _ in 0..200 {
         let parts = spread.draw(&fleet, &engines, &ask, &mut rng);
@@ -177,7 +181,7 @@
     let engines = engines();
     let ask = ask("a");
     let share = |fleet: &Fleet, slow: UpstreamKey| {
-        let spread = Spread::plan(fleet, &engines, &ask, &demand(60.0));
+        let spread = TrafficPlan::plan(fleet, &engines, &ask, &demand(60.0));
         let mut rng = StdRng::seed_from_u64(5);
         let draws = (0..400).filter_map(|_| spread.draw(fleet, &engines, &ask, &mut rng));
         draws.filter(|p| p.iter().any(|&(k, _)| k == slow)).count()
@@ -190,9 +194,9 @@
     for (i, key) in middle.into_iter().enumerate() {
         let before = share(&fleet, key);
         let at = ask.now + std::time::Duration::from_micros(i as u64);
-        fleet.tell_slowness(key, 40.0, at);
+        fleet.learn_slowness(key, 40.0, at);
         let after = share(&fleet, key);
-        fleet.tell_slowness(key, 1.0, at + std::time::Duration::from_nanos(1));
+        fleet.learn_slowness(key, 1.0, at + std::time::Duration::from_nanos(1));
         // What the others give up may reach it, but no more than one part of a plan.
         assert!(after <= before.max(400 / 12), "{before} to {after}");
         left += usize::from(before > 50 && after * 4 < before);
@@ -207,16 +211,16 @@
     let mut fleet = fleet(1);
     let engines = engines();
     let ask = ask("a");
-    let mut spread = Spread::plan(&fleet, &engines, &ask, &demand(60.0));
+    let mut spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
     let after = |ms| ask.now + Duration::from_millis(ms);
     assert!(spread.is_fresh(&fleet, after(499)));
     assert!(!spread.is_fresh(&fleet, after(500)));
     let entries = fleet.entries();
     fleet.replace(entries, Version::initial(2), ask.now);
     assert!(!spread.is_fresh(&fleet, after(1)), "the fleet has changed");
-    spread.set_took(Duration::from_millis(8));
+    spread.set_planning_time(Duration::from_millis(8));
     assert!(spread.is_fresh(&fleet, after(79)));
     assert!(!spread.is_fresh(&fleet, after(80)));
-    spread.set_took(Duration::from_secs(2));
+    spread.set_planning_time(Duration::from_secs(2));
     assert!(!spread.is_fresh(&fleet, after(10_000)), "not for ever");
 }
