--- a/crates/kelpworks-relay/src/adapter.rs
+++ b/crates/kelpworks-relay/src/adapter.rs
@@ -170,7 +170,7 @@
     pub kind: Option<Arc<str>>,
 }
 
-/// An engine's own word on itself.
+/// An engine's report of its own state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
     /// When it started, where it says so.
@@ -246,7 +246,7 @@
     }
 }
 
-/// Translates heads and documents.
+/// Decodes and writes the headers and documents of a platform.
 pub trait Adapter: Send + Sync + 'static {
     /// Kind under which the store keeps the configuration.
     const CONFIGURATION_KIND: &'static str;
--- a/crates/kelpworks-relay/src/assignments.rs
+++ b/crates/kelpworks-relay/src/assignments.rs
@@ -63,31 +63,31 @@
     confirmed: bool,
 }
 
-/// The last word on each engine.
+/// The latest report on the layers of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct LayerAssignments {
     words: HashMap<Arc<str>, Word>,
 }
 
 impl LayerAssignments {
-    /// The last word on an engine, as long as its registration does not show it.
+    /// Returns the latest report on an engine; `None` once its registration shows the same.
     pub fn get(&self, instance: &str) -> Option<LayerAssignment> {
         let word = self.words.get(instance)?;
         (!word.confirmed).then_some(word.holding)
     }
 
-    /// Layers of an engine that can be used: by its own word, else as registered.
+    /// Returns the layers of an engine that can be used: as reported, else as registered.
     pub fn usable(&self, entry: &UpstreamEntry) -> Option<LayerRange> {
         let word = self.get(&entry.instance);
         word.map_or(entry.layers, |h| h.usable())
     }
 
-    /// Orders that an engine has begun, as far as any word tells.
+    /// Returns how many orders an engine has begun; `None` without a report.
     pub fn orders(&self, instance: &str) -> Option<u64> {
         self.words.get(instance).map(|w| w.holding.orders)
     }
 
-    /// Takes a word that was true `age` ago; whether it is news.
+    /// Takes a report that was true `age` ago; returns whether it is newer than the one known.
     pub fn learn(
         &mut self,
         instance: &Arc<str>,
--- a/crates/kelpworks-relay/src/crashes.rs
+++ b/crates/kelpworks-relay/src/crashes.rs
@@ -2,8 +2,8 @@
 //!
 //! Such a request comes again with the same team, path and body, at any daemon. Attempts that end
 //! with the upstream's death count against its fingerprint, here and at all peers; from
-//! [`MIN_CRASHES_TO_REFUSE`] on it is refused. An innocent request that died with an upstream is answered on
-//! its next attempt, which clears it.
+//! [`MIN_CRASHES_TO_REFUSE`] on it is refused. An innocent request that died with an upstream is
+//! answered on its next attempt, which clears it.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/kelpworks-relay/src/fleet.rs
+++ b/crates/kelpworks-relay/src/fleet.rs
@@ -118,7 +118,8 @@
         has_ended.then(|| self.settle())
     }
 
-    /// Takes an upstream's own word on who has its address; whether that is news.
+    /// Takes a report of which upstream answered at an address. Returns the changes it makes, or
+    /// `None` when the owner was known.
     pub fn learn_owner(&mut self, owner: AddressOwner, now: Instant) -> Option<Changes> {
         let is_news = self.owners.tell(owner, now);
         is_news.then(|| self.settle())
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Takes an engine's own word on its layers, true `age` ago; whether it is news.
+    /// Takes an engine's report of its layers, true `age` ago; returns whether it is newer than the
+    /// one known.
     pub fn learn_assignment(
         &mut self,
         instance: &Arc<str>,
@@ -237,7 +239,7 @@
         true
     }
 
-    /// Goes back to the registrations of engines whose own word was not confirmed in time.
+    /// Returns engines whose reports no registration confirmed in time to their registered layers.
     pub fn expire_assignments(&mut self, registrations_come: bool, now: Instant) -> Vec<Arc<str>> {
         let over = self.assignments.expire(registrations_come, now);
         for instance in &over {
@@ -249,7 +251,7 @@
         over
     }
 
-    /// What engines said of their layers beyond their registrations.
+    /// Reports of engines on their layers that are newer than their registrations.
     pub fn assignments(&self) -> &LayerAssignments {
         &self.assignments
     }
@@ -290,14 +292,14 @@
         self.upstreams.values().map(|u| u.entry.clone()).collect()
     }
 
-    /// Forgets what other daemons told of their load.
+    /// Clears the load by other daemons of every upstream.
     pub fn clear_remote_load(&mut self) {
         for upstream in self.upstreams.values_mut() {
             upstream.remote_load = Load::default();
         }
     }
 
-    /// Adds to the load of an upstream by this daemon.
+    /// Counts a request of this daemon at an upstream, with `reserved` token-layers of KV cache.
     pub fn reserve(&mut self, key: UpstreamKey, reserved: f64) {
         if let Some(u) = self.upstreams.get_mut(key) {
             u.local_load.running += 1.0;
@@ -372,7 +374,8 @@
         }
     }
 
-    /// Takes an engine's word on its slowness at a moment; whether it is news.
+    /// Takes an engine's report of its slowness at a moment; returns whether it is newer than the
+    /// one known.
     pub fn learn_slowness(&mut self, key: UpstreamKey, times: f64, at: Instant) -> bool {
         let upstream = self.upstreams.get_mut(key);
         upstream.is_some_and(|u| u.learn_slowness(times, at))
--- a/crates/kelpworks-relay/src/lib.rs
+++ b/crates/kelpworks-relay/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The crate `kelpworks` drives engines step by step; engines that know how to pass a request along
 //! a path need a daemon only to choose the path, to watch the stream, and to go on elsewhere when it
-//! breaks. The platform's words are translated by an adapter, see [`adapter`].
+//! breaks. An adapter translates the platform's protocol, see [`adapter`].
 //!
 //! ```
 //! use kelpworks_relay::config::Configuration;
--- a/crates/kelpworks-relay/src/permit.rs
+++ b/crates/kelpworks-relay/src/permit.rs
@@ -1,9 +1,9 @@
 //! Permission to send a request to an upstream once.
 //!
-//! Nothing is sent without a [`Permit`]. It holds a repeat of the service's bound, if the request may have reached
-//! an upstream before, and an admission under the upstream's own limit. Both are given back if nothing was
-//! written to a connection: a good part of the attempts that fail while engines that are gone are still
-//! registered.
+//! Nothing is sent without a [`Permit`]. It holds a retry of the service's budget, if the request
+//! may have reached an upstream before, and an admission under the upstream's own limit. Both are
+//! refunded if nothing was written to a connection: a good part of the attempts that fail while
+//! engines that are gone are still registered.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,7 +26,7 @@
     admitted: Option<AdmissionGuard>,
 }
 
-/// A repeat that was taken from a service's bound.
+/// A retry that was taken from a service's budget.
 #[derive(Debug)]
 struct Retry {
     counts: Arc<Mutex<RetryBudget>>,
--- a/crates/kelpworks-relay/src/retry_budget.rs
+++ b/crates/kelpworks-relay/src/retry_budget.rs
@@ -1,12 +1,12 @@
-//! The part of a fleet-wide bound on repeats that this daemon may use.
+//! This daemon's part of the fleet-wide retry budget of each service.
 //!
-//! A repeat is an arrival at a service beyond the first of its request. In any window, all daemons
-//! together may cause a fixed number of repeats and a share of the requests. Each daemon keeps to
+//! A retry is an arrival at a service beyond the first of its request. In any window, all daemons
+//! together may cause a fixed number of retries and a share of the requests. Each daemon keeps to
 //! that share of its own requests and to an equal part of the fixed number, so that the bound holds
 //! without a message between them, also while daemons can't hear each other. A process that starts
 //! has no equal part for one window, since the one before it may have spent it up to its end.
 //!
-//! A repeat whose request was not written to a connection is given back ([`crate::permit`]).
+//! A retry whose request was not written to a connection is refunded ([`crate::permit`]).
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// Part of what is allowed that is used: a window here begins a little earlier than at the
-/// service, where the repeat arrives.
+/// service, where the retry arrives.
 const SAFETY: f64 = 0.85;
 
 /// The bound, for the whole fleet.
@@ -24,13 +24,13 @@
 pub struct RetryLimit {
     /// Length of the window.
     pub window: Duration,
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request of the window.
     pub ratio: f64,
-    /// Repeats allowed besides.
+    /// Retries allowed in a window besides, by all daemons together.
     pub allowance: f64,
 }
 
-/// Requests and repeats of one service in the last window.
+/// Requests and retries of one service in the last window.
 #[derive(Clone, Debug, Default)]
 struct Service {
     requests: VecDeque<Instant>,
@@ -70,7 +70,7 @@
         counts.requests.push_back(now);
     }
 
-    /// Takes a repeat, if there is one left.
+    /// Takes a retry from the budget; false when none is left.
     pub fn try_acquire(&mut self, service: &Arc<str>, now: Instant) -> bool {
         let RetryLimit {
             window,
@@ -90,7 +90,7 @@
         true
     }
 
-    /// Gives a repeat back that was not sent.
+    /// Returns a retry that was not sent to the budget.
     pub(crate) fn refund(&mut self, service: &Arc<str>) {
         if let Some(counts) = self.services.get_mut(service) {
             counts.retries.pop_back();
--- a/crates/kelpworks-relay/src/shared.rs
+++ b/crates/kelpworks-relay/src/shared.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Tells waiting requests that the configuration or the upstreams have changed.
+    /// Wakes requests that wait for a change of the configuration or of the upstreams.
     pub(crate) fn notify_state_change(&self) {
         self.state_changed.notify_waiters();
     }
@@ -220,7 +220,7 @@
         );
     }
 
-    /// Counts of repeats.
+    /// The retry budget, with the requests and retries counted so far.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.retry_budget)
     }
@@ -302,7 +302,7 @@
         (pause.as_secs_f64() / USUAL_PAUSE.as_secs_f64()).clamp(1.0, MAX_SLOWNESS)
     }
 
-    /// Leave to send a request to a service once more, if this daemon's part of the bound has any left.
+    /// Permits a retry at a service, if this daemon's part of the retry budget has one left.
     pub fn permit_retry(&self, service: &Arc<str>, now: Instant) -> Option<Permit> {
         let permit = Permit::retry(&self.retry_budget, service, now);
         let outcome = if permit.is_some() { "taken" } else { "denied" };
--- a/crates/kelpworks-relay/src/store_cache.rs
+++ b/crates/kelpworks-relay/src/store_cache.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The texts, and the views that are built from them.
+/// The texts as last read, with the routing table and the fleet that are built from them.
 #[derive(Debug)]
 pub struct StoreCache {
     shared: Arc<Shared>,
@@ -129,7 +129,7 @@
         self.changed.notified().await;
     }
 
-    /// Notes which version a peer has in force.
+    /// Notes the version of the configuration that a peer has in force.
     pub(crate) fn note_peer_version(&self, version: u64) {
         self.version_elsewhere.fetch_max(version, Ordering::Relaxed);
     }
