--- a/crates/kelpworks-relay/src/repeats.rs
+++ b/crates/kelpworks-relay/src/retry_budget.rs
@@ -1,12 +1,12 @@
-//! The part of a fleet-wide bound on repeats that this daemon may use.
+//! This daemon's part of the fleet-wide retry budget of each service.
 //!
-//! A repeat is an arrival at a service beyond the first of its request. In any window, all daemons
-//! together may cause a fixed number of repeats and a share of the requests. Each daemon keeps to
+//! A retry is an arrival at a service beyond the first of its request. In any window, all daemons
+//! together may cause a fixed number of retries and a share of the requests. Each daemon keeps to
 //! that share of its own requests and to an equal part of the fixed number, so that the bound holds
 //! without a message between them, also while daemons can't hear each other. A process that starts
 //! has no equal part for one window, since the one before it may have spent it up to its end.
 //!
-//! A repeat whose request was not written to a connection is given back ([`crate::permit`]).
+//! A retry whose request was not written to a connection is refunded ([`crate::permit`]).
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,31 +16,31 @@
 use tokio::time::Instant;
 
 /// Part of what is allowed that is used: a window here begins a little earlier than at the
-/// service, where the repeat arrives.
+/// service, where the retry arrives.
 const SAFETY: f64 = 0.85;
 
 /// The bound, for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RetryLimit {
     /// Length of the window.
     pub window: Duration,
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request of the window.
     pub ratio: f64,
-    /// Repeats allowed besides.
-    pub slack: f64,
+    /// Retries allowed in a window besides, by all daemons together.
+    pub allowance: f64,
 }
 
-/// Requests and repeats of one service in the last window.
+/// Requests and retries of one service in the last window.
 #[derive(Clone, Debug, Default)]
 struct Service {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 /// Counts of this daemon.
 #[derive(Clone, Debug)]
-pub struct Repeats {
-    bound: Bound,
+pub struct RetryBudget {
+    bound: RetryLimit,
     /// Daemons that share the bound, at least 1.
     daemons: usize,
     /// When this process began to count.
@@ -48,10 +48,10 @@
     services: HashMap<Arc<str>, Service>,
 }
 
-impl Repeats {
+impl RetryBudget {
     /// Nothing counted yet. `daemons` is how many share the bound.
-    pub fn new(bound: Bound, daemons: usize, started: Instant) -> Repeats {
-        Repeats {
+    pub fn new(bound: RetryLimit, daemons: usize, started: Instant) -> RetryBudget {
+        RetryBudget {
             bound,
             daemons: daemons.max(1),
             started,
@@ -65,42 +65,42 @@
     }
 
     /// Counts a request.
-    pub fn requested(&mut self, service: &Arc<str>, now: Instant) {
+    pub fn record_request(&mut self, service: &Arc<str>, now: Instant) {
         let counts = self.service(service, now);
         counts.requests.push_back(now);
     }
 
-    /// Takes a repeat, if there is one left.
-    pub fn try_take(&mut self, service: &Arc<str>, now: Instant) -> bool {
-        let Bound {
+    /// Takes a retry from the budget; false when none is left.
+    pub fn try_acquire(&mut self, service: &Arc<str>, now: Instant) -> bool {
+        let RetryLimit {
             window,
             ratio,
-            slack,
+            allowance,
         } = self.bound;
         let fixed = match now.duration_since(self.started) < window {
             true => 0.0,
-            false => slack / self.daemons as f64,
+            false => allowance / self.daemons as f64,
         };
         let counts = self.service(service, now);
         let allowed = (fixed + ratio * counts.requests.len() as f64) * SAFETY;
-        if counts.repeats.len() as f64 + 1.0 > allowed {
+        if counts.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        counts.repeats.push_back(now);
+        counts.retries.push_back(now);
         true
     }
 
-    /// Gives a repeat back that was not sent.
-    pub(crate) fn give_back(&mut self, service: &Arc<str>) {
+    /// Returns a retry that was not sent to the budget.
+    pub(crate) fn refund(&mut self, service: &Arc<str>) {
         if let Some(counts) = self.services.get_mut(service) {
-            counts.repeats.pop_back();
+            counts.retries.pop_back();
         }
     }
 
     fn service(&mut self, service: &Arc<str>, now: Instant) -> &mut Service {
         let window = self.bound.window;
         let counts = self.services.entry(Arc::clone(service)).or_default();
-        for queue in [&mut counts.requests, &mut counts.repeats] {
+        for queue in [&mut counts.requests, &mut counts.retries] {
             while queue
                 .front()
                 .is_some_and(|&at| now.duration_since(at) > window)
