--- a/crates/kelpworks-cli/src/args.rs
+++ b/crates/kelpworks-cli/src/args.rs
@@ -10,7 +10,7 @@
 
 use crate::failure::Failure;
 use crate::failure::Result;
-use kelpworks::config::accept::Which;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::name_of;
 use kelpworks::units::Span;
 
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct Change {
     /// What to change.
-    pub(crate) which: Which,
+    pub(crate) which: PartKind,
     /// The file with its new text.
     pub(crate) file: PathBuf,
     /// Only show the difference.
@@ -96,8 +96,8 @@
             settings: settings_only(args, "relay")?,
         }),
         Some("check") => check(args),
-        Some("register") => change(args, Which::Register, "import"),
-        Some("rules") => change(args, Which::Rules, "apply"),
+        Some("register") => change(args, PartKind::Register, "import"),
+        Some("rules") => change(args, PartKind::Rules, "apply"),
         Some("status") => status(args),
         Some(other) => Err(Failure::Usage(format!("unknown command `{other}`"))),
         None => Err(Failure::Usage("a command is missing".to_owned())),
@@ -125,7 +125,7 @@
     })
 }
 
-fn change(mut args: Arguments, which: Which, verb: &str) -> Result<Command> {
+fn change(mut args: Arguments, which: PartKind, verb: &str) -> Result<Command> {
     let noun = name_of(which);
     if subcommand(&mut args)?.as_deref() != Some(verb) {
         return Err(Failure::Usage(format!("expected `{noun} {verb} FILE`")));
--- a/crates/kelpworks-cli/src/change.rs
+++ b/crates/kelpworks-cli/src/change.rs
@@ -10,9 +10,9 @@
 use kelpworks::border::object_api::Deadlines;
 use kelpworks::border::object_api::HttpObjectApi;
 use kelpworks::config::accept;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
-use kelpworks::config::accept::Which;
 use kelpworks::config::accept::name_of;
 use kelpworks::config::document::read_file;
 use kelpworks::register::Register;
@@ -44,12 +44,12 @@
 }
 
 /// Reads the new text. What is wrong with it by itself is told before any system is asked.
-fn read_proposal(which: Which, file: &Path) -> Result<Proposal> {
+fn read_proposal(which: PartKind, file: &Path) -> Result<Proposal> {
     let name = file.display().to_string();
     let text = read_file(file)?;
     match which {
-        Which::Register => Register::parse(&name, &text).map(drop)?,
-        Which::Rules => Rules::parse_alone(&name, &text).map(drop)?,
+        PartKind::Register => Register::parse(&name, &text).map(drop)?,
+        PartKind::Rules => Rules::parse_alone(&name, &text).map(drop)?,
     }
     Ok(Proposal::new(which, &name, text))
 }
--- a/crates/kelpworks-coord/src/budget.rs
+++ b/crates/kelpworks-coord/src/budget.rs
@@ -83,19 +83,19 @@
 }
 
 impl Bucket {
-    fn refill(&mut self, passed: Span, members: u64, burst: u64) {
-        let gain = self.fleet_rate.saturating_mul(passed.as_millis()) / members / MILLI;
+    fn refill(&mut self, elapsed: Span, members: u64, burst: u64) {
+        let gain = self.fleet_rate.saturating_mul(elapsed.as_millis()) / members / MILLI;
         self.level = self.level.saturating_add(gain).min(burst * MILLI);
     }
 
     fn take(&mut self, writes: u64, members: u64) -> Result<()> {
-        let need = writes * MILLI;
-        if self.level >= need {
-            self.level -= need;
+        let needed = writes * MILLI;
+        if self.level >= needed {
+            self.level -= needed;
             return Ok(());
         }
         let rate = (self.fleet_rate / members).max(1);
-        let ms = ((need - self.level) * MILLI).div_ceil(rate);
+        let ms = ((needed - self.level) * MILLI).div_ceil(rate);
         Err(Refused {
             retry_after: Span::from_millis(ms),
         })
@@ -110,13 +110,13 @@
     members: u64,
     claims: Bucket,
     reserved: Bucket,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl WriteBudget {
     /// Full buckets, of a fleet of one.
     pub fn new(cfg: Config, now: Instant) -> WriteBudget {
-        let left = cfg.fleet_per_second.saturating_sub(cfg.reserved_per_second);
+        let claim_rate = cfg.fleet_per_second.saturating_sub(cfg.reserved_per_second);
         let bucket = |rate: u64| Bucket {
             level: cfg.burst * MILLI,
             fleet_rate: rate * MILLI,
@@ -124,9 +124,9 @@
         WriteBudget {
             cfg,
             members: 1,
-            claims: bucket(left),
+            claims: bucket(claim_rate),
             reserved: bucket(cfg.reserved_per_second),
-            filled: now,
+            refilled_at: now,
         }
     }
 
@@ -153,13 +153,13 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.since(self.filled);
+        let elapsed = now.since(self.refilled_at);
         // Below a few milliseconds the gain of a small share would round to nothing for ever.
-        if passed < Span::from_millis(10) {
+        if elapsed < Span::from_millis(10) {
             return;
         }
-        self.filled = now;
-        self.claims.refill(passed, self.members, self.cfg.burst);
-        self.reserved.refill(passed, 1, self.cfg.burst);
+        self.refilled_at = now;
+        self.claims.refill(elapsed, self.members, self.cfg.burst);
+        self.reserved.refill(elapsed, 1, self.cfg.burst);
     }
 }
--- a/crates/kelpworks-coord/src/claim/messages.rs
+++ b/crates/kelpworks-coord/src/claim/messages.rs
@@ -16,22 +16,22 @@
     /// Largest outcome body that is recorded, in bytes. Default 256 KiB; the object API holds 1 MB.
     pub max_outcome_bytes: usize,
     /// Pause before a read or write is tried again. Default 100 ms.
-    pub retry: Span,
+    pub retry_interval: Span,
     /// Longest time to find out whether the claim was created. Default 1 s.
-    pub settle: Span,
+    pub create_timeout: Span,
     /// Longest time that an answer waits for its recording. Default 500 ms. A longer one makes it
     /// likelier that a repeat gets the same answer though the holder dies at once; every caller
     /// pays it while the object API is down.
-    pub record: Span,
+    pub record_timeout: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
             max_outcome_bytes: 256 * 1024,
-            retry: Span::from_millis(100),
-            settle: Span::from_secs(1),
-            record: Span::from_millis(500),
+            retry_interval: Span::from_millis(100),
+            create_timeout: Span::from_secs(1),
+            record_timeout: Span::from_millis(500),
         }
     }
 }
@@ -137,7 +137,7 @@
 
 /// How a dispatched request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Run {
+pub enum RunResult {
     /// With an answer.
     Completed(Outcome),
     /// No byte of it reached execution.
@@ -157,7 +157,7 @@
     /// incarnation.
     Peer(Option<PeerStatus>),
     /// The dispatched request ended.
-    Finished(Run),
+    Finished(RunResult),
     /// Time passed.
     Tick,
 }
@@ -180,7 +180,7 @@
         if_version: Version,
     },
     /// Ask the daemon that holds the claim.
-    AskHolder {
+    QueryHolder {
         /// The daemon.
         holder: NodeId,
         /// Only this run of it knows.
@@ -196,7 +196,7 @@
 
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// The object API did not confirm the claim.
     Unavailable,
     /// The deadline passed before dispatch.
@@ -217,5 +217,5 @@
     /// It, or an earlier submission, may have run.
     MayHaveRun,
     /// This submission did not run and never will.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
 }
--- a/crates/kelpworks-coord/src/claim/mod.rs
+++ b/crates/kelpworks-coord/src/claim/mod.rs
@@ -48,22 +48,22 @@
 pub use messages::ApiReply;
 pub use messages::Config;
 pub use messages::Event;
-pub use messages::NotRun;
+pub use messages::NotRunReason;
 pub use messages::Outcome;
 pub use messages::PeerStatus;
 pub use messages::Phase;
 pub use messages::Record;
 pub use messages::Request;
-pub use messages::Run;
+pub use messages::RunResult;
 pub use messages::Stored;
 
 /// A claim that was given up is taken for removed after finding it absent so often and once more:
 /// one such read may be a lagging replica's, or come before a late write.
-const ABSENT_READS: u8 = 2;
+const ABSENT_RETRIES: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Cleanup {
-    At(Instant),
+    RetryAt(Instant),
     Reading,
     Removing,
     Finished,
@@ -77,11 +77,11 @@
         if_version: Version,
     },
     /// It is not known whether the write took effect.
-    Unsure {
+    Unconfirmed {
         if_version: Version,
         read_at: Option<Instant>,
     },
-    Asking {
+    QueryingHolder {
         version: Version,
     },
     Running {
@@ -110,11 +110,11 @@
     cfg: Config,
     req: Request,
     /// Give up settling then; at most the request's deadline.
-    settle_by: Instant,
+    create_by: Instant,
     /// Whether a write of the claim may have taken effect without our knowing.
-    exposed: bool,
-    /// Reads of the cleanup that found nothing; at most [`ABSENT_READS`].
-    absent_reads: u8,
+    maybe_written: bool,
+    /// Reads of the cleanup that found nothing; at most [`ABSENT_RETRIES`].
+    absent_retries: u8,
     state: State,
 }
 
@@ -124,9 +124,9 @@
         Claim {
             cfg,
             req,
-            settle_by: req.deadline,
-            exposed: false,
-            absent_reads: 0,
+            create_by: req.deadline,
+            maybe_written: false,
+            absent_retries: 0,
             state: State::New,
         }
     }
@@ -159,7 +159,7 @@
     /// Whether the object's state is settled, so that the driver may drop this value.
     ///
     /// One that was given up is better kept for a while, see the module's documentation.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(
             self.state,
             State::Ended(_) | State::Abandoned(Cleanup::Finished)
@@ -170,7 +170,7 @@
         if self.state != State::New {
             return Vec::new();
         }
-        self.settle_by = self.req.deadline.min(now + self.cfg.settle);
+        self.create_by = self.req.deadline.min(now + self.cfg.create_timeout);
         self.create(Version::ABSENT)
     }
 
@@ -194,8 +194,8 @@
 
     fn on_api(&mut self, now: Instant, reply: ApiReply) -> Vec<Action> {
         match self.state.clone() {
-            State::Creating { if_version } => self.on_created(now, if_version, reply),
-            State::Unsure {
+            State::Creating { if_version } => self.on_create_reply(now, if_version, reply),
+            State::Unconfirmed {
                 if_version,
                 read_at: None,
             } => self.on_read_back(now, if_version, reply),
@@ -204,28 +204,33 @@
                 phase,
                 answer_by,
                 retry_at: None,
-            } => self.on_recorded(now, version, phase, answer_by, reply),
-            State::Abandoned(cleanup) => self.on_cleaned(now, cleanup, reply),
+            } => self.on_record_reply(now, version, phase, answer_by, reply),
+            State::Abandoned(cleanup) => self.on_cleanup_reply(now, cleanup, reply),
             _ => Vec::new(),
         }
     }
 
-    fn on_created(&mut self, now: Instant, if_version: Version, reply: ApiReply) -> Vec<Action> {
+    fn on_create_reply(
+        &mut self,
+        now: Instant,
+        if_version: Version,
+        reply: ApiReply,
+    ) -> Vec<Action> {
         match reply {
             ApiReply::Stored(version) => self.dispatch(now, version),
             ApiReply::Conflict(Some(found)) => self.on_found(now, found),
             // Taken over from a claim that its holder removed meanwhile.
             ApiReply::Conflict(None) => self.create(Version::ABSENT),
-            ApiReply::Refused => self.give_up(now, NotRun::Unavailable),
+            ApiReply::Refused => self.abandon(now, NotRunReason::Unavailable),
             _ => {
-                self.exposed = true;
+                self.maybe_written = true;
                 self.read_back(if_version)
             }
         }
     }
 
     fn read_back(&mut self, if_version: Version) -> Vec<Action> {
-        self.state = State::Unsure {
+        self.state = State::Unconfirmed {
             if_version,
             read_at: None,
         };
@@ -237,14 +242,14 @@
             ApiReply::Found(found) if found.version != if_version => self.on_found(now, found),
             // Before any other write: an API that takes reads and loses writes would hold the
             // caller until the budget is spent.
-            _ if now >= self.settle_by => self.give_up(now, NotRun::Unavailable),
+            _ if now >= self.create_by => self.abandon(now, NotRunReason::Unavailable),
             // The same write again: whichever of the two takes effect, the other conflicts and
             // shows our nonce.
             ApiReply::Found(_) => self.create(if_version),
             ApiReply::Absent => self.create(Version::ABSENT),
             _ => {
-                let read_at = Some(now + self.cfg.retry);
-                self.state = State::Unsure {
+                let read_at = Some(now + self.cfg.retry_interval);
+                self.state = State::Unconfirmed {
                     if_version,
                     read_at,
                 };
@@ -256,17 +261,17 @@
     fn on_found(&mut self, now: Instant, found: Stored) -> Vec<Action> {
         let record = found.record;
         if record.digest != self.req.digest {
-            return self.end(Answer::NotRun(NotRun::KeyReused));
+            return self.end(Answer::NotRun(NotRunReason::KeyReused));
         }
         match record.phase {
             Phase::Done(outcome) => self.end(Answer::Completed(outcome)),
             Phase::DoneUnrecorded | Phase::MayHaveRun => self.end(Answer::MayHaveRun),
             Phase::Claimed if record.nonce == self.req.nonce => self.dispatch(now, found.version),
             Phase::Claimed => {
-                self.state = State::Asking {
+                self.state = State::QueryingHolder {
                     version: found.version,
                 };
-                vec![Action::AskHolder {
+                vec![Action::QueryHolder {
                     holder: record.holder,
                     incarnation: record.incarnation,
                     nonce: record.nonce,
@@ -276,30 +281,30 @@
     }
 
     fn on_peer(&mut self, now: Instant, status: Option<PeerStatus>) -> Vec<Action> {
-        let State::Asking { version } = self.state else {
+        let State::QueryingHolder { version } = self.state else {
             return Vec::new();
         };
         match status {
             Some(PeerStatus::InProgress) => self.end(Answer::InProgress),
             Some(PeerStatus::Done(outcome)) => self.end(Answer::Completed(outcome)),
             Some(PeerStatus::NeverDispatched) if now < self.req.deadline => self.create(version),
-            Some(PeerStatus::NeverDispatched) => self.give_up(now, NotRun::Deadline),
+            Some(PeerStatus::NeverDispatched) => self.abandon(now, NotRunReason::Deadline),
             Some(PeerStatus::MayHaveRun) | None => self.end(Answer::MayHaveRun),
         }
     }
 
     fn dispatch(&mut self, now: Instant, version: Version) -> Vec<Action> {
         if now >= self.req.deadline {
-            self.exposed = true;
-            return self.give_up(now, NotRun::Deadline);
+            self.maybe_written = true;
+            return self.abandon(now, NotRunReason::Deadline);
         }
         self.state = State::Running { version };
         vec![Action::Dispatch]
     }
 
-    fn give_up(&mut self, now: Instant, reason: NotRun) -> Vec<Action> {
-        let cleanup = match self.exposed {
-            true => Cleanup::At(now + self.cfg.retry),
+    fn abandon(&mut self, now: Instant, reason: NotRunReason) -> Vec<Action> {
+        let cleanup = match self.maybe_written {
+            true => Cleanup::RetryAt(now + self.cfg.retry_interval),
             false => Cleanup::Finished,
         };
         self.state = State::Abandoned(cleanup);
@@ -311,14 +316,14 @@
         vec![Action::Answer(answer)]
     }
 
-    fn on_finished(&mut self, now: Instant, run: Run) -> Vec<Action> {
+    fn on_finished(&mut self, now: Instant, run: RunResult) -> Vec<Action> {
         let State::Running { version } = self.state else {
             return Vec::new();
         };
         match run {
-            Run::NotRun => {
+            RunResult::NotRun => {
                 self.state = State::Abandoned(Cleanup::Removing);
-                let answer = Action::Answer(Answer::NotRun(NotRun::Upstream));
+                let answer = Action::Answer(Answer::NotRun(NotRunReason::Upstream));
                 vec![
                     answer,
                     Action::Remove {
@@ -326,18 +331,18 @@
                     },
                 ]
             }
-            Run::MayHaveRun => {
+            RunResult::MayHaveRun => {
                 let mut actions = vec![Action::Answer(Answer::MayHaveRun)];
                 actions.extend(self.write_phase(version, Phase::MayHaveRun, None));
                 actions
             }
-            Run::Completed(outcome) if outcome.body.len() > self.cfg.max_outcome_bytes => {
+            RunResult::Completed(outcome) if outcome.body.len() > self.cfg.max_outcome_bytes => {
                 let mut actions = vec![Action::Answer(Answer::Completed(outcome))];
                 actions.extend(self.write_phase(version, Phase::DoneUnrecorded, None));
                 actions
             }
-            Run::Completed(outcome) => {
-                let answer_by = Some(now + self.cfg.record);
+            RunResult::Completed(outcome) => {
+                let answer_by = Some(now + self.cfg.record_timeout);
                 self.write_phase(version, Phase::Done(outcome), answer_by)
             }
         }
@@ -362,7 +367,7 @@
         }]
     }
 
-    fn on_recorded(
+    fn on_record_reply(
         &mut self,
         now: Instant,
         version: Version,
@@ -373,12 +378,12 @@
         match reply {
             // Only this daemon writes a dispatched claim, so a conflict shows an earlier try.
             ApiReply::Stored(_) | ApiReply::Conflict(_) => {
-                let answer = answer_by.and_then(|_| completed(&phase));
+                let answer = answer_by.and_then(|_| completed_answer(&phase));
                 self.state = State::Ended(Some(phase));
                 answer.into_iter().collect()
             }
             _ => {
-                let retry_at = Some(now + self.cfg.retry);
+                let retry_at = Some(now + self.cfg.retry_interval);
                 self.state = State::Recording {
                     version,
                     phase,
@@ -390,7 +395,7 @@
         }
     }
 
-    fn on_cleaned(&mut self, now: Instant, cleanup: Cleanup, reply: ApiReply) -> Vec<Action> {
+    fn on_cleanup_reply(&mut self, now: Instant, cleanup: Cleanup, reply: ApiReply) -> Vec<Action> {
         let (next, actions) = match (cleanup, reply) {
             (Cleanup::Reading, ApiReply::Found(found)) if found.record.nonce == self.req.nonce => (
                 Cleanup::Removing,
@@ -398,16 +403,16 @@
                     if_version: found.version,
                 }],
             ),
-            (Cleanup::Reading, ApiReply::Absent) if self.absent_reads < ABSENT_READS => {
-                self.absent_reads += 1;
-                (Cleanup::At(now + self.cfg.retry), Vec::new())
+            (Cleanup::Reading, ApiReply::Absent) if self.absent_retries < ABSENT_RETRIES => {
+                self.absent_retries += 1;
+                (Cleanup::RetryAt(now + self.cfg.retry_interval), Vec::new())
             }
             (Cleanup::Reading, ApiReply::Found(_) | ApiReply::Absent)
             | (Cleanup::Removing, ApiReply::Removed | ApiReply::Conflict(_)) => {
                 (Cleanup::Finished, Vec::new())
             }
             (Cleanup::Reading | Cleanup::Removing, _) => {
-                (Cleanup::At(now + self.cfg.retry), Vec::new())
+                (Cleanup::RetryAt(now + self.cfg.retry_interval), Vec::new())
             }
             (cleanup, _) => (cleanup, Vec::new()),
         };
@@ -417,19 +422,23 @@
 
     fn on_tick(&mut self, now: Instant) -> Vec<Action> {
         match self.state.clone() {
-            State::Unsure { .. } if now >= self.settle_by => self.give_up(now, NotRun::Unavailable),
-            State::Unsure {
+            State::Unconfirmed { .. } if now >= self.create_by => {
+                self.abandon(now, NotRunReason::Unavailable)
+            }
+            State::Unconfirmed {
                 if_version,
                 read_at: Some(at),
             } if now >= at => self.read_back(if_version),
-            State::Asking { .. } if now >= self.req.deadline => self.end(Answer::MayHaveRun),
+            State::QueryingHolder { .. } if now >= self.req.deadline => {
+                self.end(Answer::MayHaveRun)
+            }
             State::Recording {
                 version,
                 phase,
                 answer_by,
                 retry_at,
             } => self.tick_recording(now, version, phase, answer_by, retry_at),
-            State::Abandoned(Cleanup::At(at)) if now >= at => {
+            State::Abandoned(Cleanup::RetryAt(at)) if now >= at => {
                 self.state = State::Abandoned(Cleanup::Reading);
                 vec![Action::Read]
             }
@@ -445,10 +454,10 @@
         answer_by: Option<Instant>,
         retry_at: Option<Instant>,
     ) -> Vec<Action> {
-        let late = answer_by.is_some_and(|by| now >= by);
-        let answer_by = answer_by.filter(|_| !late);
-        let mut actions: Vec<Action> = late
-            .then(|| completed(&phase))
+        let timed_out = answer_by.is_some_and(|by| now >= by);
+        let answer_by = answer_by.filter(|_| !timed_out);
+        let mut actions: Vec<Action> = timed_out
+            .then(|| completed_answer(&phase))
             .flatten()
             .into_iter()
             .collect();
@@ -466,7 +475,7 @@
     }
 }
 
-fn completed(phase: &Phase) -> Option<Action> {
+fn completed_answer(phase: &Phase) -> Option<Action> {
     match phase {
         Phase::Done(outcome) => Some(Action::Answer(Answer::Completed(outcome.clone()))),
         _ => None,
--- a/crates/kelpworks-coord/src/spread.rs
+++ b/crates/kelpworks-coord/src/dissemination.rs
@@ -7,14 +7,14 @@
 //! ```
 //! use kelpworks_coord::head::Generation;
 //! use kelpworks_coord::id::NodeId;
-//! use kelpworks_coord::spread::*;
+//! use kelpworks_coord::dissemination::*;
 //!
 //! let peers = [NodeId(2), NodeId(3), NodeId(4), NodeId(5)];
-//! let mut spread = Spread::new(Config::default(), NodeId(1));
-//! assert_eq!(spread.on_event(Event::Learned(Generation(8)), &peers).len(), 3);
-//! assert_eq!(spread.on_event(Event::Learned(Generation(8)), &peers), [], "once a generation");
+//! let mut dissemination = Dissemination::new(Config::default(), NodeId(1));
+//! assert_eq!(dissemination.on_event(Event::Learned(Generation(8)), &peers).len(), 3);
+//! assert_eq!(dissemination.on_event(Event::Learned(Generation(8)), &peers), [], "once a generation");
 //! let behind = Event::Heartbeat { from: NodeId(4), generation: Generation(7) };
-//! assert_eq!(spread.on_event(behind, &peers), [Action::Push(NodeId(4))]);
+//! assert_eq!(dissemination.on_event(behind, &peers), [Action::Push(NodeId(4))]);
 //! ```
 //!
 //! The targets follow from a hash of generation, pusher and peer: they differ from generation to
@@ -64,35 +64,35 @@
 
 /// One daemon's part in dissemination.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Spread {
+pub struct Dissemination {
     cfg: Config,
     me: NodeId,
     /// Highest generation known, and pushed; never falls.
-    known: Generation,
+    latest: Generation,
 }
 
-impl Spread {
+impl Dissemination {
     /// A daemon that knows of no generation.
-    pub fn new(cfg: Config, me: NodeId) -> Spread {
-        Spread {
+    pub fn new(cfg: Config, me: NodeId) -> Dissemination {
+        Dissemination {
             cfg,
             me,
-            known: Generation(0),
+            latest: Generation(0),
         }
     }
 
     /// Takes an input; `peers` are the members that count as live, without this daemon.
     pub fn on_event(&mut self, event: Event, peers: &[NodeId]) -> Vec<Action> {
         match event {
-            Event::Learned(generation) if generation > self.known => {
-                self.known = generation;
+            Event::Learned(generation) if generation > self.latest => {
+                self.latest = generation;
                 self.targets(peers).into_iter().map(Action::Push).collect()
             }
             Event::Learned(_) => Vec::new(),
-            Event::Heartbeat { from, generation } if generation < self.known => {
+            Event::Heartbeat { from, generation } if generation < self.latest => {
                 vec![Action::Push(from)]
             }
-            Event::Heartbeat { from, generation } if generation > self.known => {
+            Event::Heartbeat { from, generation } if generation > self.latest => {
                 vec![Action::Pull(from)]
             }
             Event::Heartbeat { .. } => Vec::new(),
@@ -100,7 +100,7 @@
     }
 
     fn targets(&self, peers: &[NodeId]) -> Vec<NodeId> {
-        let seed = self.known.0.rotate_left(32) ^ self.me.0;
+        let seed = self.latest.0.rotate_left(32) ^ self.me.0;
         let mut peers = peers.to_vec();
         peers.sort_by_cached_key(|peer| xxh3_64_with_seed(&peer.0.to_le_bytes(), seed));
         peers.truncate(self.cfg.fanout);
--- a/crates/kelpworks-coord/src/facts.rs
+++ b/crates/kelpworks-coord/src/facts.rs
@@ -16,8 +16,8 @@
 //! for fact in a.take_delta(now, 1_000, 7) {
 //!     b.merge(now, fact);
 //! }
-//! assert_eq!(b.authors(now, Kind::Leaving, 77), 1);
-//! assert_eq!(b.authors(now + Span::from_secs(60), Kind::Leaving, 77), 0);
+//! assert_eq!(b.author_count(now, Kind::Leaving, 77), 1);
+//! assert_eq!(b.author_count(now + Span::from_secs(60), Kind::Leaving, 77), 0);
 //! ```
 //!
 //! Times to live are relative, since clocks are not shared: the time that a fact spends on the way
@@ -112,16 +112,16 @@
 pub const FACT_BYTES: usize = 240;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct StoredFact {
     stamp: Stamp,
     holds: bool,
     detail: u64,
     expires: Instant,
     /// Messages that it still goes with.
-    sends: u32,
+    sends_left: u32,
 }
 
-struct Said {
+struct Statement {
     holds: bool,
     detail: u64,
     ttl: Span,
@@ -136,7 +136,7 @@
     /// Sequence of the last change by this daemon.
     sequence: u64,
     /// At most [`Config::max_facts`].
-    held: BTreeMap<Key, Held>,
+    facts: BTreeMap<Key, StoredFact>,
 }
 
 impl Facts {
@@ -147,7 +147,7 @@
             me,
             incarnation,
             sequence: 0,
-            held: BTreeMap::new(),
+            facts: BTreeMap::new(),
         }
     }
 
@@ -162,7 +162,7 @@
             now,
             kind,
             subject,
-            Said {
+            Statement {
                 holds: true,
                 detail,
                 ttl,
@@ -177,18 +177,18 @@
             kind,
             subject,
         };
-        if self.held.get(&key).is_some_and(|h| h.holds) {
+        if self.facts.get(&key).is_some_and(|h| h.holds) {
             // The clearing must live as long as any copy of what it clears.
-            let said = Said {
+            let statement = Statement {
                 holds: false,
                 detail: 0,
                 ttl: self.cfg.max_ttl,
             };
-            self.write(now, kind, subject, said);
+            self.write(now, kind, subject, statement);
         }
     }
 
-    fn write(&mut self, now: Instant, kind: Kind, subject: u64, said: Said) {
+    fn write(&mut self, now: Instant, kind: Kind, subject: u64, statement: Statement) {
         self.sequence += 1;
         let key = Key {
             author: self.me,
@@ -199,7 +199,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
         };
-        let Said { holds, detail, ttl } = said;
+        let Statement { holds, detail, ttl } = statement;
         self.merge(
             now,
             Fact {
@@ -215,7 +215,7 @@
     /// Takes a fact in; true when it was news.
     pub fn merge(&mut self, now: Instant, fact: Fact) -> bool {
         let expires = now + fact.ttl.min(self.cfg.max_ttl);
-        if let Some(old) = self.held.get_mut(&fact.key) {
+        if let Some(old) = self.facts.get_mut(&fact.key) {
             if old.stamp == fact.stamp {
                 old.expires = old.expires.min(expires);
             }
@@ -232,14 +232,14 @@
             detail,
             ..
         } = fact;
-        self.held.insert(
+        self.facts.insert(
             fact.key,
-            Held {
+            StoredFact {
                 stamp,
                 holds,
                 detail,
                 expires,
-                sends: u32::MAX,
+                sends_left: u32::MAX,
             },
         );
         self.shrink(now);
@@ -247,15 +247,15 @@
     }
 
     fn shrink(&mut self, now: Instant) {
-        self.held.retain(|_, h| h.expires > now);
-        while self.held.len() > self.cfg.max_facts {
+        self.facts.retain(|_, h| h.expires > now);
+        while self.facts.len() > self.cfg.max_facts {
             let first = self
-                .held
+                .facts
                 .iter()
                 .min_by_key(|(_, h)| h.expires)
                 .map(|(&k, _)| k);
             let Some(first) = first else { return };
-            self.held.remove(&first);
+            self.facts.remove(&first);
         }
     }
 
@@ -264,21 +264,21 @@
     /// Each goes with a number of messages that grows with the logarithm of the members' number.
     pub fn take_delta(&mut self, now: Instant, max_bytes: usize, members: usize) -> Vec<Fact> {
         self.shrink(now);
-        let cap = 3 * (members as u32 + 2).ilog2();
-        let mut fresh: Vec<(Key, u32)> = self
-            .held
+        let max_sends = 3 * (members as u32 + 2).ilog2();
+        let mut pending: Vec<(Key, u32)> = self
+            .facts
             .iter()
-            .map(|(&key, h)| (key, h.sends.min(cap)))
-            .filter(|&(_, sends)| sends > 0)
+            .map(|(&key, h)| (key, h.sends_left.min(max_sends)))
+            .filter(|&(_, sends_left)| sends_left > 0)
             .collect();
-        fresh.sort_by_key(|&(key, sends)| (std::cmp::Reverse(sends), key));
-        fresh.truncate(max_bytes / FACT_BYTES);
-        for &(key, sends) in &fresh {
-            if let Some(held) = self.held.get_mut(&key) {
-                held.sends = sends - 1;
+        pending.sort_by_key(|&(key, sends_left)| (std::cmp::Reverse(sends_left), key));
+        pending.truncate(max_bytes / FACT_BYTES);
+        for &(key, sends_left) in &pending {
+            if let Some(stored) = self.facts.get_mut(&key) {
+                stored.sends_left = sends_left - 1;
             }
         }
-        fresh
+        pending
             .iter()
             .filter_map(|&(key, _)| self.fact(now, key))
             .collect()
@@ -286,20 +286,20 @@
 
     /// All facts.
     pub fn snapshot(&self, now: Instant) -> Vec<Fact> {
-        self.held
+        self.facts
             .keys()
             .filter_map(|&key| self.fact(now, key))
             .collect()
     }
 
     fn fact(&self, now: Instant, key: Key) -> Option<Fact> {
-        let &Held {
+        let &StoredFact {
             stamp,
             holds,
             detail,
             expires,
             ..
-        } = self.held.get(&key)?;
+        } = self.facts.get(&key)?;
         let ttl = expires.since(now);
         (ttl > Span::ZERO).then_some(Fact {
             key,
@@ -313,26 +313,26 @@
     /// Hash over keys and versions; equal on daemons that hold the same facts.
     pub fn digest(&self, now: Instant) -> u64 {
         let mut hasher = Xxh3::new();
-        for (key, held) in self.held.iter().filter(|(_, h)| h.expires > now) {
+        for (key, stored) in self.facts.iter().filter(|(_, h)| h.expires > now) {
             hasher.update(&key.author.0.to_le_bytes());
             hasher.update(&[key.kind as u8]);
             hasher.update(&key.subject.to_le_bytes());
-            hasher.update(&held.stamp.incarnation.0.to_le_bytes());
-            hasher.update(&held.stamp.sequence.to_le_bytes());
+            hasher.update(&stored.stamp.incarnation.0.to_le_bytes());
+            hasher.update(&stored.stamp.sequence.to_le_bytes());
         }
         hasher.digest()
     }
 
     /// Number of daemons that state this of the subject now.
-    pub fn authors(&self, now: Instant, kind: Kind, subject: u64) -> usize {
-        self.standing(now, kind)
+    pub fn author_count(&self, now: Instant, kind: Kind, subject: u64) -> usize {
+        self.active(now, kind)
             .filter(|f| f.key.subject == subject)
             .count()
     }
 
     /// Facts of a kind that hold now.
-    pub fn standing(&self, now: Instant, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
-        self.held
+    pub fn active(&self, now: Instant, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
+        self.facts
             .iter()
             .filter(move |(key, h)| key.kind == kind && h.holds)
             .filter_map(move |(&key, _)| self.fact(now, key))
--- a/crates/kelpworks-coord/src/head.rs
+++ b/crates/kelpworks-coord/src/head.rs
@@ -15,7 +15,7 @@
 //! use kelpworks_coord::id::*;
 //! use kelpworks_coord::time::Instant;
 //!
-//! let change = Change { which: Which::Rules, digest: Digest([1; 32]), nonce: Nonce(5) };
+//! let change = Change { kind: PartKind::Rules, digest: Digest([1; 32]), nonce: Nonce(5) };
 //! let mut swap = Swap::new(Config::default(), change, Instant::ZERO);
 //! assert_eq!(swap.on_event(Instant::ZERO, SwapEvent::Start), [SwapAction::PutBlob(change.digest)]);
 //! let actions = swap.on_event(Instant::ZERO, SwapEvent::BlobStored);
@@ -93,27 +93,27 @@
         rules: None,
     };
 
-    fn part(&self, which: Which) -> Option<Part> {
-        match which {
-            Which::Register => self.register,
-            Which::Rules => self.rules,
+    fn part(&self, kind: PartKind) -> Option<Part> {
+        match kind {
+            PartKind::Register => self.register,
+            PartKind::Rules => self.rules,
         }
     }
 
-    fn with(self, change: Change, era: Era) -> Head {
+    fn with_change(self, change: Change, era: Era) -> Head {
         let generation = self.generation.next(era);
         let part = Some(Part {
             digest: change.digest,
             since: generation,
             nonce: change.nonce,
         });
-        match change.which {
-            Which::Register => Head {
+        match change.kind {
+            PartKind::Register => Head {
                 generation,
                 register: part,
                 ..self
             },
-            Which::Rules => Head {
+            PartKind::Rules => Head {
                 generation,
                 rules: part,
                 ..self
@@ -124,7 +124,7 @@
 
 /// Which part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Which {
+pub enum PartKind {
     /// The register.
     Register,
     /// The rules.
@@ -135,7 +135,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Change {
     /// The part to replace.
-    pub which: Which,
+    pub kind: PartKind,
     /// Its new text.
     pub digest: Digest,
     /// Drawn for this change.
@@ -146,16 +146,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Pause before a call is tried again. Default 200 ms.
-    pub retry: Span,
+    pub retry_interval: Span,
     /// Longest time for the whole change. Default 30 s.
-    pub give_up: Span,
+    pub timeout: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            retry: Span::from_millis(200),
-            give_up: Span::from_secs(30),
+            retry_interval: Span::from_millis(200),
+            timeout: Span::from_secs(30),
         }
     }
 }
@@ -259,27 +259,27 @@
 pub struct Swap {
     cfg: Config,
     change: Change,
-    give_up_at: Instant,
+    deadline: Instant,
     /// The head as first read: what the operator's change was made against.
     base: Option<Head>,
     /// Latest version read; an older one is the answer of a lagging replica.
     latest: Version,
     /// Whether a write of the head may have taken effect without our knowing.
-    exposed: bool,
+    maybe_written: bool,
     state: SwapState,
 }
 
 impl Swap {
     /// A change that has not begun.
     pub fn new(cfg: Config, change: Change, now: Instant) -> Swap {
-        let give_up_at = now + cfg.give_up;
+        let deadline = now + cfg.timeout;
         Swap {
             cfg,
             change,
-            give_up_at,
+            deadline,
             base: None,
             latest: Version::ABSENT,
-            exposed: false,
+            maybe_written: false,
             state: SwapState::New,
         }
     }
@@ -289,7 +289,7 @@
         match (self.state, event) {
             (SwapState::New, SwapEvent::Start) => self.call(Call::Blob),
             (SwapState::Waiting { call, until }, SwapEvent::Tick) => {
-                if now >= self.give_up_at {
+                if now >= self.deadline {
                     return self.time_out();
                 }
                 if now >= until {
@@ -298,9 +298,7 @@
                     Vec::new()
                 }
             }
-            (SwapState::Outstanding(_), SwapEvent::Tick) if now >= self.give_up_at => {
-                self.time_out()
-            }
+            (SwapState::Outstanding(_), SwapEvent::Tick) if now >= self.deadline => self.time_out(),
             (SwapState::Outstanding(call), event) => self.on_reply(now, call, event),
             _ => Vec::new(),
         }
@@ -311,17 +309,17 @@
         vec![match call {
             Call::Blob => SwapAction::PutBlob(self.change.digest),
             Call::Read => SwapAction::ReadHead,
-            Call::Validate(at) => SwapAction::Validate(self.changed(at)),
+            Call::Validate(at) => SwapAction::Validate(self.updated_head(at)),
             Call::Swap(at) => SwapAction::SwapHead {
                 if_version: at.version,
-                head: self.changed(at),
+                head: self.updated_head(at),
             },
         }]
     }
 
     /// The head with the change on top of it.
-    fn changed(&self, at: StoredHead) -> Head {
-        at.head.with(self.change, at.version.era)
+    fn updated_head(&self, at: StoredHead) -> Head {
+        at.head.with_change(self.change, at.version.era)
     }
 
     fn on_reply(&mut self, now: Instant, call: Call, event: SwapEvent) -> Vec<SwapAction> {
@@ -331,20 +329,20 @@
             (Call::Validate(at), SwapEvent::Valid) => self.call(Call::Swap(at)),
             (Call::Validate(_), SwapEvent::Invalid) => self.on_invalid(),
             (Call::Swap(at), SwapEvent::Swapped) => {
-                self.done(SwapOutcome::Accepted(self.changed(at).generation))
+                self.done(SwapOutcome::Accepted(self.updated_head(at).generation))
             }
             (Call::Swap(_), SwapEvent::Conflict(at)) => self.on_head(now, at),
             (Call::Swap(_), SwapEvent::Lost) => {
-                self.exposed = true;
+                self.maybe_written = true;
                 self.call(Call::Read)
             }
-            (call, SwapEvent::Lost | SwapEvent::Refused) => self.wait(now, call),
+            (call, SwapEvent::Lost | SwapEvent::Refused) => self.retry_later(now, call),
             _ => Vec::new(),
         }
     }
 
-    fn wait(&mut self, now: Instant, call: Call) -> Vec<SwapAction> {
-        let until = now + self.cfg.retry;
+    fn retry_later(&mut self, now: Instant, call: Call) -> Vec<SwapAction> {
+        let until = now + self.cfg.retry_interval;
         self.state = SwapState::Waiting { call, until };
         Vec::new()
     }
@@ -352,26 +350,26 @@
     /// Decides on a head that was read, or that stood in the way.
     fn on_head(&mut self, now: Instant, at: StoredHead) -> Vec<SwapAction> {
         if at.version < self.latest {
-            return self.wait(now, Call::Read);
+            return self.retry_later(now, Call::Read);
         }
         self.latest = at.version;
         let base = *self.base.get_or_insert(at.head);
-        let ours = at.head.part(self.change.which);
-        if let Some(part) = ours.filter(|p| p.nonce == self.change.nonce) {
+        let stored_part = at.head.part(self.change.kind);
+        if let Some(part) = stored_part.filter(|p| p.nonce == self.change.nonce) {
             return self.done(SwapOutcome::Accepted(part.since));
         }
         let since = |part: Option<Part>| part.map(|p| p.since);
-        if since(ours) == since(base.part(self.change.which)) {
+        if since(stored_part) == since(base.part(self.change.kind)) {
             return self.call(Call::Validate(at));
         }
-        match self.exposed {
+        match self.maybe_written {
             true => self.done(SwapOutcome::Superseded { current: at.head }),
             false => self.done(SwapOutcome::Conflict { current: at.head }),
         }
     }
 
     fn on_invalid(&mut self) -> Vec<SwapAction> {
-        match self.exposed {
+        match self.maybe_written {
             true => self.done(SwapOutcome::Unknown),
             false => self.done(SwapOutcome::Invalid),
         }
@@ -386,7 +384,7 @@
                     ..
                 }
         );
-        match self.exposed || writing {
+        match self.maybe_written || writing {
             true => self.done(SwapOutcome::Unknown),
             false => self.done(SwapOutcome::NotApplied),
         }
@@ -429,7 +427,7 @@
     pending: Option<Head>,
     /// Whether the last fetch of `pending` failed.
     failed: bool,
-    stale: u32,
+    stale_heads: u32,
 }
 
 impl Follower {
@@ -456,10 +454,10 @@
     }
 
     fn on_seen(&mut self, head: Head) -> Vec<FollowerAction> {
-        if head.generation < self.known() {
-            self.stale = self.stale.saturating_add(1);
+        if head.generation < self.latest_generation() {
+            self.stale_heads = self.stale_heads.saturating_add(1);
         }
-        if head.generation <= self.known() {
+        if head.generation <= self.latest_generation() {
             return Vec::new();
         }
         self.pending = Some(head);
@@ -482,14 +480,14 @@
     }
 
     /// Highest generation seen, in force or being fetched; 0 before any.
-    pub fn known(&self) -> Generation {
+    pub fn latest_generation(&self) -> Generation {
         self.pending
             .or(self.current)
             .map_or(Generation(0), |h| h.generation)
     }
 
     /// Takes the count of heads dropped for being older than what is known, for metrics.
-    pub fn take_stale(&mut self) -> u32 {
-        std::mem::take(&mut self.stale)
+    pub fn take_stale_count(&mut self) -> u32 {
+        std::mem::take(&mut self.stale_heads)
     }
 }
--- a/crates/kelpworks-coord/src/join.rs
+++ b/crates/kelpworks-coord/src/join.rs
@@ -13,8 +13,8 @@
 //! let mut joining = Joining::new(deadline, 2);
 //! joining.on_answer(Source::Peer);
 //! joining.on_answer(Source::Peer);
-//! assert!(!joining.is_settled(Instant::from_millis(10)), "the API has not answered");
-//! assert!(joining.is_settled(deadline), "it may be down; the peers' word must do");
+//! assert!(!joining.is_ready(Instant::from_millis(10)), "the API has not answered");
+//! assert!(joining.is_ready(deadline), "it may be down; the peers' word must do");
 //! ```
 //!
 //! A daemon that no one answers does not become ready. One that only laggards answer begins with an
@@ -35,10 +35,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Joining {
     deadline: Instant,
-    api: bool,
+    api_answered: bool,
     /// At most `asked`.
-    answered: usize,
-    asked: usize,
+    peers_answered: usize,
+    peers_queried: usize,
 }
 
 impl Joining {
@@ -46,24 +46,24 @@
     pub fn new(deadline: Instant, peers: usize) -> Joining {
         Joining {
             deadline,
-            api: false,
-            answered: 0,
-            asked: peers,
+            api_answered: false,
+            peers_answered: 0,
+            peers_queried: peers,
         }
     }
 
     /// Notes an answer, also one that says that there is no head.
     pub fn on_answer(&mut self, source: Source) {
         match source {
-            Source::Api => self.api = true,
-            Source::Peer => self.answered = (self.answered + 1).min(self.asked),
+            Source::Api => self.api_answered = true,
+            Source::Peer => self.peers_answered = (self.peers_answered + 1).min(self.peers_queried),
         }
     }
 
     /// Whether the daemon may serve what it holds.
-    pub fn is_settled(&self, now: Instant) -> bool {
-        let all = self.api && self.answered == self.asked;
-        let any = self.api || self.answered > 0;
+    pub fn is_ready(&self, now: Instant) -> bool {
+        let all = self.api_answered && self.peers_answered == self.peers_queried;
+        let any = self.api_answered || self.peers_answered > 0;
         all || (any && now >= self.deadline)
     }
 }
--- a/crates/kelpworks-coord/src/lease.rs
+++ b/crates/kelpworks-coord/src/lease.rs
@@ -4,7 +4,7 @@
 //! taken and renewed by conditional update. A [`Lease`] is one daemon's view of it.
 //!
 //! **Holder.** The lease runs from the moment before the renewal was sent, so the holder's view
-//! ends before anyone else's. [`Lease::fence`] allows an order only while the remaining time
+//! ends before anyone else's. [`Lease::fencing_token`] allows an order only while the remaining time
 //! exceeds the order bound, the longest time from that check to the order's effect.
 //!
 //! **Others.** An observer counts from when it saw a version, by its own clock, and takes the
@@ -29,9 +29,9 @@
 //! assert!(matches!(lease.on_event(now, absent)[..], [Action::Write { .. }]));
 //! let actions = lease.on_event(now, Event::Api(ApiReply::Written(Version::initial(1))));
 //! assert_eq!(actions, [Action::Acquired(Token(1))]);
-//! assert_eq!(lease.fence(now), Some(Token(1)));
+//! assert_eq!(lease.fencing_token(now), Some(Token(1)));
 //! let late = now + Span::from_secs(9);
-//! assert_eq!(lease.fence(late), None, "too little is left for an order to take effect");
+//! assert_eq!(lease.fencing_token(late), None, "too little is left for an order to take effect");
 //! ```
 //!
 //! While the object API is down no one can renew: the holder's orders stop when its lease runs
@@ -59,26 +59,26 @@
     /// Length of the lease. Default 10 s.
     pub ttl: Span,
     /// The holder renews when so much has passed. Default 3 s: few writes, and two may fail.
-    pub renew: Span,
-    /// Longest time from [`Lease::fence`] to the order's effect, bar pauses. Default 2 s.
+    pub renew_interval: Span,
+    /// Longest time from [`Lease::fencing_token`] to the order's effect, bar pauses. Default 2 s.
     pub order_bound: Span,
     /// Greatest error of a daemon's clock rate, in thousandths. Default 5; below 1,000.
     pub drift_per_mille: u64,
     /// How often others read the lease. Default 2 s.
-    pub watch: Span,
+    pub poll_interval: Span,
     /// Pause before a call is tried again. Default 500 ms.
-    pub retry: Span,
+    pub retry_interval: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
             ttl: Span::from_secs(10),
-            renew: Span::from_secs(3),
+            renew_interval: Span::from_secs(3),
             order_bound: Span::from_secs(2),
             drift_per_mille: 5,
-            watch: Span::from_secs(2),
-            retry: Span::from_millis(500),
+            poll_interval: Span::from_secs(2),
+            retry_interval: Span::from_millis(500),
         }
     }
 }
@@ -170,7 +170,7 @@
     }
 
     /// Whether the record was written in the era in which it is shown.
-    fn is_of_its_era(&self) -> bool {
+    fn was_written_in_shown_era(&self) -> bool {
         self.record.token >= Token::first_of(self.version.era)
     }
 }
@@ -234,7 +234,7 @@
     version: Version,
     record: Record,
     /// When the write that made `version` was first sent, by this daemon's clock.
-    sent: Instant,
+    sent_at: Instant,
 }
 
 /// One daemon's view of a lease.
@@ -245,15 +245,15 @@
     /// Latest observed era; never decreases.
     era: Era,
     /// When the latest era was first observed; none in the first era.
-    era_since: Option<Instant>,
+    era_observed_at: Option<Instant>,
     /// Latest version seen, and when it was first seen; of the latest era. Versions never fall.
-    seen: Option<(Stored, Instant)>,
+    observed: Option<(Stored, Instant)>,
     /// Highest token seen, in whatever era; never falls.
-    highest: Token,
+    highest_token: Token,
     held: Option<Held>,
     outstanding: Option<Call>,
     /// A write of ours whose effect is not known, and when it was first sent.
-    unsure: Option<(Record, Instant)>,
+    unconfirmed: Option<(Record, Instant)>,
     /// No call before then.
     next_call: Instant,
     releasing: bool,
@@ -266,12 +266,12 @@
             cfg,
             me,
             era: Era::FIRST,
-            era_since: None,
-            seen: None,
-            highest: Token(0),
+            era_observed_at: None,
+            observed: None,
+            highest_token: Token(0),
             held: None,
             outstanding: None,
-            unsure: None,
+            unconfirmed: None,
             next_call: now,
             releasing: false,
         }
@@ -283,7 +283,7 @@
             Event::Tick => self.on_tick(now),
             Event::Api(reply) => self.on_api(now, reply),
             Event::Watched(stored) => self.observe(now, stored),
-            Event::Era(era) => self.enter(now, era),
+            Event::Era(era) => self.enter_era(now, era),
             Event::Release => {
                 self.releasing = true;
                 self.next_call = now;
@@ -293,9 +293,9 @@
     }
 
     /// Token under which an order may be sent now, if any.
-    pub fn fence(&self, now: Instant) -> Option<Token> {
+    pub fn fencing_token(&self, now: Instant) -> Option<Token> {
         let held = self.held?;
-        let bound = held.sent + self.cfg.ttl;
+        let bound = held.sent_at + self.cfg.ttl;
         (now + self.cfg.order_bound < bound && !self.releasing).then_some(held.record.token)
     }
 
@@ -306,7 +306,7 @@
 
     /// The highest token seen.
     pub fn latest_token(&self) -> Token {
-        self.highest
+        self.highest_token
     }
 
     /// Latest observed era.
@@ -316,40 +316,40 @@
 
     /// Who holds the lease, as last seen.
     pub fn owner(&self) -> Option<Owner> {
-        self.seen.and_then(|(stored, _)| stored.record.owner)
+        self.observed.and_then(|(stored, _)| stored.record.owner)
     }
 
     fn on_tick(&mut self, now: Instant) -> Vec<Action> {
         if self.outstanding.is_some() || now < self.next_call {
             return Vec::new();
         }
-        match (self.seen, self.held) {
+        match (self.observed, self.held) {
             (_, Some(held)) if self.releasing => self.write_release(now, held),
             (_, Some(held)) => self.write_renewal(now, held),
-            (Some((stored, at)), None) if self.may_take(now, stored, at) => {
+            (Some((stored, at)), None) if self.may_acquire(now, stored, at) => {
                 self.write_acquisition(now, stored)
             }
             _ => self.read(),
         }
     }
 
-    fn may_take(&self, now: Instant, stored: Stored, at: Instant) -> bool {
-        let free = stored.record.owner.is_none() && stored.is_of_its_era();
+    fn may_acquire(&self, now: Instant, stored: Stored, at: Instant) -> bool {
+        let free = stored.record.owner.is_none() && stored.was_written_in_shown_era();
         // A record from before the era tells nothing of who held the lease at its end.
-        let since = self.era_since.map_or(at, |era| era.max(at));
+        let since = self.era_observed_at.map_or(at, |era| era.max(at));
         !self.releasing && (free || now.since(since) >= self.cfg.takeover_after())
     }
 
     /// Takes note of an era. What was seen, written or held in an earlier one counts no longer.
-    fn enter(&mut self, now: Instant, era: Era) -> Vec<Action> {
+    fn enter_era(&mut self, now: Instant, era: Era) -> Vec<Action> {
         if era <= self.era {
             return Vec::new();
         }
         self.era = era;
-        self.era_since = Some(now);
-        self.seen = None;
+        self.era_observed_at = Some(now);
+        self.observed = None;
         self.next_call = now;
-        self.lose()
+        self.resign()
     }
 
     fn read(&mut self) -> Vec<Action> {
@@ -389,8 +389,8 @@
 
     fn write(&mut self, now: Instant, if_version: Version, record: Record) -> Vec<Action> {
         // The same write sent again keeps the time of the first: either may take effect.
-        if self.unsure.is_none_or(|(r, _)| r != record) {
-            self.unsure = Some((record, now));
+        if self.unconfirmed.is_none_or(|(r, _)| r != record) {
+            self.unconfirmed = Some((record, now));
         }
         self.outstanding = Some(Call::Write { if_version, record });
         vec![Action::Write { if_version, record }]
@@ -402,16 +402,16 @@
         };
         match (call, reply) {
             (Call::Read, ApiReply::Read(stored)) => {
-                self.next_call = now + self.cfg.watch;
+                self.next_call = now + self.cfg.poll_interval;
                 let mut actions = self.observe(now, stored);
                 if self.held.is_none() && actions.is_empty() {
-                    actions.extend(self.take_if_due(now));
+                    actions.extend(self.acquire_if_due(now));
                 }
                 actions
             }
             // What stands in the way is newer than what was seen, unless the object was removed.
             (Call::Write { .. }, ApiReply::Conflict(stored)) => {
-                self.next_call = now + self.cfg.retry;
+                self.next_call = now + self.cfg.retry_interval;
                 self.observe(now, stored)
             }
             (Call::Write { record, .. }, ApiReply::Written(version)) => {
@@ -419,15 +419,15 @@
             }
             (Call::Write { .. }, ApiReply::Lost) => self.read(),
             _ => {
-                self.next_call = now + self.cfg.retry;
+                self.next_call = now + self.cfg.retry_interval;
                 Vec::new()
             }
         }
     }
 
-    fn take_if_due(&mut self, now: Instant) -> Vec<Action> {
-        match self.seen {
-            Some((stored, at)) if self.may_take(now, stored, at) => {
+    fn acquire_if_due(&mut self, now: Instant) -> Vec<Action> {
+        match self.observed {
+            Some((stored, at)) if self.may_acquire(now, stored, at) => {
                 self.write_acquisition(now, stored)
             }
             _ => Vec::new(),
@@ -437,54 +437,59 @@
     /// Takes note of the object, from whatever source; an older version than seen changes nothing.
     fn observe(&mut self, now: Instant, stored: Stored) -> Vec<Action> {
         if stored.version.era < self.era {
-            self.next_call = self.next_call.min(now + self.cfg.retry);
+            self.next_call = self.next_call.min(now + self.cfg.retry_interval);
             return Vec::new();
         }
-        let mut actions = self.enter(now, stored.version.era);
+        let mut actions = self.enter_era(now, stored.version.era);
         actions.extend(self.observe_in_era(now, stored));
         actions
     }
 
     fn observe_in_era(&mut self, now: Instant, stored: Stored) -> Vec<Action> {
-        if self.seen.is_some_and(|(s, _)| stored.version <= s.version) {
-            if self.unsure.is_some() {
+        if self
+            .observed
+            .is_some_and(|(s, _)| stored.version <= s.version)
+        {
+            if self.unconfirmed.is_some() {
                 // Our write is not to be seen yet: send the same again soon.
-                self.next_call = self.next_call.min(now + self.cfg.retry);
+                self.next_call = self.next_call.min(now + self.cfg.retry_interval);
             }
             return Vec::new();
         }
-        self.seen = Some((stored, now));
-        self.highest = self.highest.max(stored.record.token);
+        self.observed = Some((stored, now));
+        self.highest_token = self.highest_token.max(stored.record.token);
         let ours = stored.record.owner == Some(self.me);
-        match (ours, self.unsure.filter(|(r, _)| *r == stored.record)) {
-            (true, Some((record, sent))) => self.hold(now, stored.version, record, sent),
-            _ => self.lose(),
+        match (ours, self.unconfirmed.filter(|(r, _)| *r == stored.record)) {
+            (true, Some((record, sent_at))) => {
+                self.confirm_held(now, stored.version, record, sent_at)
+            }
+            _ => self.resign(),
         }
     }
 
-    fn hold(
+    fn confirm_held(
         &mut self,
         now: Instant,
         version: Version,
         record: Record,
-        sent: Instant,
+        sent_at: Instant,
     ) -> Vec<Action> {
         let acquired = self.held.is_none_or(|h| h.record.token != record.token);
         self.held = Some(Held {
             version,
             record,
-            sent,
+            sent_at,
         });
-        self.unsure = None;
-        self.next_call = (sent + self.cfg.renew).max(now);
+        self.unconfirmed = None;
+        self.next_call = (sent_at + self.cfg.renew_interval).max(now);
         match acquired {
             true => vec![Action::Acquired(record.token)],
             false => Vec::new(),
         }
     }
 
-    fn lose(&mut self) -> Vec<Action> {
-        self.unsure = None;
+    fn resign(&mut self) -> Vec<Action> {
+        self.unconfirmed = None;
         match self.held.take() {
             Some(_) => vec![Action::Resigned],
             None => Vec::new(),
--- a/crates/kelpworks-coord/src/lib.rs
+++ b/crates/kelpworks-coord/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`join`] | whether a daemon that just started may serve |
 //! | [`lease`], [`repair`] | who places models, and which orders may be sent |
 //! | [`membership`], [`facts`] | who is live, and rare facts about upstreams |
-//! | [`rendezvous`], [`spread`] | who watches the object API, and whom to push a generation to |
+//! | [`rendezvous`], [`dissemination`] | who watches the object API, and whom to push a generation to |
 //! | [`poison`] | which requests crash the upstreams that run them |
 //!
 //! ```
@@ -31,6 +31,7 @@
 
 pub mod budget;
 pub mod claim;
+pub mod dissemination;
 pub mod facts;
 pub mod head;
 pub mod id;
@@ -40,6 +41,5 @@
 pub mod poison;
 pub mod rendezvous;
 pub mod repair;
-pub mod spread;
 pub mod time;
 pub mod token;
--- a/crates/kelpworks-coord/src/membership/messages.rs
+++ b/crates/kelpworks-coord/src/membership/messages.rs
@@ -12,36 +12,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// One member is probed in each of these. Default 1 s.
-    pub probe_every: Span,
+    pub probe_interval: Span,
     /// How long a probe, direct or indirect, may take. Default 400 ms.
     pub probe_timeout: Span,
     /// Members asked to probe a silent one. Default 3.
-    pub indirect: usize,
+    pub indirect_probes: usize,
     /// Daemons that must suspect a member before it counts as dead, this one included; fewer when
     /// there are not so many, but at least 2. Default 3.
     pub confirmations: usize,
     /// Least time from suspicion to death, in which to refute it. Default 2 s.
-    pub suspect_min: Span,
+    pub min_suspicion: Span,
     /// A suspect counts as dead after so long without confirmation too. Default 15 s.
-    pub suspect_max: Span,
+    pub max_suspicion: Span,
     /// How often a dead member is probed. Default 10 s.
-    pub dead_probe: Span,
+    pub dead_probe_interval: Span,
     /// How long a dead member that is no longer listed, or one that left, is remembered.
     /// Default 10 min.
-    pub forget: Span,
+    pub retention: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            probe_every: Span::from_secs(1),
+            probe_interval: Span::from_secs(1),
             probe_timeout: Span::from_millis(400),
-            indirect: 3,
+            indirect_probes: 3,
             confirmations: 3,
-            suspect_min: Span::from_secs(2),
-            suspect_max: Span::from_secs(15),
-            dead_probe: Span::from_secs(10),
-            forget: Span::from_secs(600),
+            min_suspicion: Span::from_secs(2),
+            max_suspicion: Span::from_secs(15),
+            dead_probe_interval: Span::from_secs(10),
+            retention: Span::from_secs(600),
         }
     }
 }
@@ -94,9 +94,9 @@
     /// Time passed.
     Tick,
     /// The host list was read.
-    Listed(Vec<Entry>),
+    HostList(Vec<Entry>),
     /// A message of any kind came straight from a member, or its answer by an indirect probe.
-    Heard {
+    Contact {
         /// The member.
         from: NodeId,
         /// As it says.
@@ -120,15 +120,15 @@
 /// Something for the driver to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// Probe a member; [`Event::Heard`] if it answers.
+    /// Probe a member; [`Event::Contact`] if it answers.
     Probe {
         /// The member.
         target: NodeId,
         /// What this daemon holds of it; goes with the probe.
         view: Update,
     },
-    /// Ask `via` to probe `target`; [`Event::Heard`] of the target if that answers.
-    ProbeVia {
+    /// Ask `via` to probe `target`; [`Event::Contact`] of the target if that answers.
+    IndirectProbe {
         /// Whom to ask.
         via: NodeId,
         /// Whom to probe.
@@ -137,7 +137,7 @@
         view: Update,
     },
     /// Answer a probe, with this daemon's incarnation.
-    Answer {
+    Ack {
         /// The prober.
         to: NodeId,
         /// May have been raised by the probe.
@@ -146,7 +146,7 @@
         view: Option<Update>,
     },
     /// What is held of a member changed.
-    Changed {
+    HealthChanged {
         /// The member.
         node: NodeId,
         /// From now on.
--- a/crates/kelpworks-coord/src/membership/mod.rs
+++ b/crates/kelpworks-coord/src/membership/mod.rs
@@ -18,10 +18,10 @@
 //! let (a, b) = (NodeId::of("a"), NodeId::of("b"));
 //! let mut members = Membership::new(Config::default(), a, DomainId(1), Incarnation(1));
 //! let now = Instant::ZERO;
-//! members.on_event(now, Event::Listed(vec![Entry { node: b, domain: DomainId(1), leaving: false }]));
+//! members.on_event(now, Event::HostList(vec![Entry { node: b, domain: DomainId(1), leaving: false }]));
 //! let actions = members.on_event(now, Event::Tick);
 //! assert!(matches!(actions[..], [Action::Probe { target, .. }] if target == b));
-//! members.on_event(now, Event::Heard { from: b, incarnation: Incarnation(5) });
+//! members.on_event(now, Event::Contact { from: b, incarnation: Incarnation(5) });
 //! assert_eq!(members.health(b), Some(Health::Alive));
 //! ```
 //!
@@ -74,7 +74,7 @@
 struct Queued {
     update: Update,
     /// Messages that it still goes with; at least 1.
-    sends: u32,
+    sends_left: u32,
 }
 
 /// One daemon's view of the others.
@@ -85,7 +85,7 @@
     domain: DomainId,
     /// Above every incarnation under which anyone reported this daemon suspect or dead.
     incarnation: Incarnation,
-    left: bool,
+    has_left: bool,
     /// Never holds this daemon itself.
     members: BTreeMap<NodeId, Member>,
     /// At most one at a time, so that the load is constant.
@@ -103,7 +103,7 @@
             me,
             domain,
             incarnation,
-            left: false,
+            has_left: false,
             members: BTreeMap::new(),
             probe: None,
             next_probe: Instant::ZERO,
@@ -115,18 +115,18 @@
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.on_tick(now),
-            Event::Listed(entries) => self.on_listed(now, &entries),
-            Event::Heard { from, incarnation } => self.on_heard(now, from, incarnation),
+            Event::HostList(entries) => self.on_host_list(now, &entries),
+            Event::Contact { from, incarnation } => self.on_contact(now, from, incarnation),
             Event::Probed {
                 from,
                 incarnation,
                 view,
             } => {
-                let mut actions = self.on_heard(now, from, incarnation);
+                let mut actions = self.on_contact(now, from, incarnation);
                 actions.extend(self.on_update(now, view));
                 let view = self.view(from);
                 let incarnation = self.incarnation;
-                actions.push(Action::Answer {
+                actions.push(Action::Ack {
                     to: from,
                     incarnation,
                     view,
@@ -138,7 +138,7 @@
                 .flat_map(|u| self.on_update(now, u))
                 .collect(),
             Event::Leave => {
-                self.left = true;
+                self.has_left = true;
                 self.enqueue(self.own_update());
                 Vec::new()
             }
@@ -174,9 +174,10 @@
         let mut taken: Vec<Queued> = self.queue.drain(..n).collect();
         let updates = taken.iter().map(|q| q.update).collect();
         for queued in &mut taken {
-            queued.sends -= 1;
+            queued.sends_left -= 1;
         }
-        self.queue.extend(taken.into_iter().filter(|q| q.sends > 0));
+        self.queue
+            .extend(taken.into_iter().filter(|q| q.sends_left > 0));
         updates
     }
 
@@ -187,7 +188,7 @@
     }
 
     fn own_update(&self) -> Update {
-        let health = if self.left {
+        let health = if self.has_left {
             Health::Left
         } else {
             Health::Alive
@@ -213,7 +214,7 @@
         })
     }
 
-    fn on_listed(&mut self, now: Instant, entries: &[Entry]) -> Vec<Action> {
+    fn on_host_list(&mut self, now: Instant, entries: &[Entry]) -> Vec<Action> {
         for m in self.members.values_mut() {
             m.listed = false;
         }
@@ -229,7 +230,7 @@
         Vec::new()
     }
 
-    fn on_heard(&mut self, now: Instant, from: NodeId, incarnation: Incarnation) -> Vec<Action> {
+    fn on_contact(&mut self, now: Instant, from: NodeId, incarnation: Incarnation) -> Vec<Action> {
         if self.probe.is_some_and(|p| p.target == from) {
             self.probe = None;
         }
@@ -252,8 +253,8 @@
             self.refute(update);
             return Vec::new();
         }
-        let known = self.members.contains_key(&update.node);
-        if !known && update.health != Health::Alive {
+        let is_known = self.members.contains_key(&update.node);
+        if !is_known && update.health != Health::Alive {
             return Vec::new();
         }
         let m = self
@@ -280,7 +281,7 @@
             // Look for ourselves soon: our word may confirm it, or give the member its chance.
             m.last_probe = None;
         }
-        let changed = m.health != update.health || !known;
+        let changed = m.health != update.health || !is_known;
         if changed {
             m.health = update.health;
             m.since = now;
@@ -288,7 +289,7 @@
         self.enqueue(update);
         let health = update.health;
         changed
-            .then_some(Action::Changed {
+            .then_some(Action::HealthChanged {
                 node: update.node,
                 health,
             })
@@ -297,9 +298,10 @@
     }
 
     fn refute(&mut self, update: Update) {
-        let buried = update.health != Health::Alive && update.incarnation >= self.incarnation;
+        let reported_failed =
+            update.health != Health::Alive && update.incarnation >= self.incarnation;
         let newer = update.incarnation > self.incarnation;
-        if (buried || newer) && !self.left {
+        if (reported_failed || newer) && !self.has_left {
             self.incarnation = Incarnation(update.incarnation.0 + 1);
             self.enqueue(self.own_update());
         }
@@ -308,37 +310,37 @@
     fn enqueue(&mut self, update: Update) {
         let replaced = |old: &Update| {
             // Suspicions of different daemons add up, so they do not replace each other.
-            let both = old.health == Health::Suspect && update.health == Health::Suspect;
-            old.node == update.node && (!both || old.by == update.by)
+            let both_suspect = old.health == Health::Suspect && update.health == Health::Suspect;
+            old.node == update.node && (!both_suspect || old.by == update.by)
         };
         self.queue.retain(|q| !replaced(&q.update));
-        let sends = 3 * (self.members.len() as u32 + 2).ilog2();
-        self.queue.push_front(Queued { update, sends });
+        let sends_left = 3 * (self.members.len() as u32 + 2).ilog2();
+        self.queue.push_front(Queued { update, sends_left });
     }
 
     fn on_tick(&mut self, now: Instant) -> Vec<Action> {
-        let mut actions = self.bury(now);
-        self.forget(now);
+        let mut actions = self.declare_dead(now);
+        self.purge(now);
         actions.extend(self.advance_probe(now));
-        if self.probe.is_none() && now >= self.next_probe && !self.left {
+        if self.probe.is_none() && now >= self.next_probe && !self.has_left {
             actions.extend(self.start_probe(now));
         }
         actions
     }
 
-    fn bury(&mut self, now: Instant) -> Vec<Action> {
-        let counted = self
+    fn declare_dead(&mut self, now: Instant) -> Vec<Action> {
+        let alive = self
             .members
             .values()
             .filter(|m| m.health == Health::Alive)
             .count()
             + 1;
         // One daemon's word is never enough; the long timeout is for when there is no other's.
-        let need = self.cfg.confirmations.min(counted).max(2);
+        let required = self.cfg.confirmations.min(alive).max(2);
         let due: Vec<NodeId> = self
             .members
             .iter()
-            .filter(|(_, m)| m.is_due_for_burial(&self.cfg, now, need))
+            .filter(|(_, m)| m.is_presumed_dead(&self.cfg, now, required))
             .map(|(&node, _)| node)
             .collect();
         let mut actions = Vec::new();
@@ -356,11 +358,11 @@
         actions
     }
 
-    fn forget(&mut self, now: Instant) {
-        let keep = self.cfg.forget;
+    fn purge(&mut self, now: Instant) {
+        let keep = self.cfg.retention;
         self.members.retain(|_, m| {
-            let gone = m.health == Health::Left || (m.health == Health::Dead && !m.listed);
-            !gone || now.since(m.since) < keep
+            let is_gone = m.health == Health::Left || (m.health == Health::Dead && !m.listed);
+            !is_gone || now.since(m.since) < keep
         });
     }
 
@@ -375,19 +377,19 @@
             self.probe = None;
             return Vec::new();
         };
-        let helpers = self.helpers(probe.target);
-        if !probe.indirect && !helpers.is_empty() {
+        let indirect_probers = self.indirect_probers(probe.target);
+        if !probe.indirect && !indirect_probers.is_empty() {
             self.probe = Some(Probe {
                 sent: now,
                 indirect: true,
                 ..probe
             });
-            let ask = |via| Action::ProbeVia {
+            let probe_via = |via| Action::IndirectProbe {
                 via,
                 target: probe.target,
                 view,
             };
-            return helpers.into_iter().map(ask).collect();
+            return indirect_probers.into_iter().map(probe_via).collect();
         }
         self.probe = None;
         match view.health {
@@ -402,7 +404,7 @@
         }
     }
 
-    fn helpers(&self, target: NodeId) -> Vec<NodeId> {
+    fn indirect_probers(&self, target: NodeId) -> Vec<NodeId> {
         let mut live: Vec<NodeId> = self
             .members
             .iter()
@@ -410,12 +412,12 @@
             .map(|(&node, _)| node)
             .collect();
         live.sort_by_key(|node| xxh3_64_with_seed(&node.0.to_le_bytes(), target.0 ^ self.me.0));
-        live.truncate(self.cfg.indirect);
+        live.truncate(self.cfg.indirect_probes);
         live
     }
 
     fn start_probe(&mut self, now: Instant) -> Vec<Action> {
-        self.next_probe = now + self.cfg.probe_every;
+        self.next_probe = now + self.cfg.probe_interval;
         let cfg = self.cfg;
         // Least recently probed first, those never probed before all others. Ties fall to a hash
         // that differs between probers, so that a fleet started together does not probe in step.
@@ -455,10 +457,10 @@
         }
     }
 
-    fn is_due_for_burial(&self, cfg: &Config, now: Instant, need: usize) -> bool {
+    fn is_presumed_dead(&self, cfg: &Config, now: Instant, required: usize) -> bool {
         let waited = now.since(self.since);
-        let confirmed = self.suspected_by.len() >= need && waited >= cfg.suspect_min;
-        self.health == Health::Suspect && (confirmed || waited >= cfg.suspect_max)
+        let confirmed = self.suspected_by.len() >= required && waited >= cfg.min_suspicion;
+        self.health == Health::Suspect && (confirmed || waited >= cfg.max_suspicion)
     }
 
     fn is_due_for_probe(&self, cfg: &Config, now: Instant) -> bool {
@@ -466,7 +468,7 @@
             Health::Alive | Health::Suspect => true,
             Health::Dead => self
                 .last_probe
-                .is_none_or(|at| now.since(at) >= cfg.dead_probe),
+                .is_none_or(|at| now.since(at) >= cfg.dead_probe_interval),
             Health::Left => false,
         }
     }
--- a/crates/kelpworks-coord/src/poison.rs
+++ b/crates/kelpworks-coord/src/poison.rs
@@ -11,17 +11,17 @@
 //!
 //! let now = Instant::ZERO;
 //! let (bad, good) = (Fingerprint(1), Fingerprint(2));
-//! let mut poison = Poison::new(Config::default());
+//! let mut poison = PoisonTracker::new(Config::default());
 //! poison.on_event(now, Event::Crashed { upstream: UpstreamId(1), running: vec![bad, good] });
-//! assert_eq!(poison.check(now, bad), Admit::Apart);
-//! assert!(poison.begin(now, bad, UpstreamId(2)));
-//! assert!(!poison.begin(now, good, UpstreamId(2)), "another suspect runs there");
+//! assert_eq!(poison.check(now, bad), Admission::Isolated);
+//! assert!(poison.try_start(now, bad, UpstreamId(2)));
+//! assert!(!poison.try_start(now, good, UpstreamId(2)), "another suspect runs there");
 //! let crash = Event::Crashed { upstream: UpstreamId(2), running: vec![bad, Fingerprint(3)] };
 //! poison.on_event(now, crash);
-//! assert!(matches!(poison.check(now, bad), Admit::Refused { .. }));
-//! assert_eq!(poison.check(now, good), Admit::Apart);
+//! assert!(matches!(poison.check(now, bad), Admission::Refused { .. }));
+//! assert_eq!(poison.check(now, good), Admission::Isolated);
 //! poison.on_event(now, Event::Finished(good));
-//! assert_eq!(poison.check(now, good), Admit::Normal);
+//! assert_eq!(poison.check(now, good), Admission::Normal);
 //! ```
 //!
 //! Limits: a request that was running on two upstreams that died of something else is refused
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// How long a convicted request is refused. Default 10 min.
-    pub refuse: Span,
+    pub refusal_ttl: Span,
     /// How long a suspicion is remembered. Default 10 min.
-    pub remember: Span,
+    pub suspicion_ttl: Span,
     /// Suspects and convicts tracked at most; beyond it the oldest suspect is forgotten.
     /// Default 4,096.
     pub max_tracked: usize,
@@ -50,8 +50,8 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            refuse: Span::from_secs(600),
-            remember: Span::from_secs(600),
+            refusal_ttl: Span::from_secs(600),
+            suspicion_ttl: Span::from_secs(600),
             max_tracked: 4_096,
         }
     }
@@ -83,7 +83,7 @@
         upstream: UpstreamId,
     },
     /// Another daemon convicted this, with so much of the refusal left.
-    PeerConvicted {
+    PeerConfirmed {
         /// The request.
         fingerprint: Fingerprint,
         /// Time left.
@@ -94,8 +94,8 @@
 /// Something for the driver to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// Run it again, where [`Poison::begin`] allows; tell peers of the suspicion.
-    RerunApart {
+    /// Run it again, where [`PoisonTracker::try_start`] allows; tell peers of the suspicion.
+    RerunIsolated {
         /// The request.
         fingerprint: Fingerprint,
         /// The upstream that died.
@@ -109,11 +109,11 @@
 
 /// How a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Admit {
+pub enum Admission {
     /// Like any other.
     Normal,
-    /// Only where [`Poison::begin`] allows.
-    Apart,
+    /// Only where [`PoisonTracker::try_start`] allows.
+    Isolated,
     /// Not at all.
     Refused {
         /// Until then.
@@ -124,49 +124,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Suspect {
     /// First upstream that died with it.
-    crashed: UpstreamId,
+    first_crash: UpstreamId,
     /// Since the last crash.
     since: Instant,
     /// Where it runs now, if anywhere; no two suspects share one.
-    on: Option<UpstreamId>,
+    running_on: Option<UpstreamId>,
     /// Set when it shared a second crash with another suspect: runs while no other suspect does.
-    alone: bool,
+    exclusive: bool,
 }
 
 /// What one daemon holds of suspects and convicts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Poison {
+pub struct PoisonTracker {
     cfg: Config,
     /// Together with `convicts` at most [`Config::max_tracked`].
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// Refused until then; disjoint from `suspects`.
-    convicts: BTreeMap<Fingerprint, Instant>,
+    refused: BTreeMap<Fingerprint, Instant>,
 }
 
-impl Poison {
+impl PoisonTracker {
     /// No suspects.
-    pub fn new(cfg: Config) -> Poison {
-        Poison {
+    pub fn new(cfg: Config) -> PoisonTracker {
+        PoisonTracker {
             cfg,
             suspects: BTreeMap::new(),
-            convicts: BTreeMap::new(),
+            refused: BTreeMap::new(),
         }
     }
 
     /// How a request may be run now.
-    pub fn check(&self, now: Instant, fingerprint: Fingerprint) -> Admit {
-        if let Some(until) = self
-            .convicts
-            .get(&fingerprint)
-            .filter(|&&until| until > now)
-        {
-            return Admit::Refused {
+    pub fn check(&self, now: Instant, fingerprint: Fingerprint) -> Admission {
+        if let Some(until) = self.refused.get(&fingerprint).filter(|&&until| until > now) {
+            return Admission::Refused {
                 retry_after: until.since(now),
             };
         }
         match self.suspects.get(&fingerprint) {
-            Some(s) if now.since(s.since) < self.cfg.remember => Admit::Apart,
-            _ => Admit::Normal,
+            Some(s) if now.since(s.since) < self.cfg.suspicion_ttl => Admission::Isolated,
+            _ => Admission::Normal,
         }
     }
 
@@ -174,26 +170,32 @@
     ///
     /// False while another suspect runs there, on the upstream with which it first crashed, or
     /// while one of the two must run alone. Always true for those that are no suspects.
-    pub fn begin(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) -> bool {
-        if self.check(now, fingerprint) != Admit::Apart {
-            return self.check(now, fingerprint) == Admit::Normal;
+    pub fn try_start(
+        &mut self,
+        now: Instant,
+        fingerprint: Fingerprint,
+        upstream: UpstreamId,
+    ) -> bool {
+        if self.check(now, fingerprint) != Admission::Isolated {
+            return self.check(now, fingerprint) == Admission::Normal;
         }
-        let Some(&me) = self.suspects.get(&fingerprint) else {
+        let Some(&own) = self.suspects.get(&fingerprint) else {
             return true;
         };
         let mut others = self
             .suspects
             .iter()
-            .filter(|&(&f, s)| f != fingerprint && s.on.is_some());
-        let clash = others.any(|(_, s)| s.on == Some(upstream) || s.alone || me.alone);
-        if clash || me.crashed == upstream {
+            .filter(|&(&f, s)| f != fingerprint && s.running_on.is_some());
+        let clash =
+            others.any(|(_, s)| s.running_on == Some(upstream) || s.exclusive || own.exclusive);
+        if clash || own.first_crash == upstream {
             return false;
         }
         self.suspects.insert(
             fingerprint,
             Suspect {
-                on: Some(upstream),
-                ..me
+                running_on: Some(upstream),
+                ..own
             },
         );
         true
@@ -210,7 +212,7 @@
             },
             Event::Ended(fingerprint) => {
                 if let Some(s) = self.suspects.get_mut(&fingerprint) {
-                    s.on = None;
+                    s.running_on = None;
                 }
                 Vec::new()
             }
@@ -218,16 +220,16 @@
                 fingerprint,
                 upstream,
             } => {
-                if !self.convicts.contains_key(&fingerprint) {
+                if !self.refused.contains_key(&fingerprint) {
                     self.suspect(now, fingerprint, upstream);
                 }
                 Vec::new()
             }
-            Event::PeerConvicted {
+            Event::PeerConfirmed {
                 fingerprint,
                 remaining,
             } => {
-                self.convict(now, fingerprint, remaining.min(self.cfg.refuse));
+                self.confirm(now, fingerprint, remaining.min(self.cfg.refusal_ttl));
                 Vec::new()
             }
         }
@@ -241,38 +243,41 @@
     ) -> Vec<Action> {
         running.sort_unstable();
         running.dedup();
-        let is_second =
-            |f: &&Fingerprint| self.suspects.get(f).is_some_and(|s| s.crashed != upstream);
-        let second: Vec<Fingerprint> = running.iter().filter(is_second).copied().collect();
-        let convicted = match second[..] {
+        let is_repeated = |f: &&Fingerprint| {
+            self.suspects
+                .get(f)
+                .is_some_and(|s| s.first_crash != upstream)
+        };
+        let repeated: Vec<Fingerprint> = running.iter().filter(is_repeated).copied().collect();
+        let confirmed = match repeated[..] {
             [only] => Some(only),
             _ => None,
         };
         running
             .into_iter()
-            .map(|f| self.judge(now, upstream, f, &second, convicted))
+            .map(|f| self.on_crashed_request(now, upstream, f, &repeated, confirmed))
             .collect()
     }
 
-    fn judge(
+    fn on_crashed_request(
         &mut self,
         now: Instant,
         upstream: UpstreamId,
         fingerprint: Fingerprint,
-        second: &[Fingerprint],
-        convicted: Option<Fingerprint>,
+        repeated: &[Fingerprint],
+        confirmed: Option<Fingerprint>,
     ) -> Action {
-        if convicted == Some(fingerprint) {
-            self.convict(now, fingerprint, self.cfg.refuse);
+        if confirmed == Some(fingerprint) {
+            self.confirm(now, fingerprint, self.cfg.refusal_ttl);
             return Action::Refuse(fingerprint);
         }
         self.suspect(now, fingerprint, upstream);
         if let Some(s) = self.suspects.get_mut(&fingerprint) {
-            s.on = None;
+            s.running_on = None;
             s.since = now;
-            s.alone |= second.contains(&fingerprint);
+            s.exclusive |= repeated.contains(&fingerprint);
         }
-        Action::RerunApart {
+        Action::RerunIsolated {
             fingerprint,
             upstream,
         }
@@ -280,44 +285,44 @@
 
     fn suspect(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
         let new = Suspect {
-            crashed: upstream,
+            first_crash: upstream,
             since: now,
-            on: None,
-            alone: false,
+            running_on: None,
+            exclusive: false,
         };
         self.suspects.entry(fingerprint).or_insert(new);
         self.shrink();
     }
 
-    fn convict(&mut self, now: Instant, fingerprint: Fingerprint, refuse: Span) {
+    fn confirm(&mut self, now: Instant, fingerprint: Fingerprint, refusal_ttl: Span) {
         self.suspects.remove(&fingerprint);
-        self.convicts.insert(fingerprint, now + refuse);
+        self.refused.insert(fingerprint, now + refusal_ttl);
         self.shrink();
     }
 
     fn expire(&mut self, now: Instant) {
-        let remember = self.cfg.remember;
+        let suspicion_ttl = self.cfg.suspicion_ttl;
         self.suspects
-            .retain(|_, s| s.on.is_some() || now.since(s.since) < remember);
-        self.convicts.retain(|_, until| *until > now);
+            .retain(|_, s| s.running_on.is_some() || now.since(s.since) < suspicion_ttl);
+        self.refused.retain(|_, until| *until > now);
     }
 
     fn shrink(&mut self) {
-        while self.suspects.len() + self.convicts.len() > self.cfg.max_tracked {
+        while self.suspects.len() + self.refused.len() > self.cfg.max_tracked {
             let suspect = self
                 .suspects
                 .iter()
                 .min_by_key(|(_, s)| s.since)
                 .map(|(&f, _)| f);
-            let convict = self
-                .convicts
+            let refusal = self
+                .refused
                 .iter()
                 .min_by_key(|(_, until)| **until)
                 .map(|(&f, _)| f);
             if let Some(f) = suspect {
                 self.suspects.remove(&f);
-            } else if let Some(f) = convict {
-                self.convicts.remove(&f);
+            } else if let Some(f) = refusal {
+                self.refused.remove(&f);
             }
         }
     }
--- a/crates/kelpworks-coord/src/rendezvous.rs
+++ b/crates/kelpworks-coord/src/rendezvous.rs
@@ -15,7 +15,7 @@
 //! ```
 //!
 //! Daemons whose views of the membership differ choose differently for a while: there may be more
-//! watchers than wanted, or fewer. Anti-entropy in [`crate::spread`] covers the latter.
+//! watchers than wanted, or fewer. Anti-entropy in [`crate::dissemination`] covers the latter.
 
 use std::collections::BTreeMap;
 
@@ -25,18 +25,18 @@
 use crate::id::NodeId;
 
 /// Up to `per_domain` members of each failure domain for a duty, in order of identifier.
-pub fn choose(members: &[(NodeId, DomainId)], duty: &str, per_domain: usize) -> Vec<NodeId> {
+pub fn choose(members: &[(NodeId, DomainId)], role: &str, per_domain: usize) -> Vec<NodeId> {
     let mut by_domain: BTreeMap<DomainId, Vec<(u64, NodeId)>> = BTreeMap::new();
     for &(node, domain) in members {
-        let weight = xxh3_64_with_seed(duty.as_bytes(), node.0);
+        let weight = xxh3_64_with_seed(role.as_bytes(), node.0);
         by_domain.entry(domain).or_default().push((weight, node));
     }
     let mut chosen: Vec<NodeId> = by_domain
         .into_values()
-        .flat_map(|mut weighed| {
-            weighed.sort_unstable();
-            weighed.truncate(per_domain);
-            weighed.into_iter().map(|(_, node)| node)
+        .flat_map(|mut ranked| {
+            ranked.sort_unstable();
+            ranked.truncate(per_domain);
+            ranked.into_iter().map(|(_, node)| node)
         })
         .collect();
     chosen.sort_unstable();
--- a/crates/kelpworks-coord/src/repair.rs
+++ b/crates/kelpworks-coord/src/repair.rs
@@ -11,11 +11,11 @@
 //!
 //! let mut engine = Repair::new(Span::from_secs(2));
 //! let now = Instant::ZERO;
-//! engine.want("layers 0..8");
-//! engine.read_back(now, now, "layers 8..16");
-//! assert_eq!(engine.due(now, Some(Token(3))), Some((Token(3), "layers 0..8")));
-//! assert_eq!(engine.due(now, Some(Token(3))), None, "until the order's effect can be read");
-//! assert_eq!(engine.due(now, None), None, "without the lease nothing is ordered");
+//! engine.set_desired("layers 0..8");
+//! engine.observe(now, now, "layers 8..16");
+//! assert_eq!(engine.due_order(now, Some(Token(3))), Some((Token(3), "layers 0..8")));
+//! assert_eq!(engine.due_order(now, Some(Token(3))), None, "until the order's effect can be read");
+//! assert_eq!(engine.due_order(now, None), None, "without the lease nothing is ordered");
 //! ```
 
 use crate::lease::Token;
@@ -27,10 +27,10 @@
 pub struct Repair<S> {
     /// Longest time from sending an order to its effect.
     order_bound: Span,
-    wanted: Option<S>,
+    desired: Option<S>,
     /// Last state read, and when its reading was asked for.
-    read: Option<(S, Instant)>,
-    ordered: Option<Instant>,
+    observed: Option<(S, Instant)>,
+    last_order_at: Option<Instant>,
 }
 
 impl<S: Clone + PartialEq> Repair<S> {
@@ -38,48 +38,52 @@
     pub fn new(order_bound: Span) -> Repair<S> {
         Repair {
             order_bound,
-            wanted: None,
-            read: None,
-            ordered: None,
+            desired: None,
+            observed: None,
+            last_order_at: None,
         }
     }
 
     /// Sets what the engine is to hold.
-    pub fn want(&mut self, state: S) {
-        self.wanted = Some(state);
+    pub fn set_desired(&mut self, state: S) {
+        self.desired = Some(state);
     }
 
     /// Notes what the engine said that it holds, and when it was asked.
     ///
     /// Answers may come out of order: one that was asked for before the last is dropped.
-    pub fn read_back(&mut self, now: Instant, asked: Instant, state: S) {
-        debug_assert!(asked <= now);
-        if self.read.as_ref().is_none_or(|(_, at)| *at <= asked) {
-            self.read = Some((state, asked));
+    pub fn observe(&mut self, now: Instant, queried_at: Instant, state: S) {
+        debug_assert!(queried_at <= now);
+        if self
+            .observed
+            .as_ref()
+            .is_none_or(|(_, at)| *at <= queried_at)
+        {
+            self.observed = Some((state, queried_at));
         }
     }
 
     /// Whether the engine was last seen to hold what is wanted.
-    pub fn is_right(&self) -> bool {
-        self.read.as_ref().map(|(s, _)| s) == self.wanted.as_ref()
+    pub fn is_converged(&self) -> bool {
+        self.observed.as_ref().map(|(s, _)| s) == self.desired.as_ref()
     }
 
     /// The order that is due now; the caller sends it at once.
     ///
     /// None without the lease, without a reading, and after an order until a reading that was
     /// asked for after the order's bound still shows a difference.
-    pub fn due(&mut self, now: Instant, fence: Option<Token>) -> Option<(Token, S)> {
-        let token = fence?;
-        let (_, asked) = self.read.as_ref()?;
+    pub fn due_order(&mut self, now: Instant, fencing_token: Option<Token>) -> Option<(Token, S)> {
+        let token = fencing_token?;
+        let (_, queried_at) = self.observed.as_ref()?;
         if self
-            .ordered
-            .is_some_and(|at| *asked < at + self.order_bound)
-            || self.is_right()
+            .last_order_at
+            .is_some_and(|at| *queried_at < at + self.order_bound)
+            || self.is_converged()
         {
             return None;
         }
-        let wanted = self.wanted.clone()?;
-        self.ordered = Some(now);
-        Some((token, wanted))
+        let desired = self.desired.clone()?;
+        self.last_order_at = Some(now);
+        Some((token, desired))
     }
 }
--- a/crates/kelpworks-coord/src/token.rs
+++ b/crates/kelpworks-coord/src/token.rs
@@ -29,11 +29,11 @@
 //! let stages = [LayerRange { first: 0, end: 2 }, LayerRange { first: 2, end: 4 }];
 //! let mut lineage = Lineage::new(spec, &stages)?;
 //!
-//! let first = Reply::to(&lineage.expect(), Incarnation(1));
+//! let first = Reply::to(&lineage.due_step(), Incarnation(1));
 //! assert_eq!(lineage.accept(&first), Ok(Progress::NextStage));
 //! assert!(lineage.accept(&first).is_err(), "a repeated reply is dropped");
 //!
-//! let last = Reply::to(&lineage.expect(), Incarnation(9));
+//! let last = Reply::to(&lineage.due_step(), Incarnation(9));
 //! assert_eq!(lineage.accept(&last), Ok(Progress::Token { position: 3 }));
 //! # Ok::<(), kelpworks_coord::token::Error>(())
 //! ```
@@ -104,7 +104,7 @@
 
 /// The step that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Expected {
+pub struct DueStep {
     /// The session.
     pub session: SessionId,
     /// Attempt of the stage's replica.
@@ -144,7 +144,7 @@
 
 impl Reply {
     /// The reply of an engine of this incarnation that ran exactly the step.
-    pub fn to(step: &Expected, incarnation: Incarnation) -> Reply {
+    pub fn to(step: &DueStep, incarnation: Incarnation) -> Reply {
         Reply {
             session: step.session,
             attempt: step.attempt,
@@ -220,8 +220,8 @@
     layers: LayerRange,
     /// Attempt of the present replica; at most [`Lineage::attempt`].
     attempt: u32,
-    /// Positions whose KV the present replica holds; never more than [`Lineage::end`].
-    held: u32,
+    /// Positions whose KV the present replica holds; never more than `Lineage::sequence_len`.
+    kv_len: u32,
     /// Set from the first accepted reply on, or by the driver.
     incarnation: Option<Incarnation>,
 }
@@ -236,9 +236,9 @@
     attempt: u32,
     /// Prompt and emitted tokens, all known; never falls. Each round takes every stage's `held`
     /// up to it, and then one token is emitted.
-    end: u32,
+    sequence_len: u32,
     /// Stage whose step is due. Stages before it hold `end` positions, unless replaced since.
-    at: usize,
+    due_stage: usize,
     drops: DropCounts,
 }
 
@@ -249,13 +249,13 @@
     ///
     /// When the stages do not cover the model's layers once and in order, or there is no prompt.
     pub fn new(spec: Spec, stages: &[LayerRange]) -> Result<Lineage> {
-        check(spec, stages)?;
+        check_stages(spec, stages)?;
         let stages = stages
             .iter()
             .map(|&layers| Stage {
                 layers,
                 attempt: 0,
-                held: 0,
+                kv_len: 0,
                 incarnation: None,
             })
             .collect();
@@ -264,21 +264,21 @@
             spec,
             stages,
             attempt: 0,
-            end: spec.prompt_len,
-            at: 0,
+            sequence_len: spec.prompt_len,
+            due_stage: 0,
             drops,
         })
     }
 
     /// The step that is due.
-    pub fn expect(&self) -> Expected {
-        let stage = &self.stages[self.at];
-        Expected {
+    pub fn due_step(&self) -> DueStep {
+        let stage = &self.stages[self.due_stage];
+        DueStep {
             session: self.spec.session,
             attempt: stage.attempt,
-            position: stage.held,
-            count: self.end - stage.held,
-            stage: self.at,
+            position: stage.kv_len,
+            count: self.sequence_len - stage.kv_len,
+            stage: self.due_stage,
             layers: stage.layers,
             version: self.spec.version,
             incarnation: stage.incarnation,
@@ -295,16 +295,16 @@
             self.drops.count(reason);
             return Err(reason);
         }
-        let stage = &mut self.stages[self.at];
-        stage.held = self.end;
+        let stage = &mut self.stages[self.due_stage];
+        stage.kv_len = self.sequence_len;
         stage.incarnation = Some(reply.incarnation);
-        if self.at + 1 < self.stages.len() {
-            self.at += 1;
+        if self.due_stage + 1 < self.stages.len() {
+            self.due_stage += 1;
             return Ok(Progress::NextStage);
         }
-        self.at = 0;
-        let position = self.end;
-        self.end += 1;
+        self.due_stage = 0;
+        let position = self.sequence_len;
+        self.sequence_len += 1;
         Ok(Progress::Token { position })
     }
 
@@ -314,7 +314,7 @@
     ///
     /// The first difference.
     pub fn matches(&self, reply: &Reply) -> std::result::Result<(), DropReason> {
-        let due = self.expect();
+        let due = self.due_step();
         if reply.session != due.session {
             return Err(DropReason::Session);
         }
@@ -345,15 +345,15 @@
     /// # Panics
     ///
     /// When there is no such stage, or `held` is more than the old replica held.
-    pub fn replace(&mut self, stage: usize, held: u32, incarnation: Option<Incarnation>) -> u32 {
+    pub fn replace(&mut self, stage: usize, kv_len: u32, incarnation: Option<Incarnation>) -> u32 {
         assert!(
-            held <= self.stages[stage].held,
+            kv_len <= self.stages[stage].kv_len,
             "imported positions that never ran"
         );
         self.attempt += 1;
         let stage = &mut self.stages[stage];
         stage.attempt = self.attempt;
-        stage.held = held;
+        stage.kv_len = kv_len;
         stage.incarnation = incarnation;
         self.attempt
     }
@@ -366,23 +366,23 @@
     ///
     /// As [`Lineage::new`]; nothing has changed then.
     pub fn restart(&mut self, stages: &[LayerRange]) -> Result<u32> {
-        check(self.spec, stages)?;
+        check_stages(self.spec, stages)?;
         self.attempt += 1;
         let attempt = self.attempt;
         self.stages.clear();
         self.stages.extend(stages.iter().map(|&layers| Stage {
             layers,
             attempt,
-            held: 0,
+            kv_len: 0,
             incarnation: None,
         }));
-        self.at = 0;
+        self.due_stage = 0;
         Ok(attempt)
     }
 
     /// Tokens that have left.
     pub fn emitted(&self) -> u32 {
-        self.end - self.spec.prompt_len
+        self.sequence_len - self.spec.prompt_len
     }
 
     /// Highest attempt so far.
@@ -395,8 +395,8 @@
     /// # Panics
     ///
     /// When there is no such stage.
-    pub fn held(&self, stage: usize) -> u32 {
-        self.stages[stage].held
+    pub fn kv_len(&self, stage: usize) -> u32 {
+        self.stages[stage].kv_len
     }
 
     /// Replies dropped since the counts were last taken.
@@ -410,7 +410,7 @@
     }
 }
 
-fn check(spec: Spec, stages: &[LayerRange]) -> Result<()> {
+fn check_stages(spec: Spec, stages: &[LayerRange]) -> Result<()> {
     if spec.prompt_len == 0 {
         return Err(Error::EmptyPrompt);
     }
--- a/crates/kelpworks-coord/tests/checker/mod.rs
+++ b/crates/kelpworks-coord/tests/checker/mod.rs
@@ -21,16 +21,16 @@
     type Step: Copy + Debug;
 
     /// The state at the beginning.
-    fn start(&self) -> Self::State;
+    fn initial_state(&self) -> Self::State;
 
     /// Every step possible in a state.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
 
     /// Takes a step.
-    fn take(&self, state: &mut Self::State, step: Self::Step);
+    fn apply(&self, state: &mut Self::State, step: Self::Step);
 
     /// The name of an invariant that does not hold in a state.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    fn violated(&self, state: &Self::State) -> Option<&'static str>;
 }
 
 /// An invariant that does not hold, with the shortest way there.
@@ -58,10 +58,10 @@
 /// Number of states reached, or the first violation.
 pub(crate) fn explore<M: Model>(model: &M) -> Result<usize, Violation> {
     let mut states = 0;
-    for state in bfs_reach(model.start(), |s| successors(model, s)) {
+    for state in bfs_reach(model.initial_state(), |s| successors(model, s)) {
         states += 1;
         assert!(states <= MAX_STATES, "bounds too large");
-        if let Some(invariant) = model.broken(&state) {
+        if let Some(invariant) = model.violated(&state) {
             return Err(Violation {
                 invariant,
                 steps: trace(model, &state),
@@ -73,7 +73,7 @@
 
 fn after<M: Model>(model: &M, state: &M::State, step: M::Step) -> M::State {
     let mut next = state.clone();
-    model.take(&mut next, step);
+    model.apply(&mut next, step);
     next
 }
 
@@ -83,7 +83,11 @@
 }
 
 fn trace<M: Model>(model: &M, end: &M::State) -> Vec<String> {
-    let path = bfs(&model.start(), |s| successors(model, s), |s| s == end);
+    let path = bfs(
+        &model.initial_state(),
+        |s| successors(model, s),
+        |s| s == end,
+    );
     let path = path.expect("a state that was reached");
     let step = |from: &M::State, to: &M::State| {
         let mut steps = model.steps(from).into_iter();
--- a/crates/kelpworks-coord/tests/claim.rs
+++ b/crates/kelpworks-coord/tests/claim.rs
@@ -67,7 +67,7 @@
 #[case::lost_but_created(
     vec![api(ApiReply::Lost), api(ApiReply::Found(stored(1, 1, Phase::Claimed)))],
     "[Read, Dispatch]")]
-#[case::lost_and_stale_read_then_conflict_shows_ours(
+#[case::lost_and_stale_read_then_conflict_shows_own_claim(
     vec![api(ApiReply::Lost), api(ApiReply::Absent),
          api(ApiReply::Conflict(Some(stored(1, 1, Phase::Claimed))))],
     "[Read, Write, Dispatch]")]
@@ -77,33 +77,33 @@
     "[Completed]")]
 #[case::holder_dead(
     vec![api(ApiReply::Conflict(Some(stored(1, 2, Phase::Claimed)))), Event::Peer(None)],
-    "[AskHolder, MayHaveRun]")]
+    "[QueryHolder, MayHaveRun]")]
 #[case::holder_running(
     vec![api(ApiReply::Conflict(Some(stored(1, 2, Phase::Claimed)))),
          Event::Peer(Some(PeerStatus::InProgress))],
-    "[AskHolder, InProgress]")]
-#[case::holder_gave_up(
+    "[QueryHolder, InProgress]")]
+#[case::holder_never_dispatched(
     vec![api(ApiReply::Conflict(Some(stored(1, 2, Phase::Claimed)))),
          Event::Peer(Some(PeerStatus::NeverDispatched)), api(ApiReply::Stored(Version::initial(2)))],
-    "[AskHolder, Write, Dispatch]")]
+    "[QueryHolder, Write, Dispatch]")]
 #[case::other_body(
     vec![api(ApiReply::Conflict(Some(Stored {
         version: Version::initial(1), record: Record { digest: 8, ..record(2, Phase::Claimed) } })))],
     "[NotRun(KeyReused)]")]
-#[case::upstream_took_nothing(
-    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(Run::NotRun)],
+#[case::not_run_by_upstream(
+    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(RunResult::NotRun)],
     "[Dispatch, NotRun(Upstream), Remove]")]
-#[case::answer_waits_for_its_recording(
-    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(Run::Completed(outcome()))],
+#[case::answer_waits_for_the_outcome_write(
+    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(RunResult::Completed(outcome()))],
     "[Dispatch, Write]")]
-#[case::answer_after_recording(
-    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(Run::Completed(outcome())),
+#[case::answer_after_the_outcome_write(
+    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(RunResult::Completed(outcome())),
          api(ApiReply::Stored(Version::initial(2)))],
     "[Dispatch, Write, Completed]")]
-#[case::unknown_end_is_told_at_once(
-    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(Run::MayHaveRun)],
+#[case::unknown_result_is_answered_at_once(
+    vec![api(ApiReply::Stored(Version::initial(1))), Event::Finished(RunResult::MayHaveRun)],
     "[Dispatch, MayHaveRun, Write]")]
-fn a_claim_leads_to(#[case] events: Vec<Event>, #[case] actions: &str) {
+fn claim_returns_expected_actions(#[case] events: Vec<Event>, #[case] actions: &str) {
     let taken = feed(&mut started(), events);
     assert_eq!(names(&taken), actions);
 }
@@ -112,7 +112,7 @@
     let name = |action: &Action| match action {
         Action::Write { .. } => "Write".to_string(),
         Action::Remove { .. } => "Remove".to_string(),
-        Action::AskHolder { .. } => "AskHolder".to_string(),
+        Action::QueryHolder { .. } => "QueryHolder".to_string(),
         Action::Answer(Answer::Completed(_)) => "Completed".to_string(),
         Action::Answer(answer) => format!("{answer:?}"),
         other => format!("{other:?}"),
@@ -128,7 +128,7 @@
 #[rstest]
 #[case::before(999, "[Write]")]
 #[case::after(1_000, "[NotRun(Unavailable)]")]
-fn writes_lost_again_and_again(#[case] at_ms: u64, #[case] actions: &str) {
+fn repeatedly_lost_writes_end_at_the_create_timeout(#[case] at_ms: u64, #[case] actions: &str) {
     let mut claim = started();
     feed(&mut claim, vec![api(ApiReply::Lost)]);
     let now = Instant::from_millis(at_ms);
@@ -136,17 +136,17 @@
 }
 
 #[test]
-fn an_outage_after_a_lost_reply_is_refused_and_cleaned_up_later() {
+fn outage_after_lost_create_reply_refuses_the_request_and_removes_the_claim_later() {
     let mut claim = started();
     feed(&mut claim, vec![api(ApiReply::Lost), api(ApiReply::Lost)]);
     let late = Instant::from_millis(1_000);
     let refused = claim.on_event(late, Event::Tick);
     assert_eq!(
         refused,
-        [Action::Answer(Answer::NotRun(NotRun::Unavailable))]
+        [Action::Answer(Answer::NotRun(NotRunReason::Unavailable))]
     );
     assert_eq!(claim.status(), PeerStatus::NeverDispatched);
-    assert!(!claim.is_settled());
+    assert!(!claim.is_finished());
     let later = Instant::from_millis(1_100);
     assert_eq!(claim.on_event(later, Event::Tick), [Action::Read]);
     let found = api(ApiReply::Found(stored(4, 1, Phase::Claimed)));
@@ -157,7 +157,7 @@
         }]
     );
     claim.on_event(later, api(ApiReply::Removed));
-    assert!(claim.is_settled());
+    assert!(claim.is_finished());
     assert_eq!(
         claim.on_event(later, api(ApiReply::Stored(Version::initial(1)))),
         [],
@@ -166,17 +166,20 @@
 }
 
 #[test]
-fn a_daemon_paused_past_the_deadline_does_not_dispatch() {
+fn claim_created_after_the_deadline_is_not_dispatched() {
     let mut claim = started();
     let late = Instant::from_millis(5_000);
     let actions = claim.on_event(late, api(ApiReply::Stored(Version::initial(1))));
-    assert_eq!(actions, [Action::Answer(Answer::NotRun(NotRun::Deadline))]);
+    assert_eq!(
+        actions,
+        [Action::Answer(Answer::NotRun(NotRunReason::Deadline))]
+    );
 }
 
 #[test]
-fn an_outage_delays_an_answer_no_longer_than_its_bound() {
+fn outage_delays_the_answer_by_at_most_the_record_timeout() {
     let mut claim = started();
-    let run = Event::Finished(Run::Completed(outcome()));
+    let run = Event::Finished(RunResult::Completed(outcome()));
     feed(
         &mut claim,
         vec![
--- a/crates/kelpworks-coord/tests/control.rs
+++ b/crates/kelpworks-coord/tests/control.rs
@@ -5,6 +5,8 @@
 use kelpworks_coord::budget;
 use kelpworks_coord::budget::Purpose;
 use kelpworks_coord::budget::WriteBudget;
+use kelpworks_coord::dissemination;
+use kelpworks_coord::dissemination::Dissemination;
 use kelpworks_coord::head::Change;
 use kelpworks_coord::head::Follower;
 use kelpworks_coord::head::FollowerAction;
@@ -12,12 +14,12 @@
 use kelpworks_coord::head::Generation;
 use kelpworks_coord::head::Head;
 use kelpworks_coord::head::Part;
+use kelpworks_coord::head::PartKind;
 use kelpworks_coord::head::StoredHead;
 use kelpworks_coord::head::Swap;
 use kelpworks_coord::head::SwapAction;
 use kelpworks_coord::head::SwapEvent;
 use kelpworks_coord::head::SwapOutcome;
-use kelpworks_coord::head::Which;
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::DomainId;
 use kelpworks_coord::id::Incarnation;
@@ -37,13 +39,11 @@
 use kelpworks_coord::lease::Token;
 use kelpworks_coord::rendezvous;
 use kelpworks_coord::repair::Repair;
-use kelpworks_coord::spread;
-use kelpworks_coord::spread::Spread;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
 const OURS: Change = Change {
-    which: Which::Rules,
+    kind: PartKind::Rules,
     digest: Digest([9; 32]),
     nonce: Nonce(9),
 };
@@ -97,7 +97,7 @@
 #[case::refused_then_accepted(
     vec![SwapEvent::Refused, SwapEvent::Tick, SwapEvent::Swapped],
     SwapOutcome::Accepted(Generation(6)))]
-fn a_swap_ends(#[case] events: Vec<SwapEvent>, #[case] outcome: SwapOutcome) {
+fn swap_ends_with_expected_outcome(#[case] events: Vec<SwapEvent>, #[case] outcome: SwapOutcome) {
     assert_eq!(run_swap(events), Some(SwapAction::Done(outcome)));
 }
 
@@ -121,7 +121,7 @@
 #[rstest]
 #[case::seen_at_once(vec![head(12, 7, part(1, 4), part(2, 7))], false)]
 #[case::after_a_lost_reply(vec![SwapEvent::Lost, head(9, 7, part(1, 4), part(2, 7))], true)]
-fn a_part_changed_and_changed_back_is_a_conflict(
+fn part_changed_and_restored_is_a_conflict(
     #[case] events: Vec<SwapEvent>,
     #[case] superseded: bool,
 ) {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_follower_goes_up_only() {
+fn follower_never_applies_an_older_generation() {
     let seen = |n| Head {
         generation: Generation(n),
         ..Head::EMPTY
@@ -153,7 +153,7 @@
     assert_eq!(applied, [FollowerAction::Apply(seen(5))]);
     assert_eq!(follower.on_event(FollowerEvent::Seen(seen(4))), []);
     assert_eq!(
-        (follower.known(), follower.take_stale()),
+        (follower.latest_generation(), follower.take_stale_count()),
         (Generation(5), 1)
     );
     follower.on_event(FollowerEvent::Seen(seen(6)));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_lost_renewal_is_read_back_and_counts_from_its_sending() {
+fn renewal_with_lost_reply_is_read_back_and_counts_from_sending() {
     let mut lease = holder();
     assert!(matches!(
         lease.on_event(at(3_000), Event::Tick)[..],
@@ -215,21 +215,21 @@
     );
     let ours = Event::Api(ApiReply::Read(stored(2, ME, 1, 1)));
     assert_eq!(lease.on_event(at(5_000), ours), []);
-    assert_eq!(lease.fence(at(10_999)), Some(Token(1)));
-    assert_eq!(lease.fence(at(11_000)), None, "3 s + 10 s - 2 s");
+    assert_eq!(lease.fencing_token(at(10_999)), Some(Token(1)));
+    assert_eq!(lease.fencing_token(at(11_000)), None, "3 s + 10 s - 2 s");
 }
 
 #[test]
-fn a_holder_that_was_overtaken_resigns() {
+fn holder_resigns_when_another_daemon_acquired_the_lease() {
     let mut lease = holder();
     lease.on_event(at(20_000), Event::Tick);
     let taken = Event::Api(ApiReply::Conflict(stored(5, OTHER, 2, 0)));
     assert_eq!(lease.on_event(at(20_010), taken), [Action::Resigned]);
-    assert_eq!(lease.fence(at(20_010)), None);
+    assert_eq!(lease.fencing_token(at(20_010)), None);
 }
 
 #[test]
-fn a_lease_that_is_given_up_is_free_at_once() {
+fn released_lease_can_be_acquired_at_once() {
     let mut lease = holder();
     let record = Record {
         owner: None,
@@ -242,7 +242,7 @@
     };
     assert_eq!(lease.on_event(at(200), Event::Release), [write]);
     assert_eq!(
-        lease.fence(at(200)),
+        lease.fencing_token(at(200)),
         None,
         "no order while it is being given up"
     );
@@ -281,16 +281,20 @@
 #[case::a_peer_is_gone(&[Source::Api, Source::Peer], 100, true)]
 #[case::the_api_is_down(&[Source::Peer], 100, true)]
 #[case::no_one_answers(&[], 1_000_000, false)]
-fn a_starting_daemon_is_ready(#[case] answers: &[Source], #[case] ms: u64, #[case] ready: bool) {
+fn starting_daemon_readiness_follows_answers_and_deadline(
+    #[case] answers: &[Source],
+    #[case] ms: u64,
+    #[case] ready: bool,
+) {
     let mut joining = Joining::new(at(100), 2);
     for &source in answers {
         joining.on_answer(source);
     }
-    assert_eq!(joining.is_settled(at(ms)), ready);
+    assert_eq!(joining.is_ready(at(ms)), ready);
 }
 
 #[test]
-fn a_successor_waits_ttl_and_order_bound_and_drift() {
+fn successor_waits_for_ttl_order_bound_and_clock_drift() {
     let mut lease = Lease::new(lease::Config::default(), ME, at(0));
     lease.on_event(at(0), Event::Tick);
     lease.on_event(at(50), Event::Api(ApiReply::Read(stored(7, OTHER, 4, 3))));
@@ -320,22 +324,31 @@
 }
 
 #[test]
-fn a_reading_asked_for_before_an_order_took_effect_orders_nothing() {
+fn state_queried_before_order_bound_triggers_no_order() {
     let mut engine = Repair::new(Span::from_secs(2));
-    engine.want(1);
-    engine.read_back(at(0), at(0), 0);
-    assert_eq!(engine.due(at(10), Some(Token(1))), Some((Token(1), 1)));
-    engine.read_back(at(1_500), at(1_000), 0);
-    assert_eq!(engine.due(at(1_500), Some(Token(1))), None);
-    engine.read_back(at(2_100), at(2_010), 0);
-    assert_eq!(engine.due(at(2_100), Some(Token(2))), Some((Token(2), 1)));
+    engine.set_desired(1);
+    engine.observe(at(0), at(0), 0);
+    assert_eq!(
+        engine.due_order(at(10), Some(Token(1))),
+        Some((Token(1), 1))
+    );
+    engine.observe(at(1_500), at(1_000), 0);
+    assert_eq!(engine.due_order(at(1_500), Some(Token(1))), None);
+    engine.observe(at(2_100), at(2_010), 0);
+    assert_eq!(
+        engine.due_order(at(2_100), Some(Token(2))),
+        Some((Token(2), 1))
+    );
 }
 
 #[rstest]
 #[case::one(1, 180)]
 #[case::seven(7, 25)]
 #[case::many(370, 0)]
-fn claims_get_an_equal_part_after_the_reserve(#[case] members: usize, #[case] per_second: u64) {
+fn claims_get_an_equal_share_of_the_unreserved_rate(
+    #[case] members: usize,
+    #[case] per_second: u64,
+) {
     let cfg = budget::Config::default();
     let mut budget = WriteBudget::new(cfg, at(0));
     budget.set_members(at(0), members);
@@ -351,7 +364,7 @@
 }
 
 #[test]
-fn a_dead_watcher_changes_no_other_place() {
+fn replacing_a_dead_watcher_keeps_the_others() {
     let members: Vec<_> = (0..40).map(|n| (NodeId(n), DomainId(n % 4))).collect();
     let before = rendezvous::choose(&members, "kelpworks.head", 2);
     assert_eq!(before.len(), 8);
@@ -365,13 +378,13 @@
 }
 
 #[rstest]
-#[case::today(7)]
-#[case::target(370)]
-fn a_generation_reaches_all_by_push_and_one_round_of_heartbeats(#[case] n: u64) {
+#[case::small_fleet(7)]
+#[case::large_fleet(370)]
+fn generation_reaches_all_daemons_by_push_and_one_heartbeat_round(#[case] n: u64) {
     let nodes: Vec<NodeId> = (0..n).map(NodeId).collect();
-    let mut daemons: Vec<Spread> = nodes
+    let mut daemons: Vec<Dissemination> = nodes
         .iter()
-        .map(|&me| Spread::new(spread::Config::default(), me))
+        .map(|&me| Dissemination::new(dissemination::Config::default(), me))
         .collect();
     let peers = |me: u64| {
         nodes
@@ -384,10 +397,10 @@
     let mut pushes = vec![NodeId(0)];
     while let Some(to) = pushes.pop() {
         reached[to.0 as usize] = true;
-        let learned = spread::Event::Learned(Generation(1));
+        let learned = dissemination::Event::Learned(Generation(1));
         for action in daemons[to.0 as usize].on_event(learned, &peers(to.0)) {
-            let spread::Action::Push(peer) = action else {
-                panic!("unasked pull")
+            let dissemination::Action::Push(peer) = action else {
+                panic!("unexpected pull")
             };
             pushes.push(peer);
         }
@@ -396,26 +409,26 @@
     assert!(by_push * 10 >= n * 8, "{by_push} of {n}");
     let missed = (0..n as usize).filter(|&i| !reached[i]);
     for i in missed.collect::<Vec<_>>() {
-        let heartbeat = spread::Event::Heartbeat {
+        let heartbeat = dissemination::Event::Heartbeat {
             from: NodeId(0),
             generation: Generation(1),
         };
         let pull = daemons[i].on_event(heartbeat, &[]);
-        assert_eq!(pull, [spread::Action::Pull(NodeId(0))]);
+        assert_eq!(pull, [dissemination::Action::Pull(NodeId(0))]);
     }
 }
 
 /// Daemons have a generation in force that the store has lost. The next change is made on top of an
 /// older head, and must be newer for them all the same.
 #[test]
-fn a_change_on_top_of_an_older_copy_of_the_head_is_newer_than_the_lost_one() {
+fn change_after_restore_has_a_higher_generation_than_the_lost_change() {
     use kelpworks_coord::head;
     use kelpworks_coord::id::Digest;
     use kelpworks_coord::id::Era;
     use kelpworks_coord::id::Nonce;
 
     let change = |nonce| head::Change {
-        which: head::Which::Register,
+        kind: head::PartKind::Register,
         digest: Digest([nonce; 32]),
         nonce: Nonce(u64::from(nonce)),
     };
@@ -462,14 +475,14 @@
 
 /// Guards against versions that are ordered by their revision alone.
 #[test]
-fn an_operator_goes_on_with_an_older_copy_of_a_later_era() {
+fn swap_continues_with_a_lower_revision_of_a_later_era() {
     use kelpworks_coord::head;
     use kelpworks_coord::id::Digest;
     use kelpworks_coord::id::Era;
     use kelpworks_coord::id::Nonce;
 
     let change = head::Change {
-        which: head::Which::Rules,
+        kind: head::PartKind::Rules,
         digest: Digest([1; 32]),
         nonce: Nonce(1),
     };
--- a/crates/kelpworks-coord/tests/fleet.rs
+++ b/crates/kelpworks-coord/tests/fleet.rs
@@ -21,9 +21,9 @@
 use kelpworks_coord::membership::Membership;
 use kelpworks_coord::membership::Update;
 use kelpworks_coord::poison;
-use kelpworks_coord::poison::Admit;
+use kelpworks_coord::poison::Admission;
 use kelpworks_coord::poison::Fingerprint;
-use kelpworks_coord::poison::Poison;
+use kelpworks_coord::poison::PoisonTracker;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
@@ -43,11 +43,11 @@
         domain: DOMAIN,
         leaving: false,
     };
-    members.on_event(at(0), Event::Listed(vec![entry(A), entry(B), entry(C)]));
+    members.on_event(at(0), Event::HostList(vec![entry(A), entry(B), entry(C)]));
     for from in [B, C] {
         members.on_event(
             at(0),
-            Event::Heard {
+            Event::Contact {
                 from,
                 incarnation: Incarnation(1),
             },
@@ -68,21 +68,21 @@
 }
 
 #[rstest]
-#[case::one_suspicion_is_not_enough(vec![(0, report(Health::Suspect, 1, C)), (14_000, Event::Tick)], Health::Suspect)]
-#[case::the_long_timeout_is(vec![(0, report(Health::Suspect, 1, C)), (15_000, Event::Tick)], Health::Dead)]
+#[case::one_suspicion_does_not_confirm(vec![(0, report(Health::Suspect, 1, C)), (14_000, Event::Tick)], Health::Suspect)]
+#[case::max_suspicion_confirms(vec![(0, report(Health::Suspect, 1, C)), (15_000, Event::Tick)], Health::Dead)]
 #[case::two_of_two_confirm(
     vec![(0, report(Health::Suspect, 1, C)), (1, report(Health::Suspect, 1, A)), (2_000, Event::Tick)],
     Health::Dead)]
-#[case::not_before_it_could_refute(
+#[case::not_before_min_suspicion(
     vec![(0, report(Health::Suspect, 1, C)), (1, report(Health::Suspect, 1, A)), (1_999, Event::Tick)],
     Health::Suspect)]
 #[case::refuted(vec![(0, report(Health::Suspect, 1, C)), (1, report(Health::Alive, 2, B))], Health::Alive)]
 #[case::same_incarnation_refutes_nothing(
     vec![(0, report(Health::Suspect, 1, C)), (1, report(Health::Alive, 1, B))], Health::Suspect)]
 #[case::old_report(vec![(0, report(Health::Alive, 3, B)), (1, report(Health::Dead, 2, C))], Health::Alive)]
-#[case::dead_comes_back(vec![(0, report(Health::Dead, 1, C)), (1, report(Health::Alive, 2, B))], Health::Alive)]
+#[case::dead_member_returns(vec![(0, report(Health::Dead, 1, C)), (1, report(Health::Alive, 2, B))], Health::Alive)]
 #[case::left(vec![(0, report(Health::Left, 1, B))], Health::Left)]
-fn reports_lead_to(#[case] events: Vec<(u64, Event)>, #[case] health: Health) {
+fn reports_lead_to_expected_health(#[case] events: Vec<(u64, Event)>, #[case] health: Health) {
     let mut members = members();
     for (ms, event) in events {
         members.on_event(at(ms), event);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_daemon_refutes_its_death_on_being_probed() {
+fn probed_daemon_refutes_a_report_of_its_death() {
     let mut members = members();
     let incarnation = Incarnation(4);
     let view = Update {
@@ -112,26 +112,26 @@
     let answered = |a: &Action| {
         matches!(
             a,
-            Action::Answer {
+            Action::Ack {
                 incarnation: Incarnation(5),
                 ..
             }
         )
     };
     assert!(actions.iter().any(answered), "{actions:?}");
-    let told = members
+    let gossiped = members
         .take_updates(10)
         .into_iter()
         .find(|u| u.node == A)
         .unwrap();
     assert_eq!(
-        (told.health, told.incarnation),
+        (gossiped.health, gossiped.incarnation),
         (Health::Alive, Incarnation(5))
     );
 }
 
 #[test]
-fn a_silent_member_is_probed_through_others_before_it_is_suspect() {
+fn unresponsive_member_is_probed_indirectly_before_it_is_suspected() {
     let mut members = members();
     let probe = members.on_event(at(0), Event::Tick);
     let [Action::Probe { target, .. }] = probe[..] else {
@@ -140,12 +140,12 @@
     let via = if target == B { C } else { B };
     let asked = members.on_event(at(400), Event::Tick);
     assert!(
-        matches!(asked[..], [Action::ProbeVia { via: v, target: t, .. }] if (v, t) == (via, target))
+        matches!(asked[..], [Action::IndirectProbe { via: v, target: t, .. }] if (v, t) == (via, target))
     );
     let changed = members.on_event(at(800), Event::Tick);
     assert_eq!(
         changed,
-        [Action::Changed {
+        [Action::HealthChanged {
             node: target,
             health: Health::Suspect
         }]
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn reports_travel_a_bounded_number_of_times() {
+fn each_update_is_sent_a_bounded_number_of_times() {
     let mut members = members();
     members.on_event(at(0), report(Health::Suspect, 1, C));
     let sent = std::iter::from_fn(|| Some(members.take_updates(1)).filter(|u| !u.is_empty()));
@@ -183,7 +183,7 @@
 
 proptest! {
     #[test]
-    fn merging_facts_ignores_order_and_repetition(
+    fn merging_facts_is_independent_of_order_and_repetition(
         stated in prop::collection::vec((1..4u64, 1..3u64, 1..5u64), 0..12),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..24),
     ) {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_cleared_fact_does_not_come_back_and_deltas_keep_to_their_size() {
+fn cleared_fact_stays_cleared_and_deltas_respect_their_size_limit() {
     let mut facts = Facts::new(facts::Config::default(), A, Incarnation(1));
     for subject in 0..20 {
         facts.set(at(0), Kind::Leaving, subject, Span::from_secs(60));
@@ -213,7 +213,7 @@
     let old = facts.snapshot(at(0))[0];
     facts.clear(at(1), Kind::Leaving, old.key.subject);
     assert!(!facts.merge(at(2), old));
-    assert_eq!(facts.authors(at(2), Kind::Leaving, old.key.subject), 0);
+    assert_eq!(facts.author_count(at(2), Kind::Leaving, old.key.subject), 0);
     let delta = facts.take_delta(at(2), 1_000, 7);
     let bytes: usize = delta
         .iter()
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_largest_fact_fits_its_size() {
+fn largest_fact_fits_fact_bytes() {
     let max = u64::MAX;
     let key = Key {
         author: NodeId(max),
@@ -261,36 +261,36 @@
 #[rstest]
 #[case::one_crash(vec![crash(1, &[1, 2])], "AA-")]
 #[case::same_upstream_twice(vec![crash(1, &[1]), crash(1, &[1])], "A--")]
-#[case::second_crash_convicts(vec![crash(1, &[1, 2]), crash(2, &[1, 3])], "RAA")]
-#[case::two_suspects_together_convict_no_one(vec![crash(1, &[1, 2]), crash(2, &[1, 2])], "AA-")]
-#[case::then_alone(vec![crash(1, &[1, 2]), crash(2, &[1, 2]), crash(3, &[1])], "RA-")]
+#[case::second_crash_confirms(vec![crash(1, &[1, 2]), crash(2, &[1, 3])], "RAA")]
+#[case::two_suspects_together_confirm_neither(vec![crash(1, &[1, 2]), crash(2, &[1, 2])], "AA-")]
+#[case::then_exclusive(vec![crash(1, &[1, 2]), crash(2, &[1, 2]), crash(3, &[1])], "RA-")]
 #[case::finishing_clears(vec![crash(1, &[1, 2]), poison::Event::Finished(Fingerprint(2))], "A--")]
 #[case::a_peers_crash_counts(
     vec![poison::Event::PeerSuspects { fingerprint: Fingerprint(1), upstream: UpstreamId(9) }, crash(2, &[1, 3])],
     "R-A")]
-fn crashes_lead_to(#[case] events: Vec<poison::Event>, #[case] admits: &str) {
-    let mut poison = Poison::new(poison::Config::default());
+fn crashes_lead_to_expected_admission(#[case] events: Vec<poison::Event>, #[case] admits: &str) {
+    let mut poison = PoisonTracker::new(poison::Config::default());
     for event in events {
         poison.on_event(at(0), event);
     }
     let letter = |f| match poison.check(at(1), Fingerprint(f)) {
-        Admit::Normal => '-',
-        Admit::Apart => 'A',
-        Admit::Refused { .. } => 'R',
+        Admission::Normal => '-',
+        Admission::Isolated => 'A',
+        Admission::Refused { .. } => 'R',
     };
     assert_eq!((1..=3).map(letter).collect::<String>(), admits);
     let later = poison.check(at(600_001), Fingerprint(1));
-    assert_eq!(later, Admit::Normal, "no one is held for ever");
+    assert_eq!(later, Admission::Normal, "no one is held for ever");
 }
 
 #[test]
-fn tracking_is_bounded() {
+fn number_of_tracked_suspects_is_bounded() {
     let cfg = poison::Config {
         max_tracked: 10,
         ..poison::Config::default()
     };
-    let mut poison = Poison::new(cfg);
+    let mut poison = PoisonTracker::new(cfg);
     poison.on_event(at(0), crash(1, &(0..100).collect::<Vec<_>>()));
-    let tracked = (0..100).filter(|&f| poison.check(at(0), Fingerprint(f)) == Admit::Apart);
+    let tracked = (0..100).filter(|&f| poison.check(at(0), Fingerprint(f)) == Admission::Isolated);
     assert_eq!(tracked.count(), 10);
 }
--- a/crates/kelpworks-coord/tests/model_claim.rs
+++ b/crates/kelpworks-coord/tests/model_claim.rs
@@ -14,13 +14,13 @@
 use kelpworks_coord::claim::Claim;
 use kelpworks_coord::claim::Config;
 use kelpworks_coord::claim::Event;
-use kelpworks_coord::claim::NotRun;
+use kelpworks_coord::claim::NotRunReason;
 use kelpworks_coord::claim::Outcome;
 use kelpworks_coord::claim::PeerStatus;
 use kelpworks_coord::claim::Phase;
 use kelpworks_coord::claim::Record;
 use kelpworks_coord::claim::Request;
-use kelpworks_coord::claim::Run;
+use kelpworks_coord::claim::RunResult;
 use kelpworks_coord::claim::Stored;
 use kelpworks_coord::id::Incarnation;
 use kelpworks_coord::id::NodeId;
@@ -32,7 +32,7 @@
 const AT_MOST_ONCE: &str = "at most one run";
 const NOT_RUN_IS_TRUE: &str = "a submission told not-run never ran";
 const SAME_OUTCOME: &str = "all answers of a key are the same";
-const REPEATED: &str = "a repeat after success gets its outcome while the holder lives";
+const REPEAT_GETS_OUTCOME: &str = "a repeat after success gets its outcome while the holder lives";
 const NOT_BLOCKED: &str = "a key that was never dispatched is not blocked while its holders live";
 
 /// All deadlines lie here; before it the clock stands still, since only their passing matters.
@@ -52,7 +52,7 @@
     /// What is recorded is not what was answered.
     OutcomeChanged,
     /// A daemon forgets the claims that it gave up.
-    Forgets,
+    ForgetsAbandoned,
     /// Outcomes are neither recorded nor told to peers.
     OutcomeLost,
 }
@@ -85,7 +85,7 @@
     claim: Claim,
     started: bool,
     /// The daemon that held it crashed.
-    gone: bool,
+    crashed_holder: bool,
     /// Its daemon sees that the deadline has passed.
     late: bool,
     call: Option<Call>,
@@ -107,7 +107,7 @@
     crashed: bool,
     faults: u8,
     crashes: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -121,8 +121,8 @@
     Delay(usize),
     Refuse(usize),
     LateWrite(usize),
-    AskHolder(usize),
-    HolderSilent(usize),
+    QueryHolder(usize),
+    HolderUnreachable(usize),
     Execute(usize),
     Complete(usize),
     UpstreamRefuses(usize),
@@ -136,8 +136,8 @@
 impl ClaimModel {
     fn submission(&self, i: usize, daemon: usize) -> Submission {
         let cfg = Config {
-            retry: Span::ZERO,
-            record: Span::ZERO,
+            retry_interval: Span::ZERO,
+            record_timeout: Span::ZERO,
             ..Config::default()
         };
         let req = Request {
@@ -150,7 +150,7 @@
         Submission {
             claim: Claim::new(cfg, req),
             started: false,
-            gone: false,
+            crashed_holder: false,
             late: false,
             call: None,
             upstream: Upstream::Idle,
@@ -184,7 +184,7 @@
         if let Answer::Completed(outcome) = &answer
             && answered.into_iter().any(|o| o != outcome)
         {
-            world.broken = Some(SAME_OUTCOME);
+            world.violation = Some(SAME_OUTCOME);
         }
         world.submissions[i].answer.get_or_insert(answer);
     }
@@ -245,7 +245,7 @@
 
     fn peer_status(&self, world: &World, nonce: Nonce) -> Option<PeerStatus> {
         let holder = &world.submissions[nonce.0 as usize];
-        if holder.gone {
+        if holder.crashed_holder {
             let never = self.mutant == Mutant::DeadNeverDispatched;
             return never.then_some(PeerStatus::NeverDispatched);
         }
@@ -256,7 +256,7 @@
                     body: "another".into(),
                 }))
             }
-            PeerStatus::NeverDispatched if self.mutant == Mutant::Forgets => None,
+            PeerStatus::NeverDispatched if self.mutant == Mutant::ForgetsAbandoned => None,
             PeerStatus::Done(_) if self.mutant == Mutant::OutcomeLost => None,
             status => Some(status),
         }
@@ -267,7 +267,7 @@
         world.runs += 1;
     }
 
-    fn finish(&self, world: &mut World, i: usize, run: Run) {
+    fn finish(&self, world: &mut World, i: usize, run: RunResult) {
         world.submissions[i].upstream = Upstream::Ended;
         self.feed(world, i, Event::Finished(run));
     }
@@ -286,9 +286,9 @@
         let answers = waits && self.mutant == Mutant::DriverAnswers;
         steps.extend(answers.then_some(Step::DriverAnswers(i)));
         match &s.call {
-            Some(Call::Action(Action::AskHolder { .. })) => {
-                steps.push(Step::AskHolder(i));
-                steps.extend(faulty.then_some(Step::HolderSilent(i)));
+            Some(Call::Action(Action::QueryHolder { .. })) => {
+                steps.push(Step::QueryHolder(i));
+                steps.extend(faulty.then_some(Step::HolderUnreachable(i)));
             }
             Some(Call::Action(action)) => {
                 steps.push(Step::Effect(i));
@@ -323,15 +323,15 @@
                 | Step::StaleRead(..)
                 | Step::Delay(_)
                 | Step::Refuse(_)
-                | Step::HolderSilent(_)
+                | Step::HolderUnreachable(_)
                 | Step::UpstreamRefuses(_)
                 | Step::UpstreamCut(_)
                 | Step::DeadlinePasses(_)
         )
     }
 
-    fn ask_holder(&self, world: &mut World, i: usize) {
-        if let Some(Call::Action(Action::AskHolder { nonce, .. })) = world.submissions[i].call {
+    fn query_holder(&self, world: &mut World, i: usize) {
+        if let Some(Call::Action(Action::QueryHolder { nonce, .. })) = world.submissions[i].call {
             world.submissions[i].call = None;
             let status = self.peer_status(world, nonce);
             self.feed(world, i, Event::Peer(status));
@@ -339,32 +339,32 @@
     }
 
     /// What becomes of a further submission once faults stop.
-    fn repeated(&self, world: &World) -> Submission {
+    fn repeat_submission(&self, world: &World) -> Submission {
         let mut world = world.clone();
-        let fresh = world.submissions.len();
-        world.submissions.push(self.submission(fresh, 0));
+        let extra = world.submissions.len();
+        world.submissions.push(self.submission(extra, 0));
         world.faults = 0;
         world.crashes = 0;
         for round in 0..40 {
             let late = (0..world.delayed.len()).map(|_| Step::LateWrite(0));
             late.collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|step| self.take(&mut world, step));
+                .for_each(|step| self.apply(&mut world, step));
             if round == 20 {
-                self.take(&mut world, Step::Start(fresh));
+                self.apply(&mut world, Step::Start(extra));
             }
             for i in 0..world.submissions.len() {
                 let mut steps = Vec::new();
-                if !world.submissions[i].gone && (i != fresh || round > 20) {
+                if !world.submissions[i].crashed_holder && (i != extra || round > 20) {
                     self.submission_steps(&world, i, &mut steps);
                 }
                 steps.retain(|s| !matches!(s, Step::Start(_)));
                 if let Some(&step) = steps.last() {
-                    self.take(&mut world, step);
+                    self.apply(&mut world, step);
                 }
             }
         }
-        world.submissions.remove(fresh)
+        world.submissions.remove(extra)
     }
 }
 
@@ -388,7 +388,7 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         let submissions = self
             .sent_to
             .iter()
@@ -405,7 +405,7 @@
             crashed: false,
             faults: self.faults,
             crashes: self.crashes,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -416,14 +416,14 @@
                 // The request may be on its way though its daemon is gone.
                 steps.push(Step::Execute(i));
             }
-            if !s.gone {
+            if !s.crashed_holder {
                 self.submission_steps(world, i, &mut steps);
             }
         }
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         if self.costs_a_fault(step) {
             world.faults -= 1;
         }
@@ -454,21 +454,25 @@
                 let (if_version, record) = world.delayed.remove(i);
                 self.write(world, if_version, record);
             }
-            Step::AskHolder(i) => self.ask_holder(world, i),
-            Step::HolderSilent(i) => {
+            Step::QueryHolder(i) => self.query_holder(world, i),
+            Step::HolderUnreachable(i) => {
                 world.submissions[i].call = None;
                 self.feed(world, i, Event::Peer(None));
             }
             Step::Execute(i) => self.execute(world, i),
             Step::Complete(i) => {
                 let body = format!("run {i}");
-                self.finish(world, i, Run::Completed(Outcome { status: 200, body }));
+                self.finish(
+                    world,
+                    i,
+                    RunResult::Completed(Outcome { status: 200, body }),
+                );
             }
-            Step::UpstreamRefuses(i) => self.finish(world, i, Run::NotRun),
+            Step::UpstreamRefuses(i) => self.finish(world, i, RunResult::NotRun),
             Step::UpstreamCut(i) => {
                 // The request may still be on its way.
                 let sent = world.submissions[i].upstream;
-                self.finish(world, i, Run::MayHaveRun);
+                self.finish(world, i, RunResult::MayHaveRun);
                 world.submissions[i].upstream = match sent {
                     Upstream::Sent => Upstream::Sent,
                     _ => Upstream::Ended,
@@ -477,7 +481,7 @@
             Step::Tick(i) => self.feed(world, i, Event::Tick),
             Step::DeadlinePasses(i) => world.submissions[i].late = true,
             Step::DriverAnswers(i) => {
-                self.answer(world, i, Answer::NotRun(NotRun::Unavailable));
+                self.answer(world, i, Answer::NotRun(NotRunReason::Unavailable));
             }
             Step::Crash(i) => {
                 world.crashes -= 1;
@@ -486,7 +490,7 @@
                     // What was not submitted yet goes to the daemon's next run.
                     if world.submissions[j].started {
                         delay(world, j);
-                        world.submissions[j].gone = true;
+                        world.submissions[j].crashed_holder = true;
                         world.submissions[j].call = None;
                     }
                 }
@@ -494,19 +498,19 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        let lied = |s: &Submission| {
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        let was_wrongly_denied = |s: &Submission| {
             let told = matches!(s.answer, Some(Answer::NotRun(_)));
             told && (s.upstream == Upstream::Executed || s.upstream == Upstream::Sent)
         };
         if world.runs > 1 {
             return Some(AT_MOST_ONCE);
         }
-        if world.submissions.iter().any(lied) {
+        if world.submissions.iter().any(was_wrongly_denied) {
             return Some(NOT_RUN_IS_TRUE);
         }
-        if world.broken.is_some() {
-            return world.broken;
+        if world.violation.is_some() {
+            return world.violation;
         }
         let all_ended = world
             .submissions
@@ -519,10 +523,10 @@
             Some(answer @ Answer::Completed(_)) => Some(answer),
             _ => None,
         });
-        if completed.is_some() && self.repeated(world).answer.as_ref() != completed {
-            return Some(REPEATED);
+        if completed.is_some() && self.repeat_submission(world).answer.as_ref() != completed {
+            return Some(REPEAT_GETS_OUTCOME);
         }
-        let blocked = || self.repeated(world).upstream == Upstream::Idle;
+        let blocked = || self.repeat_submission(world).upstream == Upstream::Idle;
         (!world.dispatched && blocked()).then_some(NOT_BLOCKED)
     }
 }
@@ -537,13 +541,13 @@
 }
 
 #[test]
-fn claims_hold_for_two_submissions() {
+fn invariants_hold_for_two_submissions() {
     let faults = 2 + bound() as u8;
     assert_holds("claim, two submissions", &ClaimModel { faults, ..model() });
 }
 
 #[test]
-fn claims_hold_for_three_submissions() {
+fn invariants_hold_for_three_submissions() {
     let faults = bound() as u8;
     let model = ClaimModel {
         sent_to: vec![0, 1, 0],
@@ -559,8 +563,8 @@
 #[case::dead_never_dispatched(Mutant::DeadNeverDispatched, AT_MOST_ONCE)]
 #[case::driver_answers(Mutant::DriverAnswers, NOT_RUN_IS_TRUE)]
 #[case::outcome_changed(Mutant::OutcomeChanged, SAME_OUTCOME)]
-#[case::forgets(Mutant::Forgets, NOT_BLOCKED)]
-#[case::outcome_lost(Mutant::OutcomeLost, REPEATED)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
+#[case::forgets_abandoned(Mutant::ForgetsAbandoned, NOT_BLOCKED)]
+#[case::outcome_lost(Mutant::OutcomeLost, REPEAT_GETS_OUTCOME)]
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
     assert_caught("claim", &ClaimModel { mutant, ..model() }, invariant);
 }
--- a/crates/kelpworks-coord/tests/model_head.rs
+++ b/crates/kelpworks-coord/tests/model_head.rs
@@ -16,12 +16,12 @@
 use kelpworks_coord::head::Generation;
 use kelpworks_coord::head::Head;
 use kelpworks_coord::head::Part;
+use kelpworks_coord::head::PartKind;
 use kelpworks_coord::head::StoredHead;
 use kelpworks_coord::head::Swap;
 use kelpworks_coord::head::SwapAction;
 use kelpworks_coord::head::SwapEvent;
 use kelpworks_coord::head::SwapOutcome;
-use kelpworks_coord::head::Which;
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Nonce;
@@ -29,15 +29,15 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
-const RISES: &str = "generations rise with each accepted change, by one within an era";
-const NEVER_DOWN: &str = "a daemon's generation never goes down";
-const NOT_LOST: &str = "no change overwrites one that its operator did not see";
-const ONCE: &str = "a change is applied once";
-const TOLD: &str = "an operator is told what became of the change";
-const VALID: &str = "every accepted pair was validated together";
-const FOLLOWS: &str = "every daemon reaches the accepted head once faults stop";
+const GENERATIONS_RISE: &str = "generations rise with each accepted change, by one within an era";
+const MONOTONIC: &str = "a daemon's generation never goes down";
+const NO_LOST_UPDATE: &str = "no change overwrites one that its operator did not see";
+const APPLIED_ONCE: &str = "a change is applied once";
+const OUTCOME_IS_TRUE: &str = "an operator is told what became of the change";
+const VALIDATED: &str = "every accepted pair was validated together";
+const CONVERGES: &str = "every daemon reaches the accepted head once faults stop";
 
-const GIVE_UP: Span = Span::from_secs(1);
+const TIMEOUT: Span = Span::from_secs(1);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
@@ -45,17 +45,17 @@
     /// The object API ignores the condition of a write.
     Unconditional,
     /// Operators do not see when a part was brought.
-    NoSince,
+    HidesSince,
     /// Operators do not see which change brought a part.
-    NoNonce,
+    HidesNonce,
     /// A write that was delayed takes effect whatever its condition.
     LateUnconditional,
     /// Operators skip validation.
     NoValidation,
     /// A daemon takes any head it is shown.
-    TakesAny,
+    AppliesAnyHead,
     /// A daemon takes no head from the API after the first.
-    Deaf,
+    IgnoresLaterHeads,
     /// Replies carry revisions without the era.
     NoEra,
     /// Writes that are under way when the API is restored reach it all the same.
@@ -65,7 +65,7 @@
 struct HeadModel {
     changes: Vec<Change>,
     /// The pair of registers and rules with these digests does not fit.
-    misfit: (Digest, Digest),
+    incompatible: (Digest, Digest),
     faults: u8,
     /// Times that the API may come back from an older copy.
     restores: u8,
@@ -113,7 +113,7 @@
     daemons: [Daemon; 2],
     delayed: Vec<(Version, Head, usize)>,
     faults: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -127,7 +127,7 @@
     Refuse(usize),
     LateWrite(usize),
     Tick(usize),
-    GiveUp(usize),
+    TimeOut(usize),
     /// A daemon is shown a head of the history, by whatever source.
     Show(usize, usize),
     /// A daemon is shown what the other has in force.
@@ -141,7 +141,7 @@
 impl HeadModel {
     fn feed(&self, world: &mut World, o: usize, now: Instant, event: SwapEvent) {
         if let SwapEvent::HeadRead(at) = event {
-            let since = part(&at.head, self.changes[o].which).map_or(Generation(0), |p| p.since);
+            let since = part(&at.head, self.changes[o].kind).map_or(Generation(0), |p| p.since);
             world.operators[o].base.get_or_insert(since);
         }
         let event = match event {
@@ -163,11 +163,11 @@
     /// The head as an operator sees it.
     fn shown(&self, at: StoredHead) -> StoredHead {
         let shown = |p: Part| match self.mutant {
-            Mutant::NoSince => Part {
+            Mutant::HidesSince => Part {
                 since: Generation(0),
                 ..p
             },
-            Mutant::NoNonce => Part {
+            Mutant::HidesNonce => Part {
                 nonce: Nonce(0),
                 ..p
             },
@@ -192,11 +192,11 @@
     fn fits(&self, head: &Head) -> bool {
         let digest = |p: Option<Part>| p.map(|p| p.digest);
         let pair = (digest(head.register), digest(head.rules));
-        pair != (Some(self.misfit.0), Some(self.misfit.1))
+        pair != (Some(self.incompatible.0), Some(self.incompatible.1))
     }
 
     fn write(&self, world: &mut World, o: usize, if_version: Version, head: Head) -> bool {
-        let current = standing(world);
+        let current = current_head(world);
         // The API compares revisions; it can't know of which era a condition is.
         let is_met = current.version.revision == if_version.revision;
         if !is_met && self.mutant != Mutant::Unconditional {
@@ -204,25 +204,24 @@
         }
         let change = self.changes[o];
         let seen = world.operators[o].base.unwrap_or_default();
-        let replaced = part(&current.head, change.which);
+        let replaced = part(&current.head, change.kind);
         if replaced.is_some_and(|p| p.since != seen) {
-            world.broken = Some(NOT_LOST);
+            world.violation = Some(NO_LOST_UPDATE);
         }
         let highest = world.history.iter().map(|a| a.head.generation).max();
         let is_next = head.generation.0 == current.head.generation.0 + 1;
-        let begins_era = world.history[standing_index(world)].version.era < world.era;
+        let begins_era = world.history[current_index(world)].version.era < world.era;
         if Some(head.generation) <= highest || !(is_next || begins_era) {
-            world.broken = Some(RISES);
+            world.violation = Some(GENERATIONS_RISE);
         }
         if !self.fits(&head) {
-            world.broken = Some(VALID);
+            world.violation = Some(VALIDATED);
         }
         let ours = |h: &&Head| {
-            part(h, change.which)
-                .is_some_and(|p| p.nonce == change.nonce && p.since == h.generation)
+            part(h, change.kind).is_some_and(|p| p.nonce == change.nonce && p.since == h.generation)
         };
         if world.history.iter().any(|a| !a.lost && ours(&&a.head)) {
-            world.broken = Some(ONCE);
+            world.violation = Some(APPLIED_ONCE);
         }
         world.history.push(Accepted {
             version: Version::new(world.era, current.version.revision + 1),
@@ -247,7 +246,7 @@
                 let is_outdated = if_version.era < world.era && self.mutant == Mutant::None;
                 match !is_outdated && self.write(world, o, if_version, head) {
                     true => SwapEvent::Swapped,
-                    false => SwapEvent::Conflict(standing(world)),
+                    false => SwapEvent::Conflict(current_head(world)),
                 }
             }
             SwapAction::Done(_) => return,
@@ -258,10 +257,10 @@
     fn show(&self, world: &mut World, d: usize, head: Head) {
         let mutant = self.mutant;
         let daemon = &mut world.daemons[d];
-        if mutant == Mutant::TakesAny {
+        if mutant == Mutant::AppliesAnyHead {
             daemon.follower = Follower::new();
         }
-        if mutant == Mutant::Deaf && daemon.follower.current().is_some() {
+        if mutant == Mutant::IgnoresLaterHeads && daemon.follower.current().is_some() {
             return;
         }
         for action in daemon.follower.on_event(FollowerEvent::Seen(head)) {
@@ -270,7 +269,7 @@
             }
         }
         // The count would tell states apart without end.
-        daemon.follower.take_stale();
+        daemon.follower.take_stale_count();
     }
 
     fn fetched(&self, world: &mut World, d: usize) {
@@ -284,16 +283,16 @@
         {
             if let FollowerAction::Apply(head) = action {
                 if head.generation < daemon.highest {
-                    world.broken = Some(NEVER_DOWN);
+                    world.violation = Some(MONOTONIC);
                 }
                 daemon.highest = daemon.highest.max(head.generation);
             }
         }
     }
 
-    fn follows(&self, world: &World) -> bool {
+    fn converges(&self, world: &World) -> bool {
         let mut world = world.clone();
-        let last = standing(&world).head;
+        let last = current_head(&world).head;
         for d in 0..2 {
             self.fetched(&mut world, d);
             self.show(&mut world, d, last);
@@ -304,11 +303,11 @@
             let mut lost = world.history.iter().filter(|a| a.lost);
             lost.any(|a| Some(a.head) == current && a.head.generation > last.generation)
         };
-        let follows = |d: &Daemon| {
+        let converges = |d: &Daemon| {
             let current = d.follower.current();
             current == Some(last) || keeps_lost(current)
         };
-        last == Head::EMPTY || world.daemons.iter().all(follows)
+        last == Head::EMPTY || world.daemons.iter().all(converges)
     }
 
     fn operator_steps(&self, world: &World, o: usize, steps: &mut Vec<Step>) {
@@ -317,7 +316,7 @@
             return;
         }
         let faulty = world.faults > 0;
-        steps.extend(faulty.then_some(Step::GiveUp(o)));
+        steps.extend(faulty.then_some(Step::TimeOut(o)));
         match operator.call {
             None => steps.push(Step::Tick(o)),
             Some(Call::Replied(_)) => {
@@ -354,9 +353,9 @@
                 world.operators[o].call = None;
                 self.feed(world, o, now, SwapEvent::Refused);
             }
-            Step::GiveUp(o) => {
+            Step::TimeOut(o) => {
                 delay(world, o);
-                self.feed(world, o, now + GIVE_UP, SwapEvent::Tick);
+                self.feed(world, o, now + TIMEOUT, SwapEvent::Tick);
             }
             Step::Restart(d) => world.daemons[d] = daemon(),
             _ => {}
@@ -364,18 +363,17 @@
     }
 
     /// What an operator was told, against what happened.
-    fn told_rightly(&self, world: &World, o: usize) -> bool {
+    fn outcome_is_true(&self, world: &World, o: usize) -> bool {
         let change = self.changes[o];
         let heads = || world.history.iter().map(|a| &a.head);
         let applied = heads().find(|h| {
-            part(h, change.which)
-                .is_some_and(|p| p.nonce == change.nonce && p.since == h.generation)
+            part(h, change.kind).is_some_and(|p| p.nonce == change.nonce && p.since == h.generation)
         });
         match world.operators[o].outcome {
             Some(SwapOutcome::Accepted(g)) => applied.is_some_and(|h| h.generation == g),
             Some(SwapOutcome::Superseded { current }) => {
                 let stands = heads().find(|h| h.generation == current.generation);
-                let part = stands.and_then(|h| part(h, change.which));
+                let part = stands.and_then(|h| part(h, change.kind));
                 match part {
                     Some(part) => part.nonce != change.nonce,
                     // Only a copy from before the first change of that part lacks it.
@@ -396,10 +394,10 @@
     }
 }
 
-fn part(head: &Head, which: Which) -> Option<Part> {
-    match which {
-        Which::Register => head.register,
-        Which::Rules => head.rules,
+fn part(head: &Head, kind: PartKind) -> Option<Part> {
+    match kind {
+        PartKind::Register => head.register,
+        PartKind::Rules => head.rules,
     }
 }
 
@@ -410,14 +408,14 @@
 }
 
 /// Index of the head that the API holds.
-fn standing_index(world: &World) -> usize {
+fn current_index(world: &World) -> usize {
     let last = world.history.iter().rposition(|a| !a.lost);
     last.expect("the empty head is never lost")
 }
 
 /// The head that the API holds, as it shows it now.
-fn standing(world: &World) -> StoredHead {
-    let Accepted { version, head, .. } = world.history[standing_index(world)];
+fn current_head(world: &World) -> StoredHead {
+    let Accepted { version, head, .. } = world.history[current_index(world)];
     StoredHead {
         version: Version::new(world.era, version.revision),
         head,
@@ -453,10 +451,10 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         let cfg = Config {
-            retry: Span::ZERO,
-            give_up: GIVE_UP,
+            retry_interval: Span::ZERO,
+            timeout: TIMEOUT,
         };
         let operator = |&change: &Change| {
             let mut swap = Swap::new(cfg, change, Instant::ZERO);
@@ -483,7 +481,7 @@
             daemons: [daemon(), daemon()],
             delayed: Vec::new(),
             faults: self.faults,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -506,10 +504,10 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         let now = Instant::ZERO;
         match step {
-            Step::Effect(o) => self.effect(world, o, standing(world)),
+            Step::Effect(o) => self.effect(world, o, current_head(world)),
             Step::Restore(i) => {
                 world.restores -= 1;
                 restore(self, world, i);
@@ -522,7 +520,7 @@
             Step::LateWrite(i) => {
                 let (mut if_version, head, o) = world.delayed.remove(i);
                 if self.mutant == Mutant::LateUnconditional {
-                    if_version = standing(world).version;
+                    if_version = current_head(world).version;
                 }
                 self.write(world, o, if_version, head);
             }
@@ -541,49 +539,49 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
-        if !(0..world.operators.len()).all(|o| self.told_rightly(world, o)) {
-            return Some(TOLD);
+        if !(0..world.operators.len()).all(|o| self.outcome_is_true(world, o)) {
+            return Some(OUTCOME_IS_TRUE);
         }
-        (!self.follows(world)).then_some(FOLLOWS)
+        (!self.converges(world)).then_some(CONVERGES)
     }
 }
 
-fn change(which: Which, byte: u8) -> Change {
+fn change(kind: PartKind, byte: u8) -> Change {
     Change {
-        which,
+        kind,
         digest: Digest([byte; 32]),
         nonce: Nonce(u64::from(byte)),
     }
 }
 
 /// Two operators on different parts that do not fit together.
-fn misfits() -> HeadModel {
-    let changes = vec![change(Which::Register, 1), change(Which::Rules, 2)];
+fn incompatible_parts() -> HeadModel {
+    let changes = vec![change(PartKind::Register, 1), change(PartKind::Rules, 2)];
     HeadModel {
-        misfit: (changes[0].digest, changes[1].digest),
+        incompatible: (changes[0].digest, changes[1].digest),
         ..model(changes)
     }
 }
 
 /// Two operators on the same part.
-fn rivals() -> HeadModel {
-    model(vec![change(Which::Rules, 1), change(Which::Rules, 2)])
+fn changes_to_same_part() -> HeadModel {
+    model(vec![change(PartKind::Rules, 1), change(PartKind::Rules, 2)])
 }
 
 /// One operator before two that race.
-fn three_rivals() -> HeadModel {
-    model([1, 2, 3].map(|byte| change(Which::Rules, byte)).to_vec())
+fn two_race_after_one() -> HeadModel {
+    model([1, 2, 3].map(|byte| change(PartKind::Rules, byte)).to_vec())
 }
 
 fn model(changes: Vec<Change>) -> HeadModel {
     let none = Digest([0; 32]);
     HeadModel {
         changes,
-        misfit: (none, none),
+        incompatible: (none, none),
         faults: 1,
         restores: 0,
         mutant: Mutant::None,
@@ -591,20 +589,20 @@
 }
 
 #[rstest]
-#[case::different_parts(model(vec![change(Which::Register, 1), change(Which::Rules, 2)]))]
-#[case::same_part(rivals())]
-#[case::misfits(misfits())]
-fn the_head_holds_for_two_operators(#[case] model: HeadModel) {
+#[case::different_parts(model(vec![change(PartKind::Register, 1), change(PartKind::Rules, 2)]))]
+#[case::same_part(changes_to_same_part())]
+#[case::incompatible_parts(incompatible_parts())]
+fn invariants_hold_for_two_operators(#[case] model: HeadModel) {
     let faults = 1 + bound() as u8;
     assert_holds("head, two operators", &HeadModel { faults, ..model });
 }
 
 #[test]
-fn the_head_holds_for_three_operators() {
+fn invariants_hold_for_three_operators() {
     let changes = vec![
-        change(Which::Rules, 1),
-        change(Which::Register, 2),
-        change(Which::Rules, 3),
+        change(PartKind::Rules, 1),
+        change(PartKind::Register, 2),
+        change(PartKind::Rules, 3),
     ];
     let faults = bound() as u8 - 1;
     assert_holds(
@@ -617,14 +615,11 @@
 }
 
 #[rstest]
-#[case::different_parts(model(vec![change(Which::Register, 1), change(Which::Rules, 2)]), 1)]
-#[case::same_part(rivals(), 1)]
-#[case::misfits(misfits(), 1)]
-#[case::twice(rivals(), 2)]
-fn the_head_holds_when_the_api_comes_back_from_an_older_copy(
-    #[case] model: HeadModel,
-    #[case] restores: u8,
-) {
+#[case::different_parts(model(vec![change(PartKind::Register, 1), change(PartKind::Rules, 2)]), 1)]
+#[case::same_part(changes_to_same_part(), 1)]
+#[case::incompatible_parts(incompatible_parts(), 1)]
+#[case::twice(changes_to_same_part(), 2)]
+fn invariants_hold_after_api_restore(#[case] model: HeadModel, #[case] restores: u8) {
     let faults = bound() as u8 - 1;
     assert_holds(
         "head, restore",
@@ -637,30 +632,30 @@
 }
 
 #[rstest]
-#[case::no_era(Mutant::NoEra, RISES)]
-#[case::writes_outlive_eras(Mutant::WritesOutliveEras, RISES)]
-fn the_checker_catches_what_ignores_a_restore(#[case] mutant: Mutant, #[case] invariant: &str) {
+#[case::no_era(Mutant::NoEra, GENERATIONS_RISE)]
+#[case::writes_outlive_eras(Mutant::WritesOutliveEras, GENERATIONS_RISE)]
+fn checker_catches_mutants_that_ignore_a_restore(#[case] mutant: Mutant, #[case] invariant: &str) {
     assert_caught(
         "head, restore",
         &HeadModel {
             mutant,
             faults: 1,
             restores: 1,
-            ..rivals()
+            ..changes_to_same_part()
         },
         invariant,
     );
 }
 
 #[rstest]
-#[case::unconditional(Mutant::Unconditional, rivals(), RISES, 0)]
-#[case::no_since(Mutant::NoSince, three_rivals(), NOT_LOST, 0)]
-#[case::no_nonce(Mutant::NoNonce, rivals(), TOLD, 1)]
-#[case::late_unconditional(Mutant::LateUnconditional, model(vec![change(Which::Rules, 1)]), ONCE, 1)]
-#[case::no_validation(Mutant::NoValidation, misfits(), VALID, 1)]
-#[case::takes_any(Mutant::TakesAny, rivals(), NEVER_DOWN, 1)]
-#[case::deaf(Mutant::Deaf, rivals(), FOLLOWS, 1)]
-fn the_checker_catches(
+#[case::unconditional(Mutant::Unconditional, changes_to_same_part(), GENERATIONS_RISE, 0)]
+#[case::hides_since(Mutant::HidesSince, two_race_after_one(), NO_LOST_UPDATE, 0)]
+#[case::hides_nonce(Mutant::HidesNonce, changes_to_same_part(), OUTCOME_IS_TRUE, 1)]
+#[case::late_unconditional(Mutant::LateUnconditional, model(vec![change(PartKind::Rules, 1)]), APPLIED_ONCE, 1)]
+#[case::no_validation(Mutant::NoValidation, incompatible_parts(), VALIDATED, 1)]
+#[case::applies_any_head(Mutant::AppliesAnyHead, changes_to_same_part(), MONOTONIC, 1)]
+#[case::ignores_later_heads(Mutant::IgnoresLaterHeads, changes_to_same_part(), CONVERGES, 1)]
+fn checker_catches_mutants(
     #[case] mutant: Mutant,
     #[case] model: HeadModel,
     #[case] invariant: &str,
--- a/crates/kelpworks-coord/tests/model_lease.rs
+++ b/crates/kelpworks-coord/tests/model_lease.rs
@@ -42,7 +42,7 @@
     /// The engine takes any order.
     NoFenceCheck,
     /// The second daemon's clock runs at four times the rate, so that it hardly waits.
-    NoWait,
+    FastSuccessorClock,
     /// A renewal counts from its reply.
     CountsFromReply,
     /// A daemon orders without having read the engine's state back.
@@ -118,7 +118,7 @@
     crashes: u8,
     duplicates: u8,
     restores: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -182,14 +182,14 @@
                     daemon.call = Some(Call::Write { if_version, record });
                 }
                 Action::Acquired(token) => {
-                    daemon.repair.want(token);
+                    daemon.repair.set_desired(token);
                     let node = NodeId(d as u64);
                     let owner = Owner {
                         node,
                         incarnation: Incarnation(daemon.incarnation),
                     };
                     if *world.holders.entry(token).or_insert(owner) != owner {
-                        world.broken = Some(ONE_HOLDER_A_TOKEN);
+                        world.violation = Some(ONE_HOLDER_A_TOKEN);
                     }
                 }
                 Action::Resigned => {}
@@ -234,7 +234,7 @@
     fn decide(&self, world: &mut World, d: usize) {
         let daemon = &mut world.daemons[d];
         let now = Instant::from_millis(daemon.clock);
-        let fence = daemon.lease.fence(now);
+        let fence = daemon.lease.fencing_token(now);
         if fence.is_none() {
             return;
         }
@@ -243,9 +243,9 @@
             _ => world.value,
         };
         let mut repair = daemon.repair.clone();
-        repair.read_back(now, now, seen);
+        repair.observe(now, now, seen);
         // A reading that leads to no order is not kept, so as not to tell such states apart.
-        if let Some((token, value)) = repair.due(now, fence) {
+        if let Some((token, value)) = repair.due_order(now, fence) {
             daemon.repair = repair;
             daemon.ordered = (self.mutant == Mutant::NoReadBack).then_some(value);
             daemon.checked = Some(Order {
@@ -259,26 +259,30 @@
     fn deliver(&self, world: &mut World, order: Order) {
         let prompt = world.time - order.checked_at <= self.cfg.order_bound.as_millis() / UNIT_MS;
         if prompt && world.object.record.token > order.token {
-            world.broken = Some(PROMPT_ORDER);
+            world.violation = Some(PROMPT_ORDER);
         }
         let checks = self.engine_checks && self.mutant != Mutant::NoFenceCheck;
         if checks && order.token < world.highest {
             return;
         }
         if self.engine_checks && order.token < world.value {
-            world.broken = Some(TOKEN_ORDER);
+            world.violation = Some(TOKEN_ORDER);
         }
         world.value = order.value;
         world.highest = world.highest.max(order.token);
     }
 
     fn exclusive(&self, world: &World) -> bool {
-        let fenced = |d: &Daemon| d.lease.fence(Instant::from_millis(d.clock)).is_some();
+        let fenced = |d: &Daemon| {
+            d.lease
+                .fencing_token(Instant::from_millis(d.clock))
+                .is_some()
+        };
         !world.daemons.iter().all(fenced)
     }
 
     /// Whether the engine ends with the holder's order once faults stop.
-    fn heals(&self, world: &World) -> bool {
+    fn converges(&self, world: &World) -> bool {
         let mut world = world.clone();
         for _ in 0..40 {
             for (version, record) in std::mem::take(&mut world.delayed) {
@@ -311,13 +315,13 @@
         if self.mutant == Mutant::ObjectRemoved && world.time == 2 {
             world.object = Stored::ABSENT;
         }
-        let haste = if self.mutant == Mutant::NoWait {
+        let clock_factor = if self.mutant == Mutant::FastSuccessorClock {
             [1, 4]
         } else {
             [1, 1]
         };
         for (d, daemon) in world.daemons.iter_mut().enumerate() {
-            let rate = self.rates[d] * haste[d];
+            let rate = self.rates[d] * clock_factor[d];
             daemon.clock += rate;
         }
     }
@@ -350,7 +354,7 @@
 }
 
 /// Whether anything is outstanding that takes no time unless a fault delays it.
-fn pending(world: &World) -> bool {
+fn has_pending_work(world: &World) -> bool {
     let idle = |d: &Daemon| {
         let now = Instant::from_millis(d.clock);
         let due = || !d.lease.clone().on_event(now, Event::Tick).is_empty();
@@ -412,7 +416,7 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         World {
             time: 0,
             object: Stored::ABSENT,
@@ -428,13 +432,13 @@
             crashes: self.crashes,
             duplicates: self.duplicates,
             restores: self.restores,
-            broken: None,
+            violation: None,
         }
     }
 
     fn steps(&self, world: &World) -> Vec<Step> {
         let mut steps = Vec::new();
-        if world.time < self.horizon && !pending(world) {
+        if world.time < self.horizon && !has_pending_work(world) {
             steps.push(Step::Advance);
         }
         for d in 0..2 {
@@ -456,7 +460,7 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         match step {
             Step::Advance => self.advance(world),
             Step::Pause(d) => {
@@ -533,16 +537,16 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
         if !self.exclusive(world) {
             return Some(EXCLUSION);
         }
         // Without the object nothing heals, which is not what that mutant is to show.
         let ended = world.time == self.horizon && self.mutant != Mutant::ObjectRemoved;
-        (ended && !self.heals(world)).then_some(REPAIRED)
+        (ended && !self.converges(world)).then_some(REPAIRED)
     }
 }
 
@@ -551,11 +555,11 @@
     LeaseModel {
         cfg: Config {
             ttl: ms(2 * UNIT_MS),
-            renew: ms(UNIT_MS),
+            renew_interval: ms(UNIT_MS),
             order_bound: ms(UNIT_MS),
             drift_per_mille: 0,
-            watch: ms(UNIT_MS),
-            retry: ms(UNIT_MS),
+            poll_interval: ms(UNIT_MS),
+            retry_interval: ms(UNIT_MS),
         },
         rates: [UNIT_MS; 2],
         horizon: 4,
@@ -582,13 +586,13 @@
 }
 
 #[test]
-fn a_lease_holds_under_lost_replies_and_pauses() {
+fn invariants_hold_under_lost_replies_and_pauses() {
     let faults = bound() as u8;
     assert_holds("lease, lost and late", &LeaseModel { faults, ..model() });
 }
 
 #[test]
-fn a_lease_holds_under_a_crash_and_a_duplicate() {
+fn invariants_hold_under_a_crash_and_a_duplicate() {
     let model = LeaseModel {
         crashes: 1,
         duplicates: 1,
@@ -599,7 +603,7 @@
 }
 
 #[test]
-fn a_lease_holds_when_engines_ignore_the_fence() {
+fn invariants_hold_when_engines_ignore_fencing_tokens() {
     let faults = bound() as u8;
     let model = LeaseModel {
         engine_checks: false,
@@ -613,7 +617,7 @@
 #[rstest]
 #[case::checking_engine(true)]
 #[case::ignoring_engine(false)]
-fn a_lease_holds_when_the_store_comes_back_from_an_older_copy(#[case] engine_checks: bool) {
+fn invariants_hold_after_store_restore(#[case] engine_checks: bool) {
     let model = LeaseModel {
         restores: 1,
         faults: bound() as u8 - 1,
@@ -624,7 +628,7 @@
 }
 
 #[test]
-fn a_lease_holds_when_the_store_comes_back_from_older_copies_twice() {
+fn invariants_hold_after_two_store_restores() {
     let model = LeaseModel {
         restores: 2,
         faults: 0,
@@ -635,7 +639,7 @@
 
 #[rstest]
 #[case::one_holder(1, ONE_HOLDER_A_TOKEN)]
-fn the_checker_catches_versions_without_their_era(#[case] restores: u8, #[case] invariant: &str) {
+fn checker_catches_versions_without_era(#[case] restores: u8, #[case] invariant: &str) {
     let model = LeaseModel {
         restores,
         faults: 1,
@@ -646,7 +650,7 @@
 }
 
 #[test]
-fn a_lease_holds_under_clock_drift() {
+fn invariants_hold_under_clock_drift() {
     let faults = bound() as u8 - 1;
     assert_holds(
         "lease, drift",
@@ -659,11 +663,11 @@
 
 #[rstest]
 #[case::no_fence_check(Mutant::NoFenceCheck, TOKEN_ORDER)]
-#[case::no_wait(Mutant::NoWait, PROMPT_ORDER)]
+#[case::fast_successor_clock(Mutant::FastSuccessorClock, PROMPT_ORDER)]
 #[case::counts_from_reply(Mutant::CountsFromReply, EXCLUSION)]
 #[case::no_read_back(Mutant::NoReadBack, REPAIRED)]
 #[case::object_removed(Mutant::ObjectRemoved, ONE_HOLDER_A_TOKEN)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
     let engine_checks = mutant != Mutant::NoReadBack;
     let model = LeaseModel {
         faults: 2,
@@ -676,7 +680,7 @@
 }
 
 #[test]
-fn the_checker_catches_a_wait_that_allows_for_no_drift() {
+fn checker_catches_a_takeover_wait_without_drift() {
     let mut model = drifting();
     model.cfg.drift_per_mille = 0;
     model.faults = 1;
--- a/crates/kelpworks-coord/tests/model_membership.rs
+++ b/crates/kelpworks-coord/tests/model_membership.rs
@@ -21,7 +21,7 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
-const LIVE_IS_SEEN: &str = "no live daemon is held dead for ever";
+const NO_LIVE_MEMBER_DEAD: &str = "no live daemon is held dead for ever";
 const CRASHED_IS_DEAD: &str = "a crashed daemon ends up dead for all";
 const CONFIRMED: &str = "no daemon counts as dead by one daemon's word before the long timeout";
 
@@ -39,15 +39,15 @@
     /// Passed-on suspicions count as the relaying daemon's own.
     RelayedCountsAsOwn,
     /// A helper answers for its target without probing it.
-    HelperLies,
+    FalseIndirectAck,
 }
 
 /// Directed links that are cut, `(from, to)`.
 type Cut = &'static [(usize, usize)];
 
-const WHOLE: Cut = &[];
+const NO_CUT: Cut = &[];
 const CUTS: [Cut; 6] = [
-    WHOLE,
+    NO_CUT,
     &[(0, 1), (1, 0)],
     &[(0, 1)],
     &[(1, 0), (1, 2)],
@@ -70,8 +70,8 @@
     round: u64,
     crashes: u8,
     /// When a daemon first found another silent.
-    failed: [[Option<u64>; NODES]; NODES],
-    broken: Option<&'static str>,
+    first_failed_probe: [[Option<u64>; NODES]; NODES],
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -98,7 +98,7 @@
         for action in actions {
             match action {
                 Action::Probe { target, view } => self.probe(d, index(target), view),
-                Action::ProbeVia { via, target, view } => {
+                Action::IndirectProbe { via, target, view } => {
                     self.probe_via(d, index(via), index(target), view);
                 }
                 _ => {}
@@ -109,7 +109,7 @@
     fn feed(&mut self, d: usize, event: Event) -> Vec<Action> {
         let actions = self.world.members[d].on_event(self.now, event);
         for action in &actions {
-            if let Action::Changed {
+            if let Action::HealthChanged {
                 node,
                 health: Health::Dead,
             } = *action
@@ -121,10 +121,12 @@
     }
 
     fn check_confirmed(&mut self, t: usize) {
-        let since: Vec<u64> = (0..NODES).filter_map(|d| self.world.failed[d][t]).collect();
-        let late = |at: &u64| self.now.as_millis() - at >= LONG_TIMEOUT_MS;
-        if since.len() < 2 && !since.iter().any(late) {
-            self.world.broken = Some(CONFIRMED);
+        let failures: Vec<u64> = (0..NODES)
+            .filter_map(|d| self.world.first_failed_probe[d][t])
+            .collect();
+        let is_long_ago = |at: &u64| self.now.as_millis() - at >= LONG_TIMEOUT_MS;
+        if failures.len() < 2 && !failures.iter().any(is_long_ago) {
+            self.world.violation = Some(CONFIRMED);
         }
     }
 
@@ -166,14 +168,14 @@
         self.gossip(t, d);
         let mut answered = None;
         for action in answers {
-            if let Action::Answer {
+            if let Action::Ack {
                 incarnation, view, ..
             } = action
             {
                 answered = Some(incarnation);
                 self.feed(
                     d,
-                    Event::Heard {
+                    Event::Contact {
                         from: node(t),
                         incarnation,
                     },
@@ -188,7 +190,7 @@
     fn probe(&mut self, d: usize, t: usize, view: Update) {
         if self.probe_and_answer(d, t, view).is_none() {
             let now = self.now.as_millis();
-            self.world.failed[d][t].get_or_insert(now);
+            self.world.first_failed_probe[d][t].get_or_insert(now);
         }
     }
 
@@ -197,13 +199,13 @@
             return;
         }
         let answered = match self.mutant {
-            Mutant::HelperLies => Some(view.incarnation),
+            Mutant::FalseIndirectAck => Some(view.incarnation),
             _ => self.probe_and_answer(via, t, view),
         };
         if let Some(incarnation) = answered.filter(|_| self.passes(via, d)) {
             self.feed(
                 d,
-                Event::Heard {
+                Event::Contact {
                     from: node(t),
                     incarnation,
                 },
@@ -234,16 +236,16 @@
         }
     }
 
-    fn healed(&self, world: &World) -> Option<&'static str> {
+    fn violation_after_healing(&self, world: &World) -> Option<&'static str> {
         let mut world = world.clone();
         for _ in 0..HEAL_ROUNDS {
-            self.round(&mut world, WHOLE, false);
+            self.round(&mut world, NO_CUT, false);
         }
         for d in (0..NODES).filter(|&d| world.up[d]) {
             for t in (0..NODES).filter(|&t| t != d) {
                 let health = world.members[d].health(node(t));
                 match world.up[t] {
-                    true if health != Some(Health::Alive) => return Some(LIVE_IS_SEEN),
+                    true if health != Some(Health::Alive) => return Some(NO_LIVE_MEMBER_DEAD),
                     false if health != Some(Health::Dead) => return Some(CRASHED_IS_DEAD),
                     _ => {}
                 }
@@ -263,14 +265,14 @@
 
 fn member(i: usize) -> Membership {
     let cfg = Config {
-        probe_every: Span::from_millis(ROUND_MS),
+        probe_interval: Span::from_millis(ROUND_MS),
         probe_timeout: Span::from_millis(400),
-        indirect: 2,
+        indirect_probes: 2,
         confirmations: 3,
-        suspect_min: Span::from_millis(ROUND_MS),
-        suspect_max: Span::from_millis(LONG_TIMEOUT_MS),
-        dead_probe: Span::from_millis(2 * ROUND_MS),
-        forget: Span::from_secs(600),
+        min_suspicion: Span::from_millis(ROUND_MS),
+        max_suspicion: Span::from_millis(LONG_TIMEOUT_MS),
+        dead_probe_interval: Span::from_millis(2 * ROUND_MS),
+        retention: Span::from_secs(600),
     };
     let mut member = Membership::new(cfg, node(i), DOMAIN, Incarnation(1));
     let entry = |n| Entry {
@@ -280,12 +282,12 @@
     };
     member.on_event(
         Instant::ZERO,
-        Event::Listed((0..NODES).map(entry).collect()),
+        Event::HostList((0..NODES).map(entry).collect()),
     );
     for from in (0..NODES).filter(|&n| n != i).map(node) {
         member.on_event(
             Instant::ZERO,
-            Event::Heard {
+            Event::Contact {
                 from,
                 incarnation: Incarnation(1),
             },
@@ -298,14 +300,14 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         World {
             members: [member(0), member(1), member(2)],
             up: [true; NODES],
             round: 0,
             crashes: self.crashes,
-            failed: [[None; NODES]; NODES],
-            broken: None,
+            first_failed_probe: [[None; NODES]; NODES],
+            violation: None,
         }
     }
 
@@ -324,7 +326,7 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         match step {
             Step::Round { cut, reverse } => self.round(world, cut, reverse),
             Step::Crash(d) => {
@@ -334,12 +336,12 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
         if world.round == self.rounds {
-            self.healed(world)
+            self.violation_after_healing(world)
         } else {
             None
         }
@@ -356,13 +358,13 @@
 }
 
 #[test]
-fn members_find_each_other_after_cuts() {
+fn members_converge_after_cuts() {
     let rounds = 5 + u64::from(bound());
     assert_holds("membership, cuts", &MembershipModel { rounds, ..model() });
 }
 
 #[test]
-fn members_find_each_other_after_cuts_in_any_order() {
+fn members_converge_after_cuts_in_either_order() {
     let rounds = 4 + u64::from(bound());
     assert_holds(
         "membership, orders",
@@ -375,7 +377,7 @@
 }
 
 #[test]
-fn members_find_out_a_crash() {
+fn members_detect_a_crash() {
     let rounds = 4 + u64::from(bound());
     assert_holds(
         "membership, crash",
@@ -388,11 +390,11 @@
 }
 
 #[rstest]
-#[case::no_refutation(Mutant::NoRefutation, LIVE_IS_SEEN)]
+#[case::no_refutation(Mutant::NoRefutation, NO_LIVE_MEMBER_DEAD)]
 #[case::relayed_counts_as_own(Mutant::RelayedCountsAsOwn, CONFIRMED)]
-#[case::helper_lies(Mutant::HelperLies, CRASHED_IS_DEAD)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
-    let crashes = u8::from(mutant == Mutant::HelperLies);
+#[case::false_indirect_ack(Mutant::FalseIndirectAck, CRASHED_IS_DEAD)]
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
+    let crashes = u8::from(mutant == Mutant::FalseIndirectAck);
     assert_caught(
         "membership",
         &MembershipModel {
--- a/crates/kelpworks-coord/tests/model_token.rs
+++ b/crates/kelpworks-coord/tests/model_token.rs
@@ -9,7 +9,7 @@
 use checker::assert_holds;
 use checker::bound;
 use kelpworks_coord::id::Incarnation;
-use kelpworks_coord::token::Expected;
+use kelpworks_coord::token::DueStep;
 use kelpworks_coord::token::LayerRange;
 use kelpworks_coord::token::Lineage;
 use kelpworks_coord::token::Progress;
@@ -18,8 +18,8 @@
 use kelpworks_coord::token::Spec;
 use kelpworks_coord::token::VersionKey;
 
-const RIGHT_TOKENS: &str = "each token is the one that all layers in order give";
-const KV_STANDS: &str = "what a stage is held to hold, its engine computed in that attempt";
+const CORRECT_TOKENS: &str = "each token is the one that all layers in order give";
+const KV_MATCHES: &str = "what a stage is held to hold, its engine computed in that attempt";
 const ONE_INCARNATION: &str = "one attempt of a stage runs on one incarnation";
 const COMPLETES: &str = "the answer completes once faults stop";
 
@@ -35,7 +35,7 @@
 
 /// The field of a reply that a mutant does not compare.
 #[derive(Clone, Copy, PartialEq)]
-enum Ignore {
+enum Unchecked {
     Nothing,
     Session,
     Attempt,
@@ -49,9 +49,9 @@
     tokens: usize,
     faults: u8,
     duplicates: u8,
-    ignore: Ignore,
+    unchecked: Unchecked,
     /// Whether the driver leaves a stage without its replay after replacing it, as a mutant.
-    stuck: bool,
+    skips_replay: bool,
 }
 
 /// An output row, or a token: a chain over stage, position, input and all earlier inputs.
@@ -85,7 +85,7 @@
     lineage: Lineage,
     /// Replica in use for each stage, and the incarnation that its attempt began on.
     used: [usize; STAGES],
-    began_on: [Option<Incarnation>; STAGES],
+    first_incarnation: [Option<Incarnation>; STAGES],
     /// What the driver keeps: inputs of each stage by position; after the last, the tokens.
     rows: Vec<Vec<Row>>,
     /// Two for each stage.
@@ -95,7 +95,7 @@
     emitted: Vec<Row>,
     faults: u8,
     duplicates: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -136,10 +136,10 @@
         if world.emitted.len() >= self.tokens {
             return;
         }
-        let due = world.lineage.expect();
+        let due = world.lineage.due_step();
         let from = due.position as usize;
         let inputs = world.rows[due.stage][from..from + due.count as usize].to_vec();
-        let Expected {
+        let DueStep {
             stage,
             attempt,
             position,
@@ -197,16 +197,16 @@
     }
 
     fn deliver(&self, world: &mut World, answer: Answer) {
-        let due = world.lineage.expect();
+        let due = world.lineage.due_step();
         let mut reply = answer.reply;
-        match self.ignore {
-            Ignore::Nothing => {}
-            Ignore::Session => reply.session = due.session,
-            Ignore::Attempt => reply.attempt = due.attempt,
-            Ignore::Position => (reply.position, reply.count) = (due.position, due.count),
-            Ignore::Layers => reply.layers = due.layers,
-            Ignore::Version => reply.version = due.version,
-            Ignore::Incarnation => {
+        match self.unchecked {
+            Unchecked::Nothing => {}
+            Unchecked::Session => reply.session = due.session,
+            Unchecked::Attempt => reply.attempt = due.attempt,
+            Unchecked::Position => (reply.position, reply.count) = (due.position, due.count),
+            Unchecked::Layers => reply.layers = due.layers,
+            Unchecked::Version => reply.version = due.version,
+            Unchecked::Incarnation => {
                 reply.incarnation = due.incarnation.unwrap_or(reply.incarnation);
             }
         }
@@ -219,9 +219,9 @@
         // The counts would tell states apart without end.
         world.lineage.take_drops();
         let Ok(progress) = accepted else { return };
-        let began = *world.began_on[due.stage].get_or_insert(answer.reply.incarnation);
+        let began = *world.first_incarnation[due.stage].get_or_insert(answer.reply.incarnation);
         if began != answer.reply.incarnation {
-            world.broken = Some(ONE_INCARNATION);
+            world.violation = Some(ONE_INCARNATION);
         }
         let kept = &mut world.rows[due.stage + 1];
         match progress {
@@ -232,10 +232,10 @@
             Progress::Token { position } => {
                 let token = answer.rows.last().copied().unwrap_or(0);
                 if position as usize != world.rows[0].len() {
-                    world.broken = Some(RIGHT_TOKENS);
+                    world.violation = Some(CORRECT_TOKENS);
                 }
                 if token != reference(&world.rows[0]) {
-                    world.broken = Some(RIGHT_TOKENS);
+                    world.violation = Some(CORRECT_TOKENS);
                 }
                 world.emitted.push(token);
                 world.rows[0].push(token);
@@ -245,7 +245,7 @@
     }
 
     fn foreign(&self, world: &mut World) {
-        let due = world.lineage.expect();
+        let due = world.lineage.due_step();
         let reply = Reply {
             session: OTHER_SESSION,
             ..Reply::to(&due, Incarnation(1))
@@ -261,19 +261,20 @@
 
     fn replace(&self, world: &mut World, stage: usize, replica: usize) {
         world.used[stage] = replica;
-        world.began_on[stage] = None;
+        world.first_incarnation[stage] = None;
         world.lineage.replace(stage, 0, None);
         // The step that was due may have changed with it.
-        if !self.stuck {
+        if !self.skips_replay {
             self.send(world);
         }
     }
 
-    fn kv_stands(&self, world: &World) -> bool {
+    fn kv_matches(&self, world: &World) -> bool {
         (0..STAGES).all(|stage| {
             let engine = &world.engines[stage][world.used[stage]];
-            let restarted = world.began_on[stage].is_some_and(|i| i.0 != engine.incarnation);
-            let held = world.lineage.held(stage) as usize;
+            let restarted =
+                world.first_incarnation[stage].is_some_and(|i| i.0 != engine.incarnation);
+            let held = world.lineage.kv_len(stage) as usize;
             let computed = engine
                 .kv
                 .as_ref()
@@ -296,7 +297,7 @@
                 return true;
             }
             if world.requests.is_empty() {
-                let stage = world.lineage.expect().stage;
+                let stage = world.lineage.due_step().stage;
                 let good = (0..2).find(|&r| world.engines[stage][r].version == 1);
                 match good {
                     Some(replica) => self.replace(&mut world, stage, replica),
@@ -315,7 +316,7 @@
             }
             Step::Replace(stage, replica) => self.replace(world, stage, replica),
             Step::Restart => {
-                world.began_on = [None; STAGES];
+                world.first_incarnation = [None; STAGES];
                 world.lineage.restart(&LAYERS).expect("the same stages");
                 self.send(world);
             }
@@ -334,7 +335,7 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         let spec = Spec {
             session: SESSION,
             version: VersionKey(1),
@@ -352,7 +353,7 @@
         let mut world = World {
             lineage: Lineage::new(spec, &LAYERS).expect("stages cover the layers"),
             used: [0; STAGES],
-            began_on: [None; STAGES],
+            first_incarnation: [None; STAGES],
             rows,
             engines: [pair.clone(), pair],
             requests: Vec::new(),
@@ -360,7 +361,7 @@
             emitted: Vec::new(),
             faults: self.faults,
             duplicates: self.duplicates,
-            broken: None,
+            violation: None,
         };
         self.send(&mut world);
         world
@@ -395,7 +396,7 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         match step {
             Step::Run(i) => {
                 let request = world.requests.remove(i);
@@ -424,12 +425,12 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
-        if !self.kv_stands(world) {
-            return Some(KV_STANDS);
+        if !self.kv_matches(world) {
+            return Some(KV_MATCHES);
         }
         (!self.completes(world)).then_some(COMPLETES)
     }
@@ -440,19 +441,19 @@
         tokens: 2,
         faults: 2,
         duplicates: 1,
-        ignore: Ignore::Nothing,
-        stuck: false,
+        unchecked: Unchecked::Nothing,
+        skips_replay: false,
     }
 }
 
 #[test]
-fn tokens_keep_their_order_under_two_faults() {
+fn tokens_stay_in_order_under_faults() {
     let faults = 1 + bound() as u8;
     assert_holds("token, two faults", &TokenModel { faults, ..model() });
 }
 
 #[test]
-fn tokens_keep_their_order_under_duplicates() {
+fn tokens_stay_in_order_under_duplicates() {
     let duplicates = 1 + bound() as u8;
     assert_holds(
         "token, duplicates",
@@ -465,22 +466,29 @@
 }
 
 #[rstest]
-#[case::session(Ignore::Session, KV_STANDS)]
-#[case::attempt(Ignore::Attempt, KV_STANDS)]
-#[case::position(Ignore::Position, KV_STANDS)]
-#[case::layers(Ignore::Layers, RIGHT_TOKENS)]
-#[case::version(Ignore::Version, RIGHT_TOKENS)]
-#[case::incarnation(Ignore::Incarnation, ONE_INCARNATION)]
-fn the_checker_catches(#[case] ignore: Ignore, #[case] invariant: &str) {
-    assert_caught("token", &TokenModel { ignore, ..model() }, invariant);
+#[case::session(Unchecked::Session, KV_MATCHES)]
+#[case::attempt(Unchecked::Attempt, KV_MATCHES)]
+#[case::position(Unchecked::Position, KV_MATCHES)]
+#[case::layers(Unchecked::Layers, CORRECT_TOKENS)]
+#[case::version(Unchecked::Version, CORRECT_TOKENS)]
+#[case::incarnation(Unchecked::Incarnation, ONE_INCARNATION)]
+fn checker_catches_mutants(#[case] unchecked: Unchecked, #[case] invariant: &str) {
+    assert_caught(
+        "token",
+        &TokenModel {
+            unchecked,
+            ..model()
+        },
+        invariant,
+    );
 }
 
 #[test]
-fn the_checker_catches_a_stage_that_is_never_replayed() {
+fn checker_catches_a_stage_without_replay() {
     assert_caught(
         "token",
         &TokenModel {
-            stuck: true,
+            skips_replay: true,
             ..model()
         },
         COMPLETES,
--- a/crates/kelpworks-coord/tests/token.rs
+++ b/crates/kelpworks-coord/tests/token.rs
@@ -31,7 +31,7 @@
 }
 
 fn run(lineage: &mut Lineage) -> Progress {
-    let due = lineage.expect();
+    let due = lineage.due_step();
     let incarnation = due.incarnation.unwrap_or(Incarnation(1));
     lineage.accept(&Reply::to(&due, incarnation)).unwrap()
 }
@@ -54,27 +54,27 @@
 #[case::restarted(|r: &mut Reply| r.incarnation = Incarnation(2), DropReason::Incarnation)]
 #[case::late(|r: &mut Reply| r.position -= 1, DropReason::Position)]
 #[case::short(|r: &mut Reply| r.count = 0, DropReason::Position)]
-fn a_reply_that_differs_is_dropped_and_counted(
-    #[case] spoil: fn(&mut Reply),
+fn mismatched_reply_is_dropped_and_counted(
+    #[case] alter: fn(&mut Reply),
     #[case] reason: DropReason,
 ) {
     let mut lineage = lineage();
     lineage.restart(&STAGES).unwrap();
     run_to_token(&mut lineage);
-    let due = lineage.expect();
+    let due = lineage.due_step();
     let mut reply = Reply::to(&due, Incarnation(1));
-    spoil(&mut reply);
+    alter(&mut reply);
     assert_eq!(lineage.accept(&reply), Err(reason));
     assert_eq!(lineage.drops().of(reason), 1);
     assert_eq!(lineage.drops().total(), 1);
-    assert_eq!(lineage.expect(), due, "nothing else changed");
+    assert_eq!(lineage.due_step(), due, "nothing else changed");
 }
 
 #[rstest]
 #[case::first(0, [(0, 5), (4, 1), (4, 1)])]
 #[case::middle(1, [(4, 1), (0, 5), (4, 1)])]
 #[case::last(2, [(4, 1), (4, 1), (0, 5)])]
-fn replacing_a_stage_replays_on_that_stage_only(
+fn replaced_stage_alone_replays_its_positions(
     #[case] stage: usize,
     #[case] steps: [(u32, u32); 3],
 ) {
@@ -82,7 +82,7 @@
     assert_eq!(run_to_token(&mut lineage), 4);
     assert_eq!(lineage.replace(stage, 0, None), 1);
     for (position, count) in steps {
-        let due = lineage.expect();
+        let due = lineage.due_step();
         assert_eq!((due.position, due.count), (position, count));
         assert_eq!(due.attempt, u32::from(due.stage == stage));
         run(&mut lineage);
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn a_stage_replaced_behind_the_cursor_replays_in_the_next_round() {
+fn stage_replaced_after_its_step_replays_in_the_next_round() {
     let mut lineage = lineage();
     run(&mut lineage);
     lineage.replace(0, 0, None);
     assert_eq!(run_to_token(&mut lineage), 4);
-    let due = lineage.expect();
+    let due = lineage.due_step();
     assert_eq!((due.stage, due.position, due.count), (0, 0, 5));
 }
 
@@ -105,7 +105,7 @@
     let mut lineage = lineage();
     run_to_token(&mut lineage);
     lineage.replace(0, 4, Some(Incarnation(8)));
-    let due = lineage.expect();
+    let due = lineage.due_step();
     assert_eq!(
         (due.position, due.count, due.incarnation),
         (4, 1, Some(Incarnation(8)))
@@ -113,13 +113,16 @@
 }
 
 #[test]
-fn a_restart_prefills_what_was_emitted_and_goes_on_from_there() {
+fn restart_prefills_emitted_tokens_and_continues() {
     let mut lineage = lineage();
-    let late = Reply::to(&lineage.expect(), Incarnation(1));
+    let late = Reply::to(&lineage.due_step(), Incarnation(1));
     assert_eq!(run_to_token(&mut lineage), 4);
     assert_eq!(run_to_token(&mut lineage), 5);
     lineage.restart(&[LayerRange { first: 0, end: 6 }]).unwrap();
-    assert_eq!((lineage.expect().position, lineage.expect().count), (0, 6));
+    assert_eq!(
+        (lineage.due_step().position, lineage.due_step().count),
+        (0, 6)
+    );
     assert_eq!(lineage.accept(&late), Err(DropReason::Attempt));
     assert_eq!(run_to_token(&mut lineage), 6);
 }
--- a/crates/kelpworks-relay/src/daemon.rs
+++ b/crates/kelpworks-relay/src/daemon.rs
@@ -322,10 +322,10 @@
 fn lease_config() -> lease::Config {
     lease::Config {
         ttl: LEASE,
-        renew: RENEW,
+        renew_interval: RENEW,
         order_bound: ORDER_BOUND,
-        watch: LEASE_WATCH,
-        retry: LEASE_RETRY,
+        poll_interval: LEASE_WATCH,
+        retry_interval: LEASE_RETRY,
         ..lease::Config::default()
     }
 }
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -22,7 +22,7 @@
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_coord::poison;
 use kelpworks_coord::poison::Fingerprint;
-use kelpworks_coord::poison::Poison;
+use kelpworks_coord::poison::PoisonTracker;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 use kelpworks_fakes::Model;
@@ -233,12 +233,12 @@
     facts
 }
 
-fn poison_of(size: usize, now: Instant) -> Poison {
+fn poison_of(size: usize, now: Instant) -> PoisonTracker {
     let cfg = poison::Config {
         max_tracked: size,
         ..poison::Config::default()
     };
-    let mut poison = Poison::new(cfg);
+    let mut poison = PoisonTracker::new(cfg);
     for n in 0..size as u64 {
         let running = vec![Fingerprint(n)];
         let upstream = UpstreamId(n % 600);
--- a/crates/kelpworks/examples/measure/capacity/traffic.rs
+++ b/crates/kelpworks/examples/measure/capacity/traffic.rs
@@ -18,7 +18,9 @@
 use kelpworks_coord::claim::Outcome;
 use kelpworks_coord::claim::Record;
 use kelpworks_coord::claim::Request;
-use kelpworks_coord::claim::Run;
+use kelpworks_coord::claim::RunResult;
+use kelpworks_coord::dissemination;
+use kelpworks_coord::dissemination::Dissemination;
 use kelpworks_coord::head::Generation;
 use kelpworks_coord::id::DomainId;
 use kelpworks_coord::id::Incarnation;
@@ -32,8 +34,6 @@
 use kelpworks_coord::membership::Membership;
 use kelpworks_coord::membership::Update;
 use kelpworks_coord::rendezvous;
-use kelpworks_coord::spread;
-use kelpworks_coord::spread::Spread;
 use kelpworks_coord::time::Instant;
 
 const DAEMONS: [usize; 4] = [30, 100, 200, 370];
@@ -118,9 +118,9 @@
         let incarnation = Incarnation(1);
         let node = |n: usize| {
             let mut node = Membership::new(Config::default(), id(n), domain(n), incarnation);
-            node.on_event(Instant::ZERO, Event::Listed(entries.clone()));
+            node.on_event(Instant::ZERO, Event::HostList(entries.clone()));
             for from in (0..size).filter(|&m| m != n).map(id) {
-                node.on_event(Instant::ZERO, Event::Heard { from, incarnation });
+                node.on_event(Instant::ZERO, Event::Contact { from, incarnation });
             }
             while !node.take_updates(MAX_UPDATES).is_empty() {}
             node
@@ -153,12 +153,12 @@
             match action {
                 Action::Probe { target, view } => self.probe(now, n, target.0 as usize, view),
                 // The one that is asked probes in its turn, and tells.
-                Action::ProbeVia { via, target, view } => {
+                Action::IndirectProbe { via, target, view } => {
                     self.send(now, n, via.0 as usize, Some(view));
                     self.probe(now, via.0 as usize, target.0 as usize, view);
                     self.send(now, via.0 as usize, n, None);
                 }
-                Action::Answer { .. } | Action::Changed { .. } => {}
+                Action::Ack { .. } | Action::HealthChanged { .. } => {}
             }
         }
     }
@@ -176,13 +176,13 @@
             view,
         };
         for action in self.nodes[to].on_event(now, event) {
-            if let Action::Answer {
+            if let Action::Ack {
                 incarnation, view, ..
             } = action
             {
                 self.send(now, to, from, view);
                 let from_id = NodeId(to as u64);
-                let heard = Event::Heard {
+                let heard = Event::Contact {
                     from: from_id,
                     incarnation,
                 };
@@ -242,9 +242,9 @@
             .map(|n| (NodeId(n), DomainId(n % DOMAINS)))
             .collect();
         let watchers = rendezvous::choose(&members, "kelpworks.head", WATCHERS);
-        let mut daemons: Vec<Spread> = members
+        let mut daemons: Vec<Dissemination> = members
             .iter()
-            .map(|&(node, _)| Spread::new(spread::Config::default(), node))
+            .map(|&(node, _)| Dissemination::new(dissemination::Config::default(), node))
             .collect();
         let mut known = vec![false; size];
         let mut next = watchers.clone();
@@ -258,9 +258,9 @@
                     .filter(|&peer| peer != node)
                     .collect();
                 known[node.0 as usize] = true;
-                let learned = spread::Event::Learned(Generation(1));
+                let learned = dissemination::Event::Learned(Generation(1));
                 for action in daemons[node.0 as usize].on_event(learned, &peers) {
-                    if let spread::Action::Push(to) = action {
+                    if let dissemination::Action::Push(to) = action {
                         pushed.push(to);
                     }
                 }
@@ -325,7 +325,7 @@
                     event = Some(ClaimEvent::Api(ApiReply::Stored(version)));
                 }
                 ClaimAction::Dispatch => {
-                    let run = Run::Completed(outcome.clone());
+                    let run = RunResult::Completed(outcome.clone());
                     event = Some(ClaimEvent::Finished(run));
                 }
                 _ => {}
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -22,7 +22,7 @@
 use kelpworks::daemon::Daemon;
 use kelpworks::membership::Config;
 use kelpworks::status;
-use kelpworks_coord::spread;
+use kelpworks_coord::dissemination;
 use kelpworks_fakes::ApiMode;
 use kelpworks_fakes::Model;
 use kelpworks_fakes::StandIns;
@@ -169,7 +169,7 @@
 fn one(daemons: usize, case: &Case, way: Way, seed: u64) -> Run {
     let mut node = Config::default();
     if matches!(way, Way::HeartbeatsOnly) {
-        node.spread = spread::Config { fanout: 0 };
+        node.spread = dissemination::Config { fanout: 0 };
         node.ring = 0;
     }
     if matches!(way, Way::PushOnly) {
