--- a/crates/kelpworks/src/claims/drive.rs
+++ b/crates/kelpworks/src/claims/drive.rs
@@ -31,12 +31,12 @@
 use kelpworks_coord::claim::ApiReply;
 use kelpworks_coord::claim::Claim;
 use kelpworks_coord::claim::Event;
-use kelpworks_coord::claim::NotRun;
+use kelpworks_coord::claim::NotRunReason;
 use kelpworks_coord::claim::PeerStatus;
 use kelpworks_coord::claim::Phase;
 use kelpworks_coord::claim::Record;
 use kelpworks_coord::claim::Request;
-use kelpworks_coord::claim::Run;
+use kelpworks_coord::claim::RunResult;
 use kelpworks_coord::claim::Stored;
 use kelpworks_coord::id::Nonce;
 use kelpworks_coord::id::Version;
@@ -74,7 +74,7 @@
     }
 
     fn is_settled(&self) -> bool {
-        lock(&self.claim).is_settled()
+        lock(&self.claim).is_finished()
     }
 
     fn was_given_up(&self) -> bool {
@@ -87,7 +87,7 @@
             Action::Read => self.read().await,
             Action::Write { if_version, record } => self.write(if_version, &record).await,
             Action::Remove { if_version } => self.remove(if_version).await,
-            Action::AskHolder {
+            Action::QueryHolder {
                 holder,
                 incarnation,
                 nonce,
@@ -225,7 +225,7 @@
             nonce,
             claim,
             prepaid: WRITES_A_CLAIM,
-            create_by: claims.now() + claims.machine().settle,
+            create_by: claims.now() + claims.machine().create_timeout,
         };
         Drive {
             holding,
@@ -273,13 +273,13 @@
         }
     }
 
-    async fn dispatch(&mut self) -> Option<Run> {
+    async fn dispatch(&mut self) -> Option<RunResult> {
         let run = self.run.take()?;
         let ran = run().await;
         let how = match &ran {
-            Ok(reply) => Run::Completed(reply.to_outcome()),
-            Err(e) if e.verdict == Verdict::NotRun => Run::NotRun,
-            Err(_) => Run::MayHaveRun,
+            Ok(reply) => RunResult::Completed(reply.to_outcome()),
+            Err(e) if e.verdict == Verdict::NotRun => RunResult::NotRun,
+            Err(_) => RunResult::MayHaveRun,
         };
         self.ran = Some(ran);
         Some(how)
@@ -304,8 +304,8 @@
                 None => Err(Error::MayHaveRun { retry_after }),
             },
             (None, Answer::InProgress) => Err(Error::InProgress { retry_after }),
-            (None, Answer::NotRun(NotRun::KeyReused)) => Err(Error::KeyReused),
-            (None, Answer::NotRun(NotRun::Deadline)) => Err(Error::Deadline),
+            (None, Answer::NotRun(NotRunReason::KeyReused)) => Err(Error::KeyReused),
+            (None, Answer::NotRun(NotRunReason::Deadline)) => Err(Error::Deadline),
             (None, Answer::NotRun(_)) => Err(Error::Unavailable { retry_after }),
             (None, Answer::MayHaveRun) => Err(Error::MayHaveRun { retry_after }),
         };
--- a/crates/kelpworks/src/config/accept/mod.rs
+++ b/crates/kelpworks/src/config/accept/mod.rs
@@ -11,12 +11,12 @@
 //! use kelpworks::border::object_api::HttpObjectApi;
 //! use kelpworks::config::accept::Proposal;
 //! use kelpworks::config::accept::RetryPolicy;
-//! use kelpworks::config::accept::Which;
+//! use kelpworks::config::accept::PartKind;
 //! use kelpworks::config::accept::accept;
 //!
 //! # async fn f(text: String) -> Result<(), Box<dyn std::error::Error>> {
 //! let api = HttpObjectApi::new("http://10.0.1.1:8000", Deadlines::default())?;
-//! let proposal = Proposal::new(Which::Register, "register.toml", text);
+//! let proposal = Proposal::new(PartKind::Register, "register.toml", text);
 //! let accepted = accept(&api, &proposal, RetryPolicy::default()).await?;
 //! println!("generation {}", accepted.generation);
 //! # Ok(())
@@ -52,7 +52,7 @@
 
 pub use self::proposal::Proposal;
 pub use self::store::RetryPolicy;
-pub use kelpworks_coord::head::Which;
+pub use kelpworks_coord::head::PartKind;
 
 /// The result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -75,7 +75,7 @@
     #[error("conflict: the {} changed meanwhile, see generation {generation}", name_of(*.which))]
     Conflict {
         /// The part.
-        which: Which,
+        which: PartKind,
         /// The generation that holds the other change.
         generation: u64,
     },
@@ -88,7 +88,7 @@
     )]
     Superseded {
         /// The part.
-        which: Which,
+        which: PartKind,
         /// The generation that holds the other change.
         generation: u64,
     },
@@ -116,10 +116,10 @@
 }
 
 /// A part as operators call it.
-pub fn name_of(which: Which) -> &'static str {
+pub fn name_of(which: PartKind) -> &'static str {
     match which {
-        Which::Register => FileKind::Register.as_str(),
-        Which::Rules => FileKind::Rules.as_str(),
+        PartKind::Register => FileKind::Register.as_str(),
+        PartKind::Rules => FileKind::Rules.as_str(),
     }
 }
 
@@ -233,8 +233,8 @@
     fn config(&self) -> head::Config {
         let retry = self.store.retry;
         head::Config {
-            retry: time::Span::from_millis(millis(retry.pause)),
-            give_up: time::Span::from_millis(millis(retry.give_up)),
+            retry_interval: time::Span::from_millis(millis(retry.pause)),
+            timeout: time::Span::from_millis(millis(retry.give_up)),
         }
     }
 
--- a/crates/kelpworks/src/config/accept/proposal.rs
+++ b/crates/kelpworks/src/config/accept/proposal.rs
@@ -10,7 +10,7 @@
 use kelpworks_coord::head::Change;
 use kelpworks_coord::head::Head;
 use kelpworks_coord::head::Part;
-use kelpworks_coord::head::Which;
+use kelpworks_coord::head::PartKind;
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::Nonce;
 
@@ -22,7 +22,7 @@
 /// A new text of one part.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    pub(super) which: Which,
+    pub(super) which: PartKind,
     pub(super) text: String,
     pub(super) digest: Digest,
     file: String,
@@ -30,7 +30,7 @@
 
 impl Proposal {
     /// Proposes a text of this part; `file` names it in errors.
-    pub fn new(which: Which, file: &str, text: String) -> Proposal {
+    pub fn new(which: PartKind, file: &str, text: String) -> Proposal {
         Proposal {
             which,
             file: file.to_owned(),
@@ -42,7 +42,7 @@
     /// The change that this asks for, with a nonce of its own.
     pub(super) fn change(&self) -> Change {
         Change {
-            which: self.which,
+            kind: self.which,
             digest: self.digest,
             nonce: Nonce(rand::random()),
         }
@@ -51,16 +51,16 @@
     /// The proposal's part in a head.
     pub(super) fn part_in(&self, head: &Head) -> Option<Part> {
         match self.which {
-            Which::Register => head.register,
-            Which::Rules => head.rules,
+            PartKind::Register => head.register,
+            PartKind::Rules => head.rules,
         }
     }
 
     /// Validates the pair that the proposal makes with the other part.
     pub(super) fn validate(&self, texts: &Texts) -> Result<()> {
         match self.which {
-            Which::Register => self.register(texts).map(drop),
-            Which::Rules => self.rules(texts).map(drop),
+            PartKind::Register => self.register(texts).map(drop),
+            PartKind::Rules => self.rules(texts).map(drop),
         }
     }
 
@@ -70,13 +70,13 @@
     /// replaced.
     pub(super) fn diff(&self, texts: &Texts) -> Result<Diff> {
         match self.which {
-            Which::Register => {
+            PartKind::Register => {
                 let new = self.register(texts)?;
                 let old = texts.register.as_deref().unwrap_or_default();
                 let old = Register::parse(REGISTER_IN_FORCE, old).unwrap_or_default();
                 Ok(Diff::of_registers(&old, &new))
             }
-            Which::Rules => {
+            PartKind::Rules => {
                 let new = self.rules(texts)?;
                 let old = texts.rules.as_deref().unwrap_or_default();
                 let old = Rules::parse_alone(RULES_IN_FORCE, old).unwrap_or_default();
--- a/crates/kelpworks/src/daemon/follow.rs
+++ b/crates/kelpworks/src/daemon/follow.rs
@@ -130,7 +130,7 @@
             Some(newest) if newest.head.generation == head.generation => {
                 newest.holder = holder.or(newest.holder.take());
             }
-            _ if head.generation > state.known() => {
+            _ if head.generation > state.latest_generation() => {
                 self.newest = Some(Newest { head, body, holder });
             }
             _ => {}
--- a/crates/kelpworks/src/executor/gate.rs
+++ b/crates/kelpworks/src/executor/gate.rs
@@ -220,9 +220,9 @@
             OrderAction::Unload(range) => held.iter().filter(|h| *h != range).cloned().collect(),
             OrderAction::Role(_) | OrderAction::Adapter(_) => return false,
         };
-        repair.read_back(now.coord, reading.asked, held.clone());
-        repair.want(wanted);
-        repair.due(now.coord, now.fence).is_some()
+        repair.observe(now.coord, reading.asked, held.clone());
+        repair.set_desired(wanted);
+        repair.due_order(now.coord, now.fence).is_some()
     }
 
     /// Forgets what was noted of steps that are not in the wave, but for hosts that are unfit.
--- a/crates/kelpworks/src/executor/hold.rs
+++ b/crates/kelpworks/src/executor/hold.rs
@@ -57,7 +57,7 @@
     /// The token under which an order may be sent now, if any. To be asked for right before each
     /// order.
     pub fn fence(&self) -> Option<Token> {
-        self.lease().fence(self.now())
+        self.lease().fencing_token(self.now())
     }
 
     /// Whether this daemon holds the lease, as far as it knows.
--- a/crates/kelpworks/src/executor/mod.rs
+++ b/crates/kelpworks/src/executor/mod.rs
@@ -116,10 +116,10 @@
     let millis = |d: Duration| Span::from_millis(d.as_millis() as u64);
     lease::Config {
         ttl: millis(ttl),
-        renew: millis(ttl * 3 / 10),
+        renew_interval: millis(ttl * 3 / 10),
         order_bound: millis(order_bound),
-        watch: millis(ttl / 5),
-        retry: millis(ttl / 20),
+        poll_interval: millis(ttl / 5),
+        retry_interval: millis(ttl / 20),
         ..lease::Config::default()
     }
 }
--- a/crates/kelpworks/src/membership/contract.rs
+++ b/crates/kelpworks/src/membership/contract.rs
@@ -1,10 +1,10 @@
 //! Bounds of a [`Node`](super::Node), and what it asks of its driver.
 
+use kelpworks_coord::dissemination;
 use kelpworks_coord::facts;
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::membership;
 use kelpworks_coord::membership::Health;
-use kelpworks_coord::spread;
 use kelpworks_coord::time::Span;
 use kelpworks_wire::PeerMessage;
 
@@ -16,7 +16,7 @@
     /// Of the store of facts.
     pub facts: facts::Config,
     /// Of the spreading of generations.
-    pub spread: spread::Config,
+    pub spread: dissemination::Config,
     /// Peers next in order of identifier that a generation is pushed to as well. Default 2.
     pub ring: usize,
     /// Daemons of each failure domain that watch the object API. Default 2.
@@ -36,7 +36,7 @@
         Config {
             membership: membership::Config::default(),
             facts: facts::Config::default(),
-            spread: spread::Config::default(),
+            spread: dissemination::Config::default(),
             ring: 2,
             watchers: 2,
             news_rate: 700,
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -14,6 +14,8 @@
 use crate::status::Member;
 use crate::status::MemberState;
 use digests::Settled;
+use kelpworks_coord::dissemination;
+use kelpworks_coord::dissemination::Dissemination;
 use kelpworks_coord::facts;
 use kelpworks_coord::facts::Fact;
 use kelpworks_coord::facts::Facts;
@@ -27,8 +29,6 @@
 use kelpworks_coord::membership::Membership;
 use kelpworks_coord::membership::Update;
 use kelpworks_coord::rendezvous;
-use kelpworks_coord::spread;
-use kelpworks_coord::spread::Spread;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 use kelpworks_wire::MemberContact;
@@ -53,7 +53,7 @@
     contact: MemberContact,
     members: Membership,
     facts: Facts,
-    spread: Spread,
+    spread: Dissemination,
     book: Book,
     /// In force here.
     generation: u64,
@@ -85,7 +85,7 @@
             id,
             members: Membership::new(cfg.membership, id, domain, incarnation),
             facts: Facts::new(cfg.facts, id, incarnation),
-            spread: Spread::new(cfg.spread, id),
+            spread: Dissemination::new(cfg.spread, id),
             book,
             contact,
             generation: 0,
@@ -121,7 +121,7 @@
         self.note_digests(now);
         let due = self
             .last_sync
-            .is_none_or(|at| now.since(at) >= self.cfg.membership.probe_every);
+            .is_none_or(|at| now.since(at) >= self.cfg.membership.probe_interval);
         if !self.joined && due {
             let peers = self.peers();
             if !peers.is_empty() {
@@ -141,7 +141,7 @@
             domain: DomainId::of(&c.failure_domain),
             leaving: false,
         });
-        let listed = membership::Event::Listed(entries.collect());
+        let listed = membership::Event::HostList(entries.collect());
         let changed = self.members.on_event(now, listed);
         actions.extend(self.carry_out(now, changed));
         actions
@@ -160,7 +160,7 @@
         };
         let done = self.members.on_event(now, event);
         let view = done.iter().find_map(|a| match a {
-            membership::Action::Answer { view, .. } => *view,
+            membership::Action::Ack { view, .. } => *view,
             _ => None,
         });
         actions.extend(self.carry_out(now, done));
@@ -176,7 +176,7 @@
         let from = NodeId::of(&message.from.name);
         let mut actions = self.take_contacts(now, std::slice::from_ref(&message.from));
         let incarnation = Incarnation(message.incarnation);
-        let heard = membership::Event::Heard { from, incarnation };
+        let heard = membership::Event::Contact { from, incarnation };
         let done = self.members.on_event(now, heard);
         actions.extend(self.carry_out(now, done));
         if let Some(view) = &message.view {
@@ -227,7 +227,7 @@
         let from = NodeId::of(&state.from.name);
         let mut actions = self.take_contacts(now, std::slice::from_ref(&state.from));
         let incarnation = Incarnation(state.incarnation);
-        let heard = membership::Event::Heard { from, incarnation };
+        let heard = membership::Event::Contact { from, incarnation };
         let done = self.members.on_event(now, heard);
         actions.extend(self.carry_out(now, done));
         actions.extend(self.take_contacts(now, &state.contacts));
@@ -246,11 +246,11 @@
         self.generation = self.generation.max(generation);
         self.change_sample(|s| s.generation = s.generation.max(generation));
         let peers = self.peers();
-        let learned = spread::Event::Learned(Generation(generation));
+        let learned = dissemination::Event::Learned(Generation(generation));
         let mut done = self.spread.on_event(learned, &peers);
         if !done.is_empty() {
             let next = self.next_on_ring(peers).into_iter();
-            done.extend(next.map(spread::Action::Push));
+            done.extend(next.map(dissemination::Action::Push));
             done.sort_unstable();
             done.dedup();
         }
@@ -302,7 +302,7 @@
 
     /// Facts of a kind that hold now, of all authors.
     pub fn standing(&self, now: Instant, kind: Kind) -> Vec<Fact> {
-        self.facts.standing(now, kind).collect()
+        self.facts.active(now, kind).collect()
     }
 
     /// Live members, without this daemon, in an order that differs between daemons.
@@ -392,17 +392,17 @@
                     to: target,
                     message: Box::new(self.message(now, Some(view))),
                 }),
-                membership::Action::ProbeVia { via, target, view } => {
+                membership::Action::IndirectProbe { via, target, view } => {
                     done.push(Action::HeartbeatVia {
                         via,
                         target,
                         message: Box::new(self.message(now, Some(view))),
                     });
                 }
-                membership::Action::Changed { node, health } => {
+                membership::Action::HealthChanged { node, health } => {
                     done.push(Action::Changed { node, health });
                 }
-                membership::Action::Answer { .. } => {}
+                membership::Action::Ack { .. } => {}
             }
         }
         done
@@ -527,15 +527,15 @@
 
     fn compare_generation(&mut self, from: NodeId, generation: u64) -> Vec<Action> {
         let generation = Generation(generation);
-        let event = spread::Event::Heartbeat { from, generation };
+        let event = dissemination::Event::Heartbeat { from, generation };
         let done = self.spread.on_event(event, &[]);
         done.into_iter().map(spread_action).collect()
     }
 }
 
-fn spread_action(action: spread::Action) -> Action {
+fn spread_action(action: dissemination::Action) -> Action {
     match action {
-        spread::Action::Push(to) => Action::Push(to),
-        spread::Action::Pull(from) => Action::Pull(from),
+        dissemination::Action::Push(to) => Action::Push(to),
+        dissemination::Action::Pull(from) => Action::Pull(from),
     }
 }
--- a/crates/kelpworks/src/membership/peers/bounds.rs
+++ b/crates/kelpworks/src/membership/peers/bounds.rs
@@ -34,11 +34,11 @@
     let defaults = Config::default();
     Config {
         membership: membership::Config {
-            probe_every: scale(times.probe_every),
+            probe_interval: scale(times.probe_interval),
             probe_timeout: scale(times.probe_timeout),
-            suspect_min: scale(times.suspect_min),
-            suspect_max: scale(times.suspect_max),
-            dead_probe: scale(times.dead_probe),
+            min_suspicion: scale(times.min_suspicion),
+            max_suspicion: scale(times.max_suspicion),
+            dead_probe_interval: scale(times.dead_probe_interval),
             ..times
         },
         settle: scale(defaults.settle),
--- a/crates/kelpworks/src/quarantine/state.rs
+++ b/crates/kelpworks/src/quarantine/state.rs
@@ -19,11 +19,11 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_coord::poison::Action;
-use kelpworks_coord::poison::Admit;
+use kelpworks_coord::poison::Admission;
 use kelpworks_coord::poison::Config as PoisonConfig;
 use kelpworks_coord::poison::Event;
 use kelpworks_coord::poison::Fingerprint;
-use kelpworks_coord::poison::Poison;
+use kelpworks_coord::poison::PoisonTracker;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
@@ -91,7 +91,7 @@
 pub(super) struct State {
     cfg: Config,
     me: NodeId,
-    poison: Poison,
+    poison: PoisonTracker,
     steps: SlotMap<StepKey, Step>,
     /// Crashes of each upstream so far; absent for none.
     crashes: SecondaryMap<UpstreamKey, u32>,
@@ -106,14 +106,14 @@
 impl State {
     pub(super) fn new(cfg: &Config, me: NodeId) -> State {
         let poison = PoisonConfig {
-            refuse: span(cfg.refuse),
-            remember: span(cfg.remember),
+            refusal_ttl: span(cfg.refuse),
+            suspicion_ttl: span(cfg.remember),
             max_tracked: cfg.max_tracked,
         };
         State {
             cfg: cfg.clone(),
             me,
-            poison: Poison::new(poison),
+            poison: PoisonTracker::new(poison),
             steps: SlotMap::with_key(),
             crashes: SecondaryMap::new(),
             suspects: HashMap::new(),
@@ -125,11 +125,11 @@
     /// Whether a new request may run.
     pub(super) fn check(&self, now: Instant, fingerprint: Fingerprint) -> Result<()> {
         match self.poison.check(now, fingerprint) {
-            Admit::Normal => Ok(()),
-            Admit::Refused { retry_after } => Err(Refusal::Crashes {
+            Admission::Normal => Ok(()),
+            Admission::Refused { retry_after } => Err(Refusal::Crashes {
                 retry_after: duration(retry_after),
             }),
-            Admit::Apart => match self.under_test(now, fingerprint) {
+            Admission::Isolated => match self.under_test(now, fingerprint) {
                 Some(left) => Err(Refusal::UnderTest {
                     retry_after: left.min(SOON),
                 }),
@@ -175,9 +175,9 @@
             ..
         } = wanted;
         let apart = match self.poison.check(now, fingerprint) {
-            Admit::Normal => false,
-            Admit::Apart => true,
-            Admit::Refused { retry_after } => {
+            Admission::Normal => false,
+            Admission::Isolated => true,
+            Admission::Refused { retry_after } => {
                 let retry_after = duration(retry_after);
                 return Begin::Refused(Refusal::Crashes { retry_after });
             }
@@ -209,7 +209,7 @@
             return false;
         }
         let life = self.life(wanted.upstream, wanted.name);
-        self.poison.begin(now, fingerprint, life)
+        self.poison.try_start(now, fingerprint, life)
     }
 
     /// Ends a step; tells whether that may let another go on.
@@ -264,7 +264,7 @@
             crashed.push(*step);
             // One that began before it was a suspect was not apart, and one that ran beside other
             // daemons' suspects was not either: no second crash of its own.
-            let suspect = self.poison.check(now, step.fingerprint) == Admit::Apart;
+            let suspect = self.poison.check(now, step.fingerprint) == Admission::Isolated;
             if (step.apart && blame) || !suspect {
                 running.push(step.fingerprint);
             }
@@ -286,7 +286,7 @@
         let mut facts = Vec::new();
         for action in actions {
             let (fingerprint, statement) = match action {
-                Action::RerunApart { fingerprint, .. } => {
+                Action::RerunIsolated { fingerprint, .. } => {
                     let remaining = self.cfg.remember;
                     let statement = Statement::Suspect {
                         upstream,
@@ -373,7 +373,10 @@
     }
 
     fn learn_suspect(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
-        if matches!(self.poison.check(now, fingerprint), Admit::Refused { .. }) {
+        if matches!(
+            self.poison.check(now, fingerprint),
+            Admission::Refused { .. }
+        ) {
             return;
         }
         let event = Event::PeerSuspects {
@@ -403,7 +406,7 @@
         for other in self.others.values_mut() {
             other.suspects.remove(&fingerprint);
         }
-        let event = Event::PeerConvicted {
+        let event = Event::PeerConfirmed {
             fingerprint,
             remaining,
         };
@@ -415,7 +418,7 @@
     fn forget(&mut self, now: Instant) {
         let poison = &self.poison;
         self.suspects
-            .retain(|f, s| s.turn.is_some() || poison.check(now, *f) == Admit::Apart);
+            .retain(|f, s| s.turn.is_some() || poison.check(now, *f) == Admission::Isolated);
         self.others
             .retain(|_, o| o.until > now && !o.suspects.is_empty());
     }
--- a/crates/kelpworks/tests/border_era.rs
+++ b/crates/kelpworks/tests/border_era.rs
@@ -168,7 +168,7 @@
     let cfg = lease::Config {
         ttl: Span::from_millis(1_000),
         order_bound: Span::from_millis(200),
-        watch: Span::from_millis(100),
+        poll_interval: Span::from_millis(100),
         ..lease::Config::default()
     };
     let hold = Arc::new(Hold::new(cfg, owner));
--- a/crates/kelpworks/tests/config_accept.rs
+++ b/crates/kelpworks/tests/config_accept.rs
@@ -9,9 +9,9 @@
 
 use kelpworks::config::accept::Accepted;
 use kelpworks::config::accept::Error;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
-use kelpworks::config::accept::Which;
 use kelpworks::config::accept::accept;
 use kelpworks::config::accept::plan;
 use kelpworks::config::head::digest_of;
@@ -29,7 +29,7 @@
 
 /// A register with these models and one host that carries them all.
 fn register(models: &[&str]) -> Proposal {
-    Proposal::new(Which::Register, "register.toml", register_text(models))
+    Proposal::new(PartKind::Register, "register.toml", register_text(models))
 }
 
 fn register_text(models: &[&str]) -> String {
@@ -51,7 +51,7 @@
 
 /// Rules with this share, and a match that names this model.
 fn rules(share: &str, model: &str) -> Proposal {
-    Proposal::new(Which::Rules, "rules.toml", rules_text(share, model))
+    Proposal::new(PartKind::Rules, "rules.toml", rules_text(share, model))
 }
 
 fn rules_text(share: &str, model: &str) -> String {
@@ -177,13 +177,13 @@
 fn rival(race: Race) -> Rival {
     let (which, text) = match race {
         Race::Register => (
-            Which::Register,
+            PartKind::Register,
             register_text(&["caption", "report", "poem"]),
         ),
-        Race::RegisterWithoutReport => (Which::Register, register_text(&["caption"])),
-        Race::Rules => (Which::Rules, rules_text("0.3", "caption")),
-        Race::SameRules => (Which::Rules, rules_text("0.2", "report")),
-        Race::RulesFromBefore => (Which::Rules, rules_text("0.1", "caption")),
+        Race::RegisterWithoutReport => (PartKind::Register, register_text(&["caption"])),
+        Race::Rules => (PartKind::Rules, rules_text("0.3", "caption")),
+        Race::SameRules => (PartKind::Rules, rules_text("0.2", "report")),
+        Race::RulesFromBefore => (PartKind::Rules, rules_text("0.1", "caption")),
     };
     Rival { which, text }
 }
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -17,9 +17,9 @@
 use kelpworks::border::object_api::Deadlines;
 use kelpworks::border::object_api::HttpObjectApi;
 use kelpworks::config::accept;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
-use kelpworks::config::accept::Which;
 use kelpworks::config::head::digest_of;
 use kelpworks::daemon::Daemon;
 use kelpworks_fakes::FleetConfig;
@@ -103,7 +103,7 @@
     };
     let rules = documents::rules(0.5, &[team], &[once]);
     let api = HttpObjectApi::new(&view.object_api, Deadlines::default()).expect("a URL");
-    for (which, text) in [(Which::Register, register), (Which::Rules, rules)] {
+    for (which, text) in [(PartKind::Register, register), (PartKind::Rules, rules)] {
         let proposal = Proposal::new(which, "contract", text);
         let accepted = accept::accept(&api, &proposal, RetryPolicy::default()).await;
         accepted.expect("a valid configuration");
--- a/crates/kelpworks/tests/support/mod.rs
+++ b/crates/kelpworks/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use kelpworks::border::object_api::ObjectList;
 use kelpworks::border::object_api::Result;
 use kelpworks::border::object_api::WatchReply;
-use kelpworks::config::accept::Which;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::head::BLOB_KIND;
 use kelpworks::config::head::HEAD_KIND;
 use kelpworks::config::head::HEAD_NAME;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Rival {
     /// The part that it changes.
-    pub(crate) which: Which,
+    pub(crate) which: PartKind,
     /// The new text.
     pub(crate) text: String,
 }
@@ -185,8 +185,8 @@
             nonce: Nonce(RIVAL + head.generation.0),
         });
         match which {
-            Which::Register => head.register = part,
-            Which::Rules => head.rules = part,
+            PartKind::Register => head.register = part,
+            PartKind::Rules => head.rules = part,
         }
         let blob = (BLOB_KIND.to_owned(), digest.to_string());
         let _there_already = self.write(blob, text, Condition::Absent);
