--- a/crates/kelpworks-coord/src/budget.rs
+++ b/crates/kelpworks-coord/src/budget.rs
@@ -1,8 +1,8 @@
-//! This daemon's part of the object API's write rate.
+//! Rate limit for this daemon's share of the object API's write rate.
 //!
-//! The API takes several hundred writes a second, however many daemons there are. Each daemon
-//! limits its claims to an equal part of what is left after the writes on which the whole fleet
-//! depends: those of the config head and of leases, which have a bucket of their own.
+//! The API accepts several hundred writes a second, regardless of the number of daemons. Writes of
+//! the config head and of leases, on which the whole fleet depends, have a reserved token bucket.
+//! Each daemon limits its claims to an equal share of the remaining rate.
 //!
 //! ```
 //! use kelpworks_coord::budget::Config;
@@ -19,9 +19,10 @@
 //! assert!(budget.try_take(Instant::ZERO, Purpose::Lease, 1).is_ok());
 //! ```
 //!
-//! The parts are equal; a daemon that gets more keyed requests than its part refuses some that
-//! another could have taken. Daemons that disagree on the number of members can together pass the
-//! rate, so drivers pass the number of daemons on the host list, not of those seen live.
+//! Limits: shares are equal, so a daemon that gets more keyed requests than its share allows
+//! refuses some that another daemon could have accepted. Daemons that disagree on the number of
+//! members can together exceed the rate, so drivers pass the number of daemons on the host list,
+//! not of those that are live.
 
 use thiserror::Error;
 
@@ -30,37 +31,37 @@
 
 const MILLI: u64 = 1_000;
 
-/// Result of asking for writes.
+/// Result of taking writes from a budget.
 pub type Result<T> = std::result::Result<T, Refused>;
 
-/// The budget is spent.
+/// The bucket holds fewer writes than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("write budget spent, retry after {} ms", .retry_after.as_millis())]
 pub struct Refused {
-    /// When it will do, if nothing else takes it first.
+    /// Time after which the writes are available, unless other requests take them first.
     pub retry_after: Span,
 }
 
-/// What a write is for.
+/// Purpose of a write; determines the bucket that it is taken from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
     /// The config head and its blobs.
     Head,
     /// A lease.
     Lease,
-    /// A claim; ask for both of its writes at once, so that the outcome can be recorded.
+    /// A claim. Callers take its two writes together, so that the outcome can always be recorded.
     Claim,
 }
 
 /// Rates of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Writes a second that all daemons may spend together. Default 200.
+    /// Writes per second of all daemons together. Default 200.
     pub fleet_per_second: u64,
-    /// Of those, for head and leases. Default 20.
+    /// Part of that rate that is reserved for the config head and leases. Default 20.
     pub reserved_per_second: u64,
-    /// Writes that a daemon may spend at once, at least the 2 of a claim. Default 8.
+    /// Capacity of each bucket in writes; at least the 2 of a claim. Default 8.
     pub burst: u64,
 }
 
@@ -76,9 +77,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Bucket {
-    /// Thousandths of a write; at most 1,000 times the burst.
+    /// Thousandths of a write available; at most 1,000 times the burst.
     level: u64,
-    /// Thousandths of a write a second, shared by the members.
+    /// Thousandths of a write per second, shared by all members.
     fleet_rate: u64,
 }
 
@@ -102,11 +103,11 @@
     }
 }
 
-/// Token buckets of one daemon.
+/// Token buckets of one daemon, for claims and for the reserved writes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WriteBudget {
     cfg: Config,
-    /// At least 1.
+    /// Number of daemons that share the claim rate; at least 1.
     members: u64,
     claims: Bucket,
     reserved: Bucket,
@@ -114,7 +115,7 @@
 }
 
 impl WriteBudget {
-    /// Full buckets, of a fleet of one.
+    /// Creates full buckets for a fleet of one daemon.
     pub fn new(cfg: Config, now: Instant) -> WriteBudget {
         let claim_rate = cfg.fleet_per_second.saturating_sub(cfg.reserved_per_second);
         let bucket = |rate: u64| Bucket {
@@ -130,23 +131,24 @@
         }
     }
 
-    /// Sets the number of daemons that share the rate; 0 counts as 1.
+    /// Sets the number of daemons that share the claim rate; 0 counts as 1.
     pub fn set_members(&mut self, now: Instant, members: usize) {
         self.refill(now);
         self.members = (members as u64).max(1);
     }
 
-    /// Takes so many writes, all or none.
+    /// Takes `writes` writes, all or none.
     ///
     /// # Errors
     ///
-    /// When the bucket holds fewer; says when to ask again.
+    /// When the bucket holds fewer; the error says when to try again.
     pub fn try_take(&mut self, now: Instant, purpose: Purpose, writes: u64) -> Result<()> {
         self.refill(now);
         let members = self.members;
         match purpose {
-            // Few daemons write the head or hold a lease, so its rate is not divided: the
-            // reserve bounds each of them by the whole, and their number is bounded otherwise.
+            // The reserved rate is not divided by the number of members, so that each daemon may
+            // use all of it: few daemons write the head or hold a lease, and their number is
+            // limited elsewhere.
             Purpose::Head | Purpose::Lease => self.reserved.take(writes, 1),
             Purpose::Claim => self.claims.take(writes, members),
         }
@@ -154,7 +156,8 @@
 
     fn refill(&mut self, now: Instant) {
         let elapsed = now.since(self.refilled_at);
-        // Below a few milliseconds the gain of a small share would round to nothing for ever.
+        // Within a few milliseconds the gain of a small share rounds down to zero; a refill at each
+        // call would then never add anything.
         if elapsed < Span::from_millis(10) {
             return;
         }
--- a/crates/kelpworks-coord/src/claim/messages.rs
+++ b/crates/kelpworks-coord/src/claim/messages.rs
@@ -1,4 +1,4 @@
-//! What a claim takes, says and records.
+//! Configuration, events, actions and records of a claim.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,18 +10,20 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Bounds of a claim.
+/// Limits and timeouts of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Largest outcome body that is recorded, in bytes. Default 256 KiB; the object API holds 1 MB.
+    /// Largest outcome body that is recorded, in bytes. Default 256 KiB; objects of the API are
+    /// limited to 1 MB.
     pub max_outcome_bytes: usize,
-    /// Pause before a read or write is tried again. Default 100 ms.
+    /// Pause before a read or write is retried. Default 100 ms.
     pub retry_interval: Span,
-    /// Longest time to find out whether the claim was created. Default 1 s.
+    /// Timeout for creating the claim, including finding out whether a write with a lost reply took
+    /// effect. Default 1 s.
     pub create_timeout: Span,
-    /// Longest time that an answer waits for its recording. Default 500 ms. A longer one makes it
-    /// likelier that a repeat gets the same answer though the holder dies at once; every caller
-    /// pays it while the object API is down.
+    /// Longest time that an answer waits for the write of its outcome. Default 500 ms. A longer
+    /// time makes it more likely that a retry gets the same answer although the holder dies right
+    /// after answering; while the object API is down it delays every answer.
     pub record_timeout: Span,
 }
 
@@ -36,18 +38,18 @@
     }
 }
 
-/// One submission of a keyed request.
+/// One submission of a keyed request: a caller's request as one daemon received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Hash of the request's body; a key may not be used for another body.
+    /// Hash of the request's body; reuse of a key with another body is refused.
     pub digest: u64,
-    /// This daemon.
+    /// Daemon that received the submission.
     pub holder: NodeId,
-    /// Its incarnation.
+    /// Incarnation of that daemon.
     pub incarnation: Incarnation,
-    /// Drawn for this submission.
+    /// Random number, drawn for this submission.
     pub nonce: Nonce,
-    /// Not dispatched from then on.
+    /// Time from which the request is no longer dispatched.
     pub deadline: Instant,
 }
 
@@ -55,18 +57,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body; the driver encodes what is not text.
+    /// Response body; the driver encodes bodies that are not text.
     pub body: String,
 }
 
-/// How far a claim has come, as recorded.
+/// Recorded progress of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Dispatched, or about to be.
+    /// Dispatched, about to be dispatched, or abandoned before dispatch.
     Claimed,
     /// Ran, with this outcome.
     Done(Outcome),
@@ -86,52 +88,53 @@
     pub holder: NodeId,
     /// [`Request::incarnation`].
     pub incarnation: Incarnation,
-    /// [`Request::nonce`]; tells the writer its own object.
+    /// [`Request::nonce`]; lets the writer recognize its own object.
     pub nonce: Nonce,
-    /// How far it has come.
+    /// Progress of the claim.
     pub phase: Phase,
 }
 
-/// An object as the API shows it.
+/// A claim object as read from the object API.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Stored {
-    /// Its version.
+    /// Version for conditional updates.
     pub version: Version,
-    /// Its body.
+    /// Body of the object.
     pub record: Record,
 }
 
 /// Answer of the object API to the last read, write or removal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ApiReply {
-    /// Written, under this version.
+    /// Written; the object has this version now.
     Stored(Version),
     /// Removed.
     Removed,
-    /// Read: there is none.
+    /// Read; the object does not exist.
     Absent,
-    /// Read.
+    /// Read; the object exists.
     Found(Stored),
-    /// Not written or removed: the object stands so, or does not exist.
+    /// Not written or removed, because the version differs: the object as it is, or `None` when it
+    /// does not exist.
     Conflict(Option<Stored>),
-    /// Turned away before any effect.
+    /// Refused before any effect.
     Refused,
-    /// No answer; it may have taken effect, or take effect later.
+    /// No reply; the call may have taken effect, or take effect later.
     Lost,
 }
 
-/// What a claim's holder says of it to a peer.
+/// Status of a claim, as its holder reports it to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerStatus {
     /// Being created or running.
     InProgress,
-    /// Given up before dispatch; the holder will never dispatch it.
+    /// Abandoned before dispatch; the holder will never dispatch it.
     NeverDispatched,
     /// Ran, with this outcome.
     Done(Outcome),
-    /// Dispatched, and no answer came; or not known to this incarnation.
+    /// Dispatched without an answer, or unknown to the holder's present incarnation.
     MayHaveRun,
 }
 
@@ -140,21 +143,21 @@
 pub enum RunResult {
     /// With an answer.
     Completed(Outcome),
-    /// No byte of it reached execution.
+    /// The upstream did not execute any of it.
     NotRun,
-    /// Without an answer.
+    /// Without an answer; it may have been executed.
     MayHaveRun,
 }
 
-/// An input.
+/// An input of [`Claim`](super::Claim).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Begin.
+    /// Start creating the claim.
     Start,
     /// The object API answered.
     Api(ApiReply),
-    /// The holder of the claim answered; `None` when it did not, or runs under another
-    /// incarnation.
+    /// The holder of the claim reported its status; `None` when it did not answer, or runs in
+    /// another incarnation.
     Peer(Option<PeerStatus>),
     /// The dispatched request ended.
     Finished(RunResult),
@@ -167,25 +170,25 @@
 pub enum Action {
     /// Read the claim object.
     Read,
-    /// Write it.
+    /// Write the claim object.
     Write {
-        /// Condition.
+        /// Version that the object must have.
         if_version: Version,
         /// New body.
         record: Record,
     },
-    /// Remove it.
+    /// Remove the claim object.
     Remove {
-        /// Condition.
+        /// Version that the object must have.
         if_version: Version,
     },
-    /// Ask the daemon that holds the claim.
+    /// Query the status of the claim from the daemon that holds it.
     QueryHolder {
-        /// The daemon.
+        /// Daemon that holds the claim.
         holder: NodeId,
-        /// Only this run of it knows.
+        /// Incarnation that created the claim; a later one does not know its status.
         incarnation: Incarnation,
-        /// The claim.
+        /// Identifies the claim at its holder.
         nonce: Nonce,
     },
     /// Send the request to an upstream, once.
@@ -194,27 +197,28 @@
     Answer(Answer),
 }
 
-/// Why a request was not run.
+/// Reason for which a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotRunReason {
-    /// The object API did not confirm the claim.
+    /// The object API did not confirm that the claim was created.
     Unavailable,
     /// The deadline passed before dispatch.
     Deadline,
-    /// No upstream took it.
+    /// No upstream accepted the request.
     Upstream,
-    /// The key was used for another body.
+    /// The key was used before with another body.
     KeyReused,
 }
 
 /// Answer to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The outcome; of this submission or of an earlier one.
+    /// The outcome of this submission or of an earlier one.
     Completed(Outcome),
-    /// An earlier submission is running; come back. Its verdict is `may-have-run`.
+    /// An earlier submission is in progress; the caller should retry later. The verdict is
+    /// `may-have-run`.
     InProgress,
-    /// It, or an earlier submission, may have run.
+    /// This submission or an earlier one may have run.
     MayHaveRun,
     /// This submission did not run and never will.
     NotRun(NotRunReason),
--- a/crates/kelpworks-coord/src/claim/mod.rs
+++ b/crates/kelpworks-coord/src/claim/mod.rs
@@ -1,17 +1,17 @@
 //! At-most-once dispatch of keyed non-idempotent requests, by claim objects.
 //!
-//! The first daemon to see a key creates the key's claim object, conditional on its absence, and
-//! dispatches only once it knows that the object is there and its own. A repeat of the request
-//! finds the object and gets the recorded outcome, or learns that the request may have run. Two
-//! writes a request: the claim and its outcome.
+//! The first daemon that receives a key creates the key's claim object, on condition that it does
+//! not exist, and dispatches only after it has confirmed that the object exists and is its own. A
+//! retry of the request finds the object and gets the recorded outcome, or learns that the request
+//! may have run. Each request takes two writes: the claim and its outcome.
 //!
-//! **A claim that was never dispatched.** When the create's reply is lost and the object API then
-//! goes down, the claim may exist though its holder refuses the request. A third write before
-//! each dispatch would tell such a claim from one that ran; that price would be paid by every
-//! request for a rare case. Instead the holder keeps the refused claim in memory: it removes the
-//! object once the API is back, and until then answers peers [`PeerStatus::NeverDispatched`], upon
-//! which a repeat takes the object over by conditional update. Only if the holder dies in that
-//! window does the key stay `may-have-run`, until claims are cleared after their retention.
+//! **Claims that were never dispatched.** When the reply to the create is lost and the object API
+//! then goes down, the claim may exist although its holder refuses the request. A third write
+//! before each dispatch would distinguish such a claim from one that ran, but every request would
+//! pay for a rare case. Instead the holder keeps the refused claim in memory. It removes the object
+//! once the API is back, and until then reports [`PeerStatus::NeverDispatched`] to peers, after
+//! which a retry takes the object over by conditional update. Only if the holder dies in that
+//! window does the key stay `may-have-run`, until claims are removed after their retention time.
 //!
 //! ```
 //! use kelpworks_coord::claim::*;
@@ -33,10 +33,10 @@
 //! assert_eq!(actions, [Action::Dispatch]);
 //! ```
 //!
-//! `not-run` speaks of the submission that gets it. During an outage a daemon cannot know whether
-//! an earlier submission of the key, sent to another daemon, ran.
+//! The verdict `not-run` covers only the submission that gets it. During an outage a daemon cannot
+//! know whether an earlier submission of the key to another daemon ran.
 //!
-//! The machine assumes that conditional writes are linearizable; reads may be stale.
+//! The state machine assumes that conditional writes are linearizable; reads may be stale.
 
 mod messages;
 
@@ -57,8 +57,8 @@
 pub use messages::RunResult;
 pub use messages::Stored;
 
-/// A claim that was given up is taken for removed after finding it absent so often and once more:
-/// one such read may be a lagging replica's, or come before a late write.
+/// Number of times that the cleanup of an abandoned claim reads again after it found no object. A
+/// single read without result may come from a lagging replica, or precede a delayed write.
 const ABSENT_RETRIES: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -76,7 +76,8 @@
     Creating {
         if_version: Version,
     },
-    /// It is not known whether the write took effect.
+    /// It is unknown whether the write of the claim took effect. `read_at` is `None` while a read
+    /// is outstanding.
     Unconfirmed {
         if_version: Version,
         read_at: Option<Instant>,
@@ -94,14 +95,15 @@
         answer_by: Option<Instant>,
         retry_at: Option<Instant>,
     },
-    /// Never dispatched, by this state's being reached only before dispatch or after a run that
-    /// reached no execution.
+    /// Never run: this state is reached only before dispatch, or after a dispatch that no upstream
+    /// executed.
     Abandoned(Cleanup),
-    /// Ended; the phase is what peers are told.
+    /// Ended. The phase determines the status reported to peers; `None` when this submission
+    /// dispatched nothing.
     Ended(Option<Phase>),
 }
 
-/// One submission of a keyed request, from first sight to recorded outcome.
+/// One submission of a keyed request, from its receipt to its recorded outcome.
 ///
 /// [`Action::Dispatch`] is returned at most once, and never together with or after
 /// [`Answer::NotRun`].
@@ -109,17 +111,17 @@
 pub struct Claim {
     cfg: Config,
     req: Request,
-    /// Give up settling then; at most the request's deadline.
+    /// Deadline for creating the claim; at most the request's deadline.
     create_by: Instant,
-    /// Whether a write of the claim may have taken effect without our knowing.
+    /// Whether a write of the claim may have taken effect without confirmation.
     maybe_written: bool,
-    /// Reads of the cleanup that found nothing; at most [`ABSENT_RETRIES`].
+    /// Reads of the cleanup that found no object; at most [`ABSENT_RETRIES`].
     absent_retries: u8,
     state: State,
 }
 
 impl Claim {
-    /// A submission that has not begun.
+    /// Creates a submission that waits for [`Event::Start`].
     pub fn new(cfg: Config, req: Request) -> Claim {
         Claim {
             cfg,
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Takes an input. Inputs that do not fit the present state are ignored.
+    /// Handles an input and returns what the driver has to do. Inputs that do not match the present
+    /// state are ignored.
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Start => self.start(now),
@@ -142,7 +145,7 @@
         }
     }
 
-    /// What to tell a peer that asks about this claim's nonce.
+    /// Returns the status for a peer that queries this claim's nonce.
     pub fn status(&self) -> PeerStatus {
         match &self.state {
             State::Abandoned(_) => PeerStatus::NeverDispatched,
@@ -150,15 +153,17 @@
                 Phase::Done(outcome) => PeerStatus::Done(outcome.clone()),
                 _ => PeerStatus::MayHaveRun,
             },
-            // A submission that ended on another's claim dispatched nothing of its own.
+            // A submission that found another submission's claim dispatched nothing itself.
             State::Ended(None) => PeerStatus::NeverDispatched,
             _ => PeerStatus::InProgress,
         }
     }
 
-    /// Whether the object's state is settled, so that the driver may drop this value.
+    /// Returns whether the submission needs no further reads or writes, so that the driver may drop
+    /// this value.
     ///
-    /// One that was given up is better kept for a while, see the module's documentation.
+    /// Drivers should keep an abandoned claim for a while to answer peers, see the module
+    /// documentation.
     pub fn is_finished(&self) -> bool {
         matches!(
             self.state,
@@ -219,7 +224,7 @@
         match reply {
             ApiReply::Stored(version) => self.dispatch(now, version),
             ApiReply::Conflict(Some(found)) => self.on_found(now, found),
-            // Taken over from a claim that its holder removed meanwhile.
+            // This write was to take over a claim that its holder removed in the meantime.
             ApiReply::Conflict(None) => self.create(Version::ABSENT),
             ApiReply::Refused => self.abandon(now, NotRunReason::Unavailable),
             _ => {
@@ -240,11 +245,11 @@
     fn on_read_back(&mut self, now: Instant, if_version: Version, reply: ApiReply) -> Vec<Action> {
         match reply {
             ApiReply::Found(found) if found.version != if_version => self.on_found(now, found),
-            // Before any other write: an API that takes reads and loses writes would hold the
-            // caller until the budget is spent.
+            // This check precedes further writes: with an API that answers reads and loses writes,
+            // the caller would wait until the write budget is spent.
             _ if now >= self.create_by => self.abandon(now, NotRunReason::Unavailable),
-            // The same write again: whichever of the two takes effect, the other conflicts and
-            // shows our nonce.
+            // Send the same write again: whichever of the two takes effect, the other conflicts and
+            // returns an object with this submission's nonce.
             ApiReply::Found(_) => self.create(if_version),
             ApiReply::Absent => self.create(Version::ABSENT),
             _ => {
@@ -376,7 +381,8 @@
         reply: ApiReply,
     ) -> Vec<Action> {
         match reply {
-            // Only this daemon writes a dispatched claim, so a conflict shows an earlier try.
+            // Only this daemon writes a dispatched claim, so a conflict means that an earlier
+            // attempt of this write took effect.
             ApiReply::Stored(_) | ApiReply::Conflict(_) => {
                 let answer = answer_by.and_then(|_| completed_answer(&phase));
                 self.state = State::Ended(Some(phase));
--- a/crates/kelpworks-coord/src/dissemination.rs
+++ b/crates/kelpworks-coord/src/dissemination.rs
@@ -1,8 +1,8 @@
 //! Dissemination of the config generation among daemons.
 //!
 //! A daemon that learns of a new generation pushes it to a few peers at once; each of them does the
-//! same, once a generation. What that misses, heartbeats find: they carry the generation, and a
-//! peer that is behind is pushed to, one that is ahead is asked.
+//! same, once per generation. Heartbeats repair what the push misses: they carry the generation,
+//! and a daemon pushes to a peer that is behind and pulls from one that is ahead.
 //!
 //! ```
 //! use kelpworks_coord::head::Generation;
@@ -12,24 +12,24 @@
 //! let peers = [NodeId(2), NodeId(3), NodeId(4), NodeId(5)];
 //! let mut dissemination = Dissemination::new(Config::default(), NodeId(1));
 //! assert_eq!(dissemination.on_event(Event::Learned(Generation(8)), &peers).len(), 3);
-//! assert_eq!(dissemination.on_event(Event::Learned(Generation(8)), &peers), [], "once a generation");
+//! assert_eq!(dissemination.on_event(Event::Learned(Generation(8)), &peers), [], "once only");
 //! let behind = Event::Heartbeat { from: NodeId(4), generation: Generation(7) };
 //! assert_eq!(dissemination.on_event(behind, &peers), [Action::Push(NodeId(4))]);
 //! ```
 //!
-//! The targets follow from a hash of generation, pusher and peer: they differ from generation to
-//! generation, and need no generator. With fanout `f` an eager push alone misses a share of about
-//! `e^-f` of the daemons (5% for 3), whom the next heartbeat serves.
+//! Push targets are selected by a hash of generation, pusher and peer: they differ from generation
+//! to generation without a random number generator. With fanout `f` the push alone misses about
+//! `e^-f` of the daemons (5% for 3), which the next heartbeat reaches.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::head::Generation;
 use crate::id::NodeId;
 
-/// Bounds of dissemination.
+/// Limits of dissemination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Peers pushed to at once. Default 3.
+    /// Number of peers that a new generation is pushed to. Default 3.
     pub fanout: usize,
 }
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// An input.
+/// An input of [`Dissemination`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// This daemon learned of a generation, from the API or a peer's push.
     Learned(Generation),
-    /// A peer's heartbeat, or its answer to ours.
+    /// A peer's heartbeat arrived, or its answer to a heartbeat of this daemon.
     Heartbeat {
-        /// The peer.
+        /// Peer that sent it.
         from: NodeId,
-        /// The highest it knows.
+        /// Highest generation that the peer knows.
         generation: Generation,
     },
 }
@@ -58,21 +58,21 @@
 pub enum Action {
     /// Send the head to this peer.
     Push(NodeId),
-    /// Ask this peer for its head.
+    /// Request the head from this peer.
     Pull(NodeId),
 }
 
-/// One daemon's part in dissemination.
+/// One daemon's state of dissemination.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Dissemination {
     cfg: Config,
     me: NodeId,
-    /// Highest generation known, and pushed; never falls.
+    /// Highest generation known and pushed; never decreases.
     latest: Generation,
 }
 
 impl Dissemination {
-    /// A daemon that knows of no generation.
+    /// Creates the state of a daemon that knows no generation.
     pub fn new(cfg: Config, me: NodeId) -> Dissemination {
         Dissemination {
             cfg,
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Takes an input; `peers` are the members that count as live, without this daemon.
+    /// Handles an input and returns what the driver has to do; `peers` are the members that count
+    /// as live, without this daemon.
     pub fn on_event(&mut self, event: Event, peers: &[NodeId]) -> Vec<Action> {
         match event {
             Event::Learned(generation) if generation > self.latest => {
--- a/crates/kelpworks-coord/src/facts.rs
+++ b/crates/kelpworks-coord/src/facts.rs
@@ -1,8 +1,8 @@
-//! Rare facts about upstreams and requests, spread among daemons as versioned deltas.
+//! Infrequent facts about upstreams and requests, gossiped among daemons as versioned deltas.
 //!
 //! A fact has one author, the daemon that observed it; only that daemon changes or clears it. The
-//! newest of an author's versions wins, so merging is commutative, associative and idempotent, and
-//! facts may travel in any order, twice, or by way of others. Every fact expires.
+//! author's newest version wins, so merging is commutative, associative and idempotent, and facts
+//! may arrive in any order, more than once, and through other daemons. Every fact expires.
 //!
 //! ```
 //! use kelpworks_coord::facts::*;
@@ -20,9 +20,9 @@
 //! assert_eq!(b.author_count(now + Span::from_secs(60), Kind::Leaving, 77), 0);
 //! ```
 //!
-//! Times to live are relative, since clocks are not shared: the time that a fact spends on the way
-//! is added to its life. A fact that a peer missed in all its transmissions arrives by
-//! [`Facts::snapshot`], which a driver sends when two [`Facts::digest`]s differ for long.
+//! Times to live are relative because daemons share no clock: the time that a fact spends in
+//! transit extends its lifetime. A peer that missed all transmissions of a fact gets it by
+//! [`Facts::snapshot`], which drivers send when two [`Facts::digest`]s stay different.
 
 use std::collections::BTreeMap;
 
@@ -35,12 +35,12 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Bounds of a store.
+/// Limits of a [`Facts`] store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Facts held at most; beyond it the one that expires first is dropped. Default 4,096.
+    /// Most facts that are kept; above it the one that expires first is dropped. Default 4,096.
     pub max_facts: usize,
-    /// Longest life of a fact, whatever its author says. Default 1 h.
+    /// Longest time to live of a fact; longer ones are cut to it. Default 1 h.
     pub max_ttl: Span,
 }
 
@@ -53,16 +53,16 @@
     }
 }
 
-/// What a fact says of its subject.
+/// What a fact states about its subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The upstream is leaving: no new work.
+    /// The upstream is leaving and takes no new work.
     Leaving,
     /// The upstream is down.
     Down,
-    /// The upstream is kept out of use.
+    /// The upstream is quarantined.
     Quarantine,
     /// An upstream died while it ran the request of this fingerprint.
     Suspect,
@@ -70,41 +70,41 @@
     Poison,
 }
 
-/// What identifies a fact.
+/// Identity of a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
-    /// The daemon that observed it.
+    /// Daemon that observed it.
     pub author: NodeId,
-    /// What it says.
+    /// What it states.
     pub kind: Kind,
     /// An upstream's identifier, or a request's fingerprint.
     pub subject: u64,
 }
 
-/// Version of a fact; a restarted author's are all newer.
+/// Version of a fact. Versions of a later run of the author are newer than all earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Stamp {
-    /// Of the author.
+    /// Incarnation of the author.
     pub incarnation: Incarnation,
-    /// Rises with each change that the author makes to any fact.
+    /// Increases with each change that the author makes to any of its facts.
     pub sequence: u64,
 }
 
-/// A fact on its way.
+/// A fact as daemons exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Fact {
-    /// Its identity.
+    /// Author, kind and subject.
     pub key: Key,
-    /// Its version.
+    /// Version; of two facts with one key, the one with the higher stamp wins.
     pub stamp: Stamp,
-    /// False when it was cleared.
+    /// False when the author cleared the fact.
     pub holds: bool,
-    /// More about it, by kind; for [`Kind::Suspect`] the upstream that died, else 0.
+    /// Additional value, by kind: for [`Kind::Suspect`] the upstream that died, else 0.
     pub detail: u64,
-    /// Time it has left.
+    /// Remaining time to live.
     pub ttl: Span,
 }
 
@@ -117,7 +117,7 @@
     holds: bool,
     detail: u64,
     expires: Instant,
-    /// Messages that it still goes with.
+    /// Number of messages that it still goes with; `u32::MAX` until first sent.
     sends_left: u32,
 }
 
@@ -127,7 +127,7 @@
     ttl: Span,
 }
 
-/// The facts that one daemon holds.
+/// The facts that one daemon knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Facts {
     cfg: Config,
@@ -140,7 +140,7 @@
 }
 
 impl Facts {
-    /// An empty store. `incarnation` must be above that of this daemon's earlier runs.
+    /// Creates an empty store. `incarnation` must be above that of this daemon's earlier runs.
     pub fn new(cfg: Config, me: NodeId, incarnation: Incarnation) -> Facts {
         Facts {
             cfg,
@@ -151,12 +151,12 @@
         }
     }
 
-    /// States a fact of this daemon's own observation, or renews it.
+    /// States a fact that this daemon observed, or renews it.
     pub fn set(&mut self, now: Instant, kind: Kind, subject: u64, ttl: Span) {
         self.set_detail(now, kind, subject, 0, ttl);
     }
 
-    /// As [`Facts::set`], with more about it.
+    /// Like [`Facts::set`], with [`Fact::detail`].
     pub fn set_detail(&mut self, now: Instant, kind: Kind, subject: u64, detail: u64, ttl: Span) {
         self.write(
             now,
@@ -170,7 +170,7 @@
         );
     }
 
-    /// Clears a fact that this daemon stated; of others' it says nothing.
+    /// Clears a fact that this daemon stated. The same fact by other authors is not affected.
     pub fn clear(&mut self, now: Instant, kind: Kind, subject: u64) {
         let key = Key {
             author: self.me,
@@ -178,7 +178,7 @@
             subject,
         };
         if self.facts.get(&key).is_some_and(|h| h.holds) {
-            // The clearing must live as long as any copy of what it clears.
+            // The tombstone must outlive every copy of the fact that it clears.
             let statement = Statement {
                 holds: false,
                 detail: 0,
@@ -212,7 +212,7 @@
         );
     }
 
-    /// Takes a fact in; true when it was news.
+    /// Merges a fact; returns true when it was new or newer than the known version.
     pub fn merge(&mut self, now: Instant, fact: Fact) -> bool {
         let expires = now + fact.ttl.min(self.cfg.max_ttl);
         if let Some(old) = self.facts.get_mut(&fact.key) {
@@ -259,9 +259,10 @@
         }
     }
 
-    /// Facts to go with the next message, within a size in bytes; newest news first.
+    /// Returns facts to piggyback on the next message, up to `max_bytes`; those sent least often
+    /// come first.
     ///
-    /// Each goes with a number of messages that grows with the logarithm of the members' number.
+    /// Each fact goes with a number of messages that grows with the logarithm of `members`.
     pub fn take_delta(&mut self, now: Instant, max_bytes: usize, members: usize) -> Vec<Fact> {
         self.shrink(now);
         let max_sends = 3 * (members as u32 + 2).ilog2();
@@ -284,7 +285,7 @@
             .collect()
     }
 
-    /// All facts.
+    /// Returns all facts that have not expired, including cleared ones.
     pub fn snapshot(&self, now: Instant) -> Vec<Fact> {
         self.facts
             .keys()
@@ -310,7 +311,7 @@
         })
     }
 
-    /// Hash over keys and versions; equal on daemons that hold the same facts.
+    /// Returns a hash of keys and versions; equal on daemons that know the same facts.
     pub fn digest(&self, now: Instant) -> u64 {
         let mut hasher = Xxh3::new();
         for (key, stored) in self.facts.iter().filter(|(_, h)| h.expires > now) {
@@ -323,14 +324,14 @@
         hasher.digest()
     }
 
-    /// Number of daemons that state this of the subject now.
+    /// Returns the number of daemons whose fact of this kind about the subject holds now.
     pub fn author_count(&self, now: Instant, kind: Kind, subject: u64) -> usize {
         self.active(now, kind)
             .filter(|f| f.key.subject == subject)
             .count()
     }
 
-    /// Facts of a kind that hold now.
+    /// Returns the facts of a kind that hold now, without cleared ones.
     pub fn active(&self, now: Instant, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
         self.facts
             .iter()
--- a/crates/kelpworks-coord/src/head.rs
+++ b/crates/kelpworks-coord/src/head.rs
@@ -1,14 +1,16 @@
 //! The config head: which configuration is accepted, and which is in force on a daemon.
 //!
 //! Register and rules are immutable objects named by their digest. One small head object names the
-//! pair in force, and a conditional update of it is what accepts a change. [`Swap`] is the side of
-//! an operator, [`Follower`] that of a daemon.
+//! accepted pair; a change is accepted by a compare-and-swap of the head. [`Swap`] is the
+//! operator's side of a change, [`Follower`] the daemon's.
 //!
-//! - The pair is validated together before each swap, also after a rebase.
-//! - The head keeps for each part who changed it last ([`Part::nonce`]) and at which generation
-//!   ([`Part::since`]). So a lost reply can be settled by reading back even if others have swapped
-//!   since, and a part that was changed and changed back still counts as changed.
-//! - A daemon moves to a higher generation only, whatever an API replica or a peer says.
+//! - Register and rules are validated together before each swap, also when the swap is retried on
+//!   top of another operator's change.
+//! - The head records for each part which change wrote it last ([`Part::nonce`]) and in which
+//!   generation ([`Part::since`]). So reading the head shows whether a swap with a lost reply took
+//!   effect, even after later swaps by others, and a part that was changed and changed back still
+//!   counts as changed.
+//! - A daemon only moves to higher generations, whatever an API replica or a peer reports.
 //!
 //! ```
 //! use kelpworks_coord::head::*;
@@ -17,7 +19,10 @@
 //!
 //! let change = Change { kind: PartKind::Rules, digest: Digest([1; 32]), nonce: Nonce(5) };
 //! let mut swap = Swap::new(Config::default(), change, Instant::ZERO);
-//! assert_eq!(swap.on_event(Instant::ZERO, SwapEvent::Start), [SwapAction::PutBlob(change.digest)]);
+//! assert_eq!(
+//!     swap.on_event(Instant::ZERO, SwapEvent::Start),
+//!     [SwapAction::PutBlob(change.digest)]
+//! );
 //! let actions = swap.on_event(Instant::ZERO, SwapEvent::BlobStored);
 //! assert_eq!(actions, [SwapAction::ReadHead]);
 //!
@@ -28,9 +33,9 @@
 //! assert_eq!(follower.on_event(FollowerEvent::Seen(older)), []);
 //! ```
 //!
-//! Limits: an operator's command that ends with [`SwapOutcome::Unknown`] may yet take effect, when
-//! its last write is still under way. A stale first read can report a conflict with a change that
-//! the operator did not see; it never overwrites one.
+//! Limits: a change that ends with [`SwapOutcome::Unknown`] can still take effect afterwards, while
+//! its last write is in flight. A stale first read can lead to a reported conflict with a change
+//! that the operator did not see; it never overwrites one.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -42,19 +47,20 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Number of a configuration; rises with each accepted change.
+/// Number of a configuration; increases with each accepted change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
 impl Generation {
-    /// Bits of a generation below those of the era: more than there are changes in an era.
+    /// Low bits of a generation that count the changes within an era; the era is in the bits above.
+    /// An era has fewer changes than these bits can count.
     const ERA_SHIFT: u32 = 32;
 
-    /// The generation of a change that is accepted in an era on top of this one.
+    /// Returns the generation of a change that is accepted in `era` on top of this generation.
     ///
-    /// After a restore the API returns an older head. Without the era, a change to that head would reuse the
-    /// generation of a lost change that daemons still have in force.
+    /// After a restore the API returns an older head. Without the era, a change to that head would
+    /// reuse the generation of a lost change that daemons still have in force.
     fn next(self, era: Era) -> Generation {
         let first = Generation(era.0 << Generation::ERA_SHIFT);
         Generation(self.0 + 1).max(first)
@@ -65,11 +71,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
-    /// Its text, by digest.
+    /// Digest of its text.
     pub digest: Digest,
-    /// Generation that brought it; at most the head's.
+    /// Generation in which it was last changed; at most the head's.
     pub since: Generation,
-    /// The change that brought it.
+    /// Identifies the change that last wrote it.
     pub nonce: Nonce,
 }
 
@@ -77,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Head {
-    /// Higher than that of each head before.
+    /// Higher than that of each earlier head.
     pub generation: Generation,
     /// The register; `None` before the first import.
     pub register: Option<Part>,
@@ -86,7 +92,7 @@
 }
 
 impl Head {
-    /// What stands before the first change.
+    /// The head before the first change.
     pub const EMPTY: Head = Head {
         generation: Generation(0),
         register: None,
@@ -122,7 +128,7 @@
     }
 }
 
-/// Which part.
+/// Kind of a part of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PartKind {
     /// The register.
@@ -131,23 +137,23 @@
     Rules,
 }
 
-/// A change that an operator asks for.
+/// A change of one part, requested by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Change {
-    /// The part to replace.
+    /// Part to replace.
     pub kind: PartKind,
-    /// Its new text.
+    /// Digest of the new text.
     pub digest: Digest,
-    /// Drawn for this change.
+    /// Random number, drawn for this change.
     pub nonce: Nonce,
 }
 
-/// Bounds of a swap.
+/// Timeouts of a swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Pause before a call is tried again. Default 200 ms.
+    /// Pause before a call is retried. Default 200 ms.
     pub retry_interval: Span,
-    /// Longest time for the whole change. Default 30 s.
+    /// Timeout of the whole change. Default 30 s.
     pub timeout: Span,
 }
 
@@ -160,35 +166,36 @@
     }
 }
 
-/// The head object as the API shows it.
+/// The head object as read from the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoredHead {
-    /// Its version; [`Version::ABSENT`] with [`Head::EMPTY`] when there is none.
+    /// Version for conditional updates; absent, with [`Head::EMPTY`], when the object does not
+    /// exist.
     pub version: Version,
-    /// Its body.
+    /// Body of the object.
     pub head: Head,
 }
 
 /// An input of [`Swap`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SwapEvent {
-    /// Begin.
+    /// Start the change.
     Start,
-    /// The text is stored.
+    /// The new text is stored.
     BlobStored,
     /// The head was read.
     HeadRead(StoredHead),
-    /// The pair fits together.
+    /// Register and rules are valid together.
     Valid,
-    /// The pair does not.
+    /// Register and rules are not valid together.
     Invalid,
     /// The head was written.
     Swapped,
-    /// The head was not written; it stands so.
+    /// The head was not written, because its version differs; the present head.
     Conflict(StoredHead),
-    /// The call was turned away before any effect.
+    /// The call was refused before any effect.
     Refused,
-    /// The call got no answer; it may have taken effect, or take effect later.
+    /// The call got no reply; it may have taken effect, or take effect later.
     Lost,
     /// Time passed.
     Tick,
@@ -197,44 +204,44 @@
 /// Something for the operator's driver to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SwapAction {
-    /// Store the new text under its digest, unless it is there.
+    /// Store the new text under its digest, unless it is already stored.
     PutBlob(Digest),
     /// Read the head.
     ReadHead,
-    /// Check that the parts of this head fit together.
+    /// Check that register and rules of this head are valid together.
     Validate(Head),
     /// Write the head.
     SwapHead {
-        /// Condition.
+        /// Version that the head must have.
         if_version: Version,
         /// New body.
         head: Head,
     },
-    /// The end.
+    /// The change ended; nothing more is to be done.
     Done(SwapOutcome),
 }
 
-/// How a change ended.
+/// Outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SwapOutcome {
-    /// In force from this generation on.
+    /// Accepted in this generation.
     Accepted(Generation),
     /// The same part was changed since it was first read; nothing was applied.
     Conflict {
-        /// What stands.
+        /// Present head.
         current: Head,
     },
-    /// The same part was changed after a write of ours whose reply was lost. Ours was applied and
-    /// replaced, or never applied.
+    /// The same part was changed after this change's write with a lost reply. This change was
+    /// applied and then replaced, or never applied.
     Superseded {
-        /// What stands.
+        /// Present head.
         current: Head,
     },
-    /// The pair does not fit; nothing was applied.
+    /// Register and rules are not valid together; nothing was applied.
     Invalid,
-    /// Time ran out before the first write of the head; nothing was applied.
+    /// The timeout passed before the first write of the head; nothing was applied.
     NotApplied,
-    /// Time ran out after a write whose effect is not known.
+    /// The change timed out or became invalid after a write whose effect is unknown.
     Unknown,
 }
 
@@ -254,23 +261,23 @@
     Done,
 }
 
-/// An operator's change, from its text to its acceptance.
+/// An operator's change, from storing its text to its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Swap {
     cfg: Config,
     change: Change,
     deadline: Instant,
-    /// The head as first read: what the operator's change was made against.
+    /// Head as first read, on which the operator's change is based.
     base: Option<Head>,
-    /// Latest version read; an older one is the answer of a lagging replica.
+    /// Latest version read; a read that returns an older one came from a lagging replica.
     latest: Version,
-    /// Whether a write of the head may have taken effect without our knowing.
+    /// Whether a write of the head may have taken effect without confirmation.
     maybe_written: bool,
     state: SwapState,
 }
 
 impl Swap {
-    /// A change that has not begun.
+    /// Creates a change that waits for [`SwapEvent::Start`]. Its timeout runs from `now`.
     pub fn new(cfg: Config, change: Change, now: Instant) -> Swap {
         let deadline = now + cfg.timeout;
         Swap {
@@ -284,7 +291,8 @@
         }
     }
 
-    /// Takes an input. Inputs that do not fit the present state are ignored.
+    /// Handles an input and returns what the driver has to do. Inputs that do not match the present
+    /// state are ignored.
     pub fn on_event(&mut self, now: Instant, event: SwapEvent) -> Vec<SwapAction> {
         match (self.state, event) {
             (SwapState::New, SwapEvent::Start) => self.call(Call::Blob),
@@ -309,29 +317,29 @@
         vec![match call {
             Call::Blob => SwapAction::PutBlob(self.change.digest),
             Call::Read => SwapAction::ReadHead,
-            Call::Validate(at) => SwapAction::Validate(self.updated_head(at)),
-            Call::Swap(at) => SwapAction::SwapHead {
-                if_version: at.version,
-                head: self.updated_head(at),
+            Call::Validate(stored) => SwapAction::Validate(self.updated_head(stored)),
+            Call::Swap(stored) => SwapAction::SwapHead {
+                if_version: stored.version,
+                head: self.updated_head(stored),
             },
         }]
     }
 
-    /// The head with the change on top of it.
-    fn updated_head(&self, at: StoredHead) -> Head {
-        at.head.with_change(self.change, at.version.era)
+    /// Returns the stored head with the change applied.
+    fn updated_head(&self, stored: StoredHead) -> Head {
+        stored.head.with_change(self.change, stored.version.era)
     }
 
     fn on_reply(&mut self, now: Instant, call: Call, event: SwapEvent) -> Vec<SwapAction> {
         match (call, event) {
             (Call::Blob, SwapEvent::BlobStored) => self.call(Call::Read),
-            (Call::Read, SwapEvent::HeadRead(at)) => self.on_head(now, at),
-            (Call::Validate(at), SwapEvent::Valid) => self.call(Call::Swap(at)),
+            (Call::Read, SwapEvent::HeadRead(stored)) => self.on_head(now, stored),
+            (Call::Validate(stored), SwapEvent::Valid) => self.call(Call::Swap(stored)),
             (Call::Validate(_), SwapEvent::Invalid) => self.on_invalid(),
-            (Call::Swap(at), SwapEvent::Swapped) => {
-                self.done(SwapOutcome::Accepted(self.updated_head(at).generation))
+            (Call::Swap(stored), SwapEvent::Swapped) => {
+                self.done(SwapOutcome::Accepted(self.updated_head(stored).generation))
             }
-            (Call::Swap(_), SwapEvent::Conflict(at)) => self.on_head(now, at),
+            (Call::Swap(_), SwapEvent::Conflict(stored)) => self.on_head(now, stored),
             (Call::Swap(_), SwapEvent::Lost) => {
                 self.maybe_written = true;
                 self.call(Call::Read)
@@ -347,24 +355,28 @@
         Vec::new()
     }
 
-    /// Decides on a head that was read, or that stood in the way.
-    fn on_head(&mut self, now: Instant, at: StoredHead) -> Vec<SwapAction> {
-        if at.version < self.latest {
+    /// Decides the next step after a read of the head, or after a conflict that returned it.
+    fn on_head(&mut self, now: Instant, stored: StoredHead) -> Vec<SwapAction> {
+        if stored.version < self.latest {
             return self.retry_later(now, Call::Read);
         }
-        self.latest = at.version;
-        let base = *self.base.get_or_insert(at.head);
-        let stored_part = at.head.part(self.change.kind);
+        self.latest = stored.version;
+        let base = *self.base.get_or_insert(stored.head);
+        let stored_part = stored.head.part(self.change.kind);
         if let Some(part) = stored_part.filter(|p| p.nonce == self.change.nonce) {
             return self.done(SwapOutcome::Accepted(part.since));
         }
         let since = |part: Option<Part>| part.map(|p| p.since);
         if since(stored_part) == since(base.part(self.change.kind)) {
-            return self.call(Call::Validate(at));
+            return self.call(Call::Validate(stored));
         }
         match self.maybe_written {
-            true => self.done(SwapOutcome::Superseded { current: at.head }),
-            false => self.done(SwapOutcome::Conflict { current: at.head }),
+            true => self.done(SwapOutcome::Superseded {
+                current: stored.head,
+            }),
+            false => self.done(SwapOutcome::Conflict {
+                current: stored.head,
+            }),
         }
     }
 
@@ -399,31 +411,31 @@
 /// An input of [`Follower`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FollowerEvent {
-    /// A head from the API, a watch or a peer.
+    /// A head arrived from the API, a watch or a peer.
     Seen(Head),
-    /// Both texts of this generation are here, checked against their digests and parsed.
+    /// Both texts of this generation were fetched, checked against their digests and parsed.
     Fetched(Generation),
-    /// They are not to be had now, or do not parse.
+    /// The texts of this generation could not be fetched, or do not parse.
     FetchFailed(Generation),
-    /// Time to try again.
+    /// The retry interval of the driver passed.
     Retry,
 }
 
 /// Something for the daemon to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FollowerAction {
-    /// Get both texts, from the API or from peers.
+    /// Fetch both texts, from the API or from peers.
     Fetch(Head),
-    /// Put this configuration in force.
+    /// Put the configuration of this head in force.
     Apply(Head),
 }
 
 /// A daemon's view of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Follower {
-    /// In force; its generation never falls.
+    /// Head in force; its generation never decreases.
     current: Option<Head>,
-    /// Being fetched; its generation is higher than that of [`Follower::current`].
+    /// Head whose texts are being fetched; its generation is higher than that of `current`.
     pending: Option<Head>,
     /// Whether the last fetch of `pending` failed.
     failed: bool,
@@ -431,12 +443,12 @@
 }
 
 impl Follower {
-    /// A daemon without configuration.
+    /// Creates the view of a daemon without configuration.
     pub fn new() -> Follower {
         Follower::default()
     }
 
-    /// Takes an input.
+    /// Handles an input and returns what the driver has to do.
     pub fn on_event(&mut self, event: FollowerEvent) -> Vec<FollowerAction> {
         match event {
             FollowerEvent::Seen(head) => self.on_seen(head),
@@ -474,19 +486,20 @@
         vec![FollowerAction::Apply(head)]
     }
 
-    /// The configuration in force.
+    /// Returns the head of the configuration in force; `None` before the first.
     pub fn current(&self) -> Option<Head> {
         self.current
     }
 
-    /// Highest generation seen, in force or being fetched; 0 before any.
+    /// Returns the highest generation known, in force or being fetched; 0 before the first.
     pub fn latest_generation(&self) -> Generation {
         self.pending
             .or(self.current)
             .map_or(Generation(0), |h| h.generation)
     }
 
-    /// Takes the count of heads dropped for being older than what is known, for metrics.
+    /// Returns the number of heads dropped since the last call because they were older than the
+    /// latest known, for metrics.
     pub fn take_stale_count(&mut self) -> u32 {
         std::mem::take(&mut self.stale_heads)
     }
--- a/crates/kelpworks-coord/src/id.rs
+++ b/crates/kelpworks-coord/src/id.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` identifiers that mean the same on every daemon.
+//! Small `Copy` identifiers that are valid across daemons.
 //!
 //! ```
 //! use kelpworks_coord::id::NodeId;
@@ -22,7 +22,7 @@
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// Identifier of the daemon of this name.
+    /// Hashes a daemon's name.
     pub fn of(name: &str) -> NodeId {
         NodeId(xxh3_64(name.as_bytes()))
     }
@@ -34,7 +34,7 @@
 pub struct UpstreamId(pub u64);
 
 impl UpstreamId {
-    /// Identifier of the upstream of this name.
+    /// Hashes an upstream's name.
     pub fn of(name: &str) -> UpstreamId {
         UpstreamId(xxh3_64(name.as_bytes()))
     }
@@ -46,26 +46,27 @@
 pub struct DomainId(pub u64);
 
 impl DomainId {
-    /// Identifier of the failure domain of this name.
+    /// Hashes a failure domain's name.
     pub fn of(name: &str) -> DomainId {
         DomainId(xxh3_64(name.as_bytes()))
     }
 }
 
-/// One run of a process: higher for a later run of the same daemon or engine.
+/// Number of a run of a process: higher for a later run of the same daemon or engine.
 ///
-/// A daemon also raises its own to refute a report of its death, see [`crate::membership`].
+/// A daemon also raises its own incarnation to refute a report of its death, see
+/// [`crate::membership`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A number that a writer draws at random to know its own write again.
+/// A random number by which a writer recognizes its own write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Nonce(pub u64);
 
-/// Era of the object API's history: one higher each time that the API came back from an older copy of
-/// itself. An API that never tells its era is in the first for ever.
+/// Era of the object API's history: rises by one each time that the API is restored from an older
+/// copy. An API that reports no era is always in the first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Era(pub u64);
@@ -81,13 +82,14 @@
     }
 }
 
-/// Point in the object API's history: the version of an object, or of a whole kind.
+/// Point in the object API's history: the version of an object, or of all objects of a kind.
 ///
-/// Versions are ordered by era first, since an older copy gives the revisions after it out again.
+/// Versions are ordered by era first, because an API that was restored from an older copy assigns
+/// the revisions after that copy a second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Version {
-    /// Era in which it was given out.
+    /// Era in which it was assigned.
     #[serde(default)]
     pub era: Era,
     /// Increases with each change within an era; 0 for an object that does not exist.
@@ -98,22 +100,22 @@
     /// Version of an object that does not exist, as the condition of a create in the first era.
     pub const ABSENT: Version = Version::initial(0);
 
-    /// A version of an era.
+    /// Creates a version of any era.
     pub const fn new(era: Era, revision: u64) -> Version {
         Version { era, revision }
     }
 
-    /// A version of the first era.
+    /// Creates a version of the first era.
     pub const fn initial(revision: u64) -> Version {
         Version::new(Era::FIRST, revision)
     }
 
-    /// Version, in an era, of an object that does not exist.
+    /// Returns the version of an object that does not exist, in an era.
     pub const fn absent(era: Era) -> Version {
         Version::new(era, 0)
     }
 
-    /// Whether it is that of an object that does not exist.
+    /// Returns whether this is the version of an object that does not exist.
     pub const fn is_absent(self) -> bool {
         self.revision == 0
     }
--- a/crates/kelpworks-coord/src/lease.rs
+++ b/crates/kelpworks-coord/src/lease.rs
@@ -1,20 +1,21 @@
-//! A lease on a duty, with fencing tokens.
+//! A lease on a role, with fencing tokens.
 //!
-//! One daemon at a time is to place a model's stages. The lease is an object of the object API,
-//! taken and renewed by conditional update. A [`Lease`] is one daemon's view of it.
+//! Only one daemon at a time may place models. The lease is an object of the object API, acquired
+//! and renewed by conditional update. A [`Lease`] is one daemon's view of it.
 //!
-//! **Holder.** The lease runs from the moment before the renewal was sent, so the holder's view
-//! ends before anyone else's. [`Lease::fencing_token`] allows an order only while the remaining time
-//! exceeds the order bound, the longest time from that check to the order's effect.
+//! **Holder.** The holder counts the lease's time from the sending of the acquisition or renewal,
+//! so its lease ends before any observer may acquire it.
+//! [`Lease::fencing_token`] allows an order only while the remaining time exceeds the order bound,
+//! the longest time from that check to the order's effect.
 //!
-//! **Others.** An observer counts from when it saw a version, by its own clock, and takes the
-//! lease once `ttl` plus the order bound have passed without a new version, stretched by the
-//! bound on clock drift.
+//! **Observers.** An observer counts from its first observation of a version, by its own clock. It
+//! may acquire the lease once `ttl` plus the order bound, extended by the bound on clock drift,
+//! have passed without a new version.
 //!
-//! **Fencing.** The token rises with every acquisition and goes with every order. A holder that is
-//! paused between the check and the sending, for longer than the order bound, can still send a
-//! stale order. Upstreams that check the token refuse it; at the others [`crate::repair`] undoes
-//! it, and routing trusts only what engines echo.
+//! **Fencing.** The token increases with every acquisition and goes with every order. A holder that
+//! is paused for longer than the order bound between the check and the sending can still send a
+//! stale order. Upstreams that check the token refuse it. At the others [`crate::repair`] corrects
+//! its effect, and routing relies only on what engines echo.
 //!
 //! ```
 //! use kelpworks_coord::id::*;
@@ -34,14 +35,15 @@
 //! assert_eq!(lease.fencing_token(late), None, "too little is left for an order to take effect");
 //! ```
 //!
-//! While the object API is down no one can renew: the holder's orders stop when its lease runs
-//! out, and placement stays as it is until the API is back. The object must never be removed,
-//! since its token must not fall; daemons that saw it take no lease from its absence.
+//! While the object API is down, no daemon can renew: the holder's orders stop when its lease
+//! expires, and placement stays unchanged until the API is back. The object must never be removed,
+//! because its token must not decrease; daemons that have observed it do not acquire the lease when
+//! it is absent.
 //!
 //! **Eras.** After a restore the API may return a record that had been superseded. A holder that
 //! observes a later era ends its lease at once. A record written before that era does not allow a
-//! daemon to acquire the lease until every lease held at the time has expired. Tokens of a later era
-//! are higher than all tokens of earlier ones.
+//! daemon to acquire the lease until every lease held at the time has expired. Tokens of a later
+//! era are higher than all tokens of earlier ones.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -53,20 +55,22 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Times of a lease. All daemons must use the same.
+/// Times of a lease. All daemons must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Length of the lease. Default 10 s.
     pub ttl: Span,
-    /// The holder renews when so much has passed. Default 3 s: few writes, and two may fail.
+    /// Interval at which the holder renews. Default 3 s: few writes, and two renewals may fail
+    /// before the lease ends.
     pub renew_interval: Span,
-    /// Longest time from [`Lease::fencing_token`] to the order's effect, bar pauses. Default 2 s.
+    /// Longest time from [`Lease::fencing_token`] to the order's effect, without pauses of the
+    /// process. Default 2 s.
     pub order_bound: Span,
-    /// Greatest error of a daemon's clock rate, in thousandths. Default 5; below 1,000.
+    /// Largest error of a daemon's clock rate, in thousandths. Default 5; below 1,000.
     pub drift_per_mille: u64,
-    /// How often others read the lease. Default 2 s.
+    /// Interval at which daemons that don't hold the lease read it. Default 2 s.
     pub poll_interval: Span,
-    /// Pause before a call is tried again. Default 500 ms.
+    /// Pause before a call is retried. Default 500 ms.
     pub retry_interval: Span,
 }
 
@@ -84,9 +88,10 @@
 }
 
 impl Config {
-    /// Time without a new version after which an observer may take the lease.
+    /// Returns the time without a new version after which an observer may acquire the lease.
     ///
-    /// The holder's clock may be slow and the observer's fast, each by the bound on drift.
+    /// Allows for a slow clock of the holder and a fast one of the observer, each by
+    /// `drift_per_mille`.
     pub fn takeover_after(&self) -> Span {
         let whole = (self.ttl + self.order_bound).as_millis();
         let drift = self.drift_per_mille.min(999);
@@ -94,34 +99,35 @@
     }
 }
 
-/// A run of a daemon.
+/// Holder of a lease: one run of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Owner {
-    /// The daemon.
+    /// Daemon that holds the lease.
     pub node: NodeId,
-    /// A restarted daemon does not own what it held before.
+    /// Incarnation that acquired it. After a restart the daemon does not hold it any more.
     pub incarnation: Incarnation,
 }
 
-/// Fencing token; higher for a later acquisition.
+/// Fencing token; increases with each acquisition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Token(pub u64);
 
 impl Token {
-    /// Bits of a token below those of the era: more than there are revisions in an era.
+    /// Low bits of a token that count within an era; the era is in the bits above. An era has fewer
+    /// revisions than these bits can count.
     const ERA_SHIFT: u32 = 32;
 
-    /// Lowest token of an era.
+    /// Returns the lowest token of an era.
     const fn first_of(era: Era) -> Token {
         Token(era.0 << Token::ERA_SHIFT)
     }
 
-    /// Token for whoever replaces a stored lease.
+    /// Returns the token for an acquisition that replaces a stored lease.
     ///
-    /// In a later era a write under a condition of the era before may take the stored token back. So
-    /// tokens follow the revision there, which only rises within the era.
+    /// In a later era, a write whose condition dates from the previous era may lower the stored
+    /// token. There tokens follow the revision instead, which only increases within an era.
     fn after(stored: &Stored) -> Token {
         let next = Token(stored.record.token.0 + 1);
         let Version { era, revision } = stored.version;
@@ -136,28 +142,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Who holds it; `None` after it was given up.
+    /// Holder; `None` after a release, and before the first acquisition.
     pub owner: Option<Owner>,
-    /// Rises at each acquisition. Falls only where the API comes back from an older copy.
+    /// Fencing token; increases at each acquisition. Decreases only when the API is restored from
+    /// an older copy.
     pub token: Token,
-    /// Rises by one at each write under the same token.
+    /// Increases by one at each write with the same token.
     pub renewal: u64,
 }
 
-/// The lease object as the API shows it.
+/// The lease object as read from the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stored {
-    /// Its version.
+    /// Version for conditional updates.
     pub version: Version,
-    /// Its body.
+    /// Body of the object.
     pub record: Record,
 }
 
 impl Stored {
-    /// A lease that no one ever held, in the first era.
+    /// A lease that was never held, in the first era.
     pub const ABSENT: Stored = Stored::absent(Era::FIRST);
 
-    /// A lease that an era shows as held by no one ever.
+    /// Returns a lease without an object in an era: one that was never held, as far as the API
+    /// knows.
     pub const fn absent(era: Era) -> Stored {
         Stored {
             version: Version::absent(era),
@@ -169,7 +177,7 @@
         }
     }
 
-    /// Whether the record was written in the era in which it is shown.
+    /// Returns whether the record was written in the era in which it was read.
     fn was_written_in_shown_era(&self) -> bool {
         self.record.token >= Token::first_of(self.version.era)
     }
@@ -178,30 +186,30 @@
 /// Answer of the object API to the last read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ApiReply {
-    /// Read; [`Stored::ABSENT`] when there is none.
+    /// Read; as [`Stored::absent`] when the object does not exist.
     Read(Stored),
-    /// Written, under this version.
+    /// Written; the object has this version now.
     Written(Version),
-    /// Not written; it stands so.
+    /// Not written, because the version differs; the present object.
     Conflict(Stored),
-    /// Turned away before any effect.
+    /// Refused before any effect.
     Refused,
-    /// No answer; a write may have taken effect, or take effect later.
+    /// No reply; a write may have taken effect, or take effect later.
     Lost,
 }
 
-/// An input.
+/// An input of [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time passed.
     Tick,
     /// The object API answered.
     Api(ApiReply),
-    /// A watch showed the object.
+    /// A watch returned the object.
     Watched(Stored),
-    /// An era was observed, from a call or a peer.
+    /// An era was observed in a call to the API, or reported by a peer.
     Era(Era),
-    /// Give the lease up, as on a planned stop.
+    /// Release the lease and acquire it no more, for a planned stop.
     Release,
 }
 
@@ -210,16 +218,16 @@
 pub enum Action {
     /// Read the lease object.
     Read,
-    /// Write it.
+    /// Write the lease object.
     Write {
-        /// Condition.
+        /// Version that the object must have.
         if_version: Version,
         /// New body.
         record: Record,
     },
-    /// This daemon holds the lease now; read the engines' state back before any order.
+    /// This daemon holds the lease now; read the engines' state before sending any order.
     Acquired(Token),
-    /// This daemon no longer holds it.
+    /// This daemon no longer holds the lease.
     Resigned,
 }
 
@@ -233,7 +241,7 @@
 struct Held {
     version: Version,
     record: Record,
-    /// When the write that made `version` was first sent, by this daemon's clock.
+    /// When the write that resulted in `version` was first sent, by this daemon's clock.
     sent_at: Instant,
 }
 
@@ -244,23 +252,24 @@
     me: Owner,
     /// Latest observed era; never decreases.
     era: Era,
-    /// When the latest era was first observed; none in the first era.
+    /// When the latest era was first observed; `None` in the first era.
     era_observed_at: Option<Instant>,
-    /// Latest version seen, and when it was first seen; of the latest era. Versions never fall.
+    /// Latest version observed in the latest era, and when it was first observed. Versions never
+    /// decrease.
     observed: Option<(Stored, Instant)>,
-    /// Highest token seen, in whatever era; never falls.
+    /// Highest token observed in any era; never decreases.
     highest_token: Token,
     held: Option<Held>,
     outstanding: Option<Call>,
-    /// A write of ours whose effect is not known, and when it was first sent.
+    /// This daemon's last write, while its effect is unknown, and when it was first sent.
     unconfirmed: Option<(Record, Instant)>,
-    /// No call before then.
+    /// Earliest time of the next call to the object API.
     next_call: Instant,
     releasing: bool,
 }
 
 impl Lease {
-    /// A daemon that has seen nothing yet.
+    /// Creates the view of a daemon that has not observed the lease yet.
     pub fn new(cfg: Config, me: Owner, now: Instant) -> Lease {
         Lease {
             cfg,
@@ -277,7 +286,8 @@
         }
     }
 
-    /// Takes an input. Replies that were not asked for are ignored.
+    /// Handles an input and returns what the driver has to do. Replies without an outstanding call
+    /// are ignored.
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.on_tick(now),
@@ -292,29 +302,30 @@
         }
     }
 
-    /// Token under which an order may be sent now, if any.
+    /// Returns the token with which an order may be sent now; `None` when this daemon does not hold
+    /// the lease, releases it, or has too little time left for an order to take effect.
     pub fn fencing_token(&self, now: Instant) -> Option<Token> {
         let held = self.held?;
         let bound = held.sent_at + self.cfg.ttl;
         (now + self.cfg.order_bound < bound && !self.releasing).then_some(held.record.token)
     }
 
-    /// Whether this daemon holds the lease, be it too late for an order or not.
+    /// Returns whether this daemon holds the lease, even if too little time is left for an order.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The highest token seen.
+    /// Returns the highest token observed.
     pub fn latest_token(&self) -> Token {
         self.highest_token
     }
 
-    /// Latest observed era.
+    /// Returns the latest observed era.
     pub fn era(&self) -> Era {
         self.era
     }
 
-    /// Who holds the lease, as last seen.
+    /// Returns the holder of the lease as last observed.
     pub fn owner(&self) -> Option<Owner> {
         self.observed.and_then(|(stored, _)| stored.record.owner)
     }
@@ -335,12 +346,13 @@
 
     fn may_acquire(&self, now: Instant, stored: Stored, at: Instant) -> bool {
         let free = stored.record.owner.is_none() && stored.was_written_in_shown_era();
-        // A record from before the era tells nothing of who held the lease at its end.
+        // A record from an earlier era doesn't show which daemon held the lease when that era
+        // ended.
         let since = self.era_observed_at.map_or(at, |era| era.max(at));
         !self.releasing && (free || now.since(since) >= self.cfg.takeover_after())
     }
 
-    /// Takes note of an era. What was seen, written or held in an earlier one counts no longer.
+    /// Records a later era. Observations, writes and leases of earlier eras become invalid.
     fn enter_era(&mut self, now: Instant, era: Era) -> Vec<Action> {
         if era <= self.era {
             return Vec::new();
@@ -388,7 +400,7 @@
     }
 
     fn write(&mut self, now: Instant, if_version: Version, record: Record) -> Vec<Action> {
-        // The same write sent again keeps the time of the first: either may take effect.
+        // A repeated write keeps the time of its first sending, since either may take effect.
         if self.unconfirmed.is_none_or(|(r, _)| r != record) {
             self.unconfirmed = Some((record, now));
         }
@@ -409,7 +421,7 @@
                 }
                 actions
             }
-            // What stands in the way is newer than what was seen, unless the object was removed.
+            // The conflicting object is newer than the observed one, unless the object was removed.
             (Call::Write { .. }, ApiReply::Conflict(stored)) => {
                 self.next_call = now + self.cfg.retry_interval;
                 self.observe(now, stored)
@@ -434,7 +446,7 @@
         }
     }
 
-    /// Takes note of the object, from whatever source; an older version than seen changes nothing.
+    /// Records the object from any source; a version older than the observed one changes nothing.
     fn observe(&mut self, now: Instant, stored: Stored) -> Vec<Action> {
         if stored.version.era < self.era {
             self.next_call = self.next_call.min(now + self.cfg.retry_interval);
@@ -451,15 +463,18 @@
             .is_some_and(|(s, _)| stored.version <= s.version)
         {
             if self.unconfirmed.is_some() {
-                // Our write is not to be seen yet: send the same again soon.
+                // This daemon's write is not visible yet: repeat it soon.
                 self.next_call = self.next_call.min(now + self.cfg.retry_interval);
             }
             return Vec::new();
         }
         self.observed = Some((stored, now));
         self.highest_token = self.highest_token.max(stored.record.token);
-        let ours = stored.record.owner == Some(self.me);
-        match (ours, self.unconfirmed.filter(|(r, _)| *r == stored.record)) {
+        let is_own = stored.record.owner == Some(self.me);
+        match (
+            is_own,
+            self.unconfirmed.filter(|(r, _)| *r == stored.record),
+        ) {
             (true, Some((record, sent_at))) => {
                 self.confirm_held(now, stored.version, record, sent_at)
             }
--- a/crates/kelpworks-coord/src/membership/messages.rs
+++ b/crates/kelpworks-coord/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What membership takes and says.
+//! Configuration, events, actions and gossip of membership.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,26 +8,26 @@
 use crate::id::NodeId;
 use crate::time::Span;
 
-/// Times and bounds of membership.
+/// Intervals, timeouts and limits of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// One member is probed in each of these. Default 1 s.
+    /// Interval at which one member is probed. Default 1 s.
     pub probe_interval: Span,
-    /// How long a probe, direct or indirect, may take. Default 400 ms.
+    /// Timeout of a direct probe, and of the indirect probes after it. Default 400 ms.
     pub probe_timeout: Span,
-    /// Members asked to probe a silent one. Default 3.
+    /// Number of members that are asked to probe an unresponsive one. Default 3.
     pub indirect_probes: usize,
-    /// Daemons that must suspect a member before it counts as dead, this one included; fewer when
-    /// there are not so many, but at least 2. Default 3.
+    /// Daemons, this one included, that must suspect a member before it counts as dead. In a fleet
+    /// with fewer live daemons all of them must, but at least 2. Default 3.
     pub confirmations: usize,
-    /// Least time from suspicion to death, in which to refute it. Default 2 s.
+    /// Shortest time from suspicion to death, in which the member can refute it. Default 2 s.
     pub min_suspicion: Span,
-    /// A suspect counts as dead after so long without confirmation too. Default 15 s.
+    /// Time after which a suspect counts as dead even without confirmation by others. Default 15 s.
     pub max_suspicion: Span,
-    /// How often a dead member is probed. Default 10 s.
+    /// Shortest time between two probes of a dead member. Default 10 s.
     pub dead_probe_interval: Span,
-    /// How long a dead member that is no longer listed, or one that left, is remembered.
-    /// Default 10 min.
+    /// How long the state of a dead member that is no longer on the host list, or of one that left,
+    /// is kept. Default 10 min.
     pub retention: Span,
 }
 
@@ -46,110 +46,113 @@
     }
 }
 
-/// What is held of a member; in rising order of rank within one incarnation.
+/// Health of a member. Of two reports on one incarnation, the one with the higher health in this
+/// order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// Live.
+    /// Answers probes; counts as live.
     Alive,
-    /// Silent towards some; still counted as live.
+    /// Did not answer the probes of some daemons; still counts as live.
     Suspect,
-    /// Not counted as live.
+    /// Suspected by enough daemons or for long enough; does not count as live.
     Dead,
-    /// Left by its own word.
+    /// Announced that it leaves; does not count as live.
     Left,
 }
 
-/// A line of the platform's host list.
+/// An entry of the platform's host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    /// The daemon.
+    /// Daemon on the host.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainId,
-    /// Whether the platform is about to take the host away.
+    /// Whether the platform is about to withdraw the host.
     pub leaving: bool,
 }
 
-/// What one daemon tells another of a third.
+/// Gossip about a member: its health as one daemon observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Update {
-    /// The member.
+    /// Member that the update is about.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: DomainId,
-    /// Incarnation that the report is about.
+    /// Incarnation of the member that the update is about.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// Health of that incarnation.
     pub health: Health,
-    /// Who says so of its own knowledge.
+    /// Daemon that observed it; stays the same when others pass the update on.
     pub by: NodeId,
 }
 
-/// An input.
+/// An input of [`Membership`](super::Membership).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The host list was read.
+    /// The host list was read. Members that it lacks stay known, but no longer as listed.
     HostList(Vec<Entry>),
-    /// A message of any kind came straight from a member, or its answer by an indirect probe.
+    /// A message of any kind arrived directly from a member, or its answer to an indirect probe
+    /// arrived.
     Contact {
-        /// The member.
+        /// Member that sent it.
         from: NodeId,
-        /// As it says.
+        /// Incarnation that the member stated.
         incarnation: Incarnation,
     },
-    /// A probe came in; `view` is what the prober holds of this daemon.
+    /// A probe of this daemon arrived.
     Probed {
-        /// The prober.
+        /// Prober.
         from: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the prober.
         incarnation: Incarnation,
-        /// What it holds of this daemon.
+        /// This daemon's health as the prober records it.
         view: Update,
     },
-    /// Reports came with a message.
+    /// Gossip arrived with a message.
     Updates(Vec<Update>),
-    /// This daemon is about to stop.
+    /// This daemon is about to stop; it announces that and probes no more.
     Leave,
 }
 
 /// Something for the driver to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// Probe a member; [`Event::Contact`] if it answers.
+    /// Probe a member; an answer is reported by [`Event::Contact`].
     Probe {
-        /// The member.
+        /// Member to probe.
         target: NodeId,
-        /// What this daemon holds of it; goes with the probe.
+        /// Health of the target as this daemon records it; sent with the probe.
         view: Update,
     },
-    /// Ask `via` to probe `target`; [`Event::Contact`] of the target if that answers.
+    /// Ask `via` to probe `target`; an answer of the target is reported by [`Event::Contact`].
     IndirectProbe {
-        /// Whom to ask.
+        /// Member that sends the probe.
         via: NodeId,
-        /// Whom to probe.
+        /// Member to probe.
         target: NodeId,
-        /// Goes with the probe.
+        /// Health of the target as this daemon records it; sent with the probe.
         view: Update,
     },
-    /// Answer a probe, with this daemon's incarnation.
+    /// Acknowledge a probe, with this daemon's incarnation.
     Ack {
-        /// The prober.
+        /// Prober.
         to: NodeId,
-        /// May have been raised by the probe.
+        /// This daemon's incarnation, which the probe may have raised.
         incarnation: Incarnation,
-        /// What this daemon holds of the prober, for it to refute.
+        /// Health of the prober as this daemon records it, for the prober to refute; `None` when
+        /// the prober is unknown.
         view: Option<Update>,
     },
-    /// What is held of a member changed.
+    /// The recorded health of a member changed, or a member became known.
     HealthChanged {
-        /// The member.
+        /// Member whose health changed.
         node: NodeId,
-        /// From now on.
+        /// New health.
         health: Health,
     },
 }
--- a/crates/kelpworks-coord/src/membership/mod.rs
+++ b/crates/kelpworks-coord/src/membership/mod.rs
@@ -1,14 +1,15 @@
-//! Which daemons are live, by the platform's host list and by probes.
+//! Group membership: which daemons are live, by the platform's host list and by probes.
 //!
-//! The protocol is SWIM's: each daemon probes one other at a time, directly and then through a few
-//! others, and passes on what it learns with its messages. Its load does not grow with the fleet.
+//! The protocol is SWIM: each daemon probes one member at a time, first directly and then through a
+//! few others, and piggybacks gossip about members on its messages. Each daemon's probe load is
+//! independent of the size of the fleet.
 //!
-//! - A silent member is a suspect first. It counts as dead once others suspect it as well, or after
-//!   a long timeout, so one bad link of one daemon buries no one.
-//! - A probe tells its target what the prober holds of it. A target that reads that it is suspect
-//!   or dead raises its incarnation, and its answer overrides the report.
-//! - Dead members that the host list still shows are probed on, at a slower pace. So a daemon that
-//!   is live and can be reached does not stay dead for ever.
+//! - An unresponsive member is suspected first. It counts as dead once other daemons suspect it as
+//!   well, or after a long timeout, so that one bad link of one daemon declares no member dead.
+//! - A probe carries the target's health as the prober records it. A target that is reported
+//!   suspect or dead raises its incarnation, and its answer overrides the report.
+//! - Dead members are still probed, at a longer interval, as long as the host list shows them. So a
+//!   daemon that is live and reachable does not stay dead forever.
 //!
 //! ```
 //! use kelpworks_coord::id::*;
@@ -18,15 +19,18 @@
 //! let (a, b) = (NodeId::of("a"), NodeId::of("b"));
 //! let mut members = Membership::new(Config::default(), a, DomainId(1), Incarnation(1));
 //! let now = Instant::ZERO;
-//! members.on_event(now, Event::HostList(vec![Entry { node: b, domain: DomainId(1), leaving: false }]));
+//! members.on_event(
+//!     now,
+//!     Event::HostList(vec![Entry { node: b, domain: DomainId(1), leaving: false }]),
+//! );
 //! let actions = members.on_event(now, Event::Tick);
 //! assert!(matches!(actions[..], [Action::Probe { target, .. }] if target == b));
 //! members.on_event(now, Event::Contact { from: b, incarnation: Incarnation(5) });
 //! assert_eq!(members.health(b), Some(Health::Alive));
 //! ```
 //!
-//! Limits: a daemon must start with an incarnation above that of its earlier runs, such as the
-//! time of its start. Two sides of a cut each count the other dead, and both go on.
+//! Limits: a daemon must start with an incarnation above that of its earlier runs, for example its
+//! start time. In a network partition each side counts the other as dead, and both continue.
 
 mod messages;
 
@@ -51,12 +55,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
     domain: DomainId,
-    /// Never falls while the member is known.
+    /// Never decreases while the member is known.
     incarnation: Incarnation,
     health: Health,
-    /// Since when it has this health.
+    /// When it got its present health.
     since: Instant,
-    /// Who suspects it under this incarnation; empty unless it is a suspect.
+    /// Daemons that suspect it in this incarnation; empty unless it is a suspect.
     suspected_by: BTreeSet<NodeId>,
     listed: bool,
     leaving: bool,
@@ -73,30 +77,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Queued {
     update: Update,
-    /// Messages that it still goes with; at least 1.
+    /// Number of messages that it is still piggybacked on; at least 1.
     sends_left: u32,
 }
 
-/// One daemon's view of the others.
+/// One daemon's view of the other members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Membership {
     cfg: Config,
     me: NodeId,
     domain: DomainId,
-    /// Above every incarnation under which anyone reported this daemon suspect or dead.
+    /// Above every incarnation in which a daemon reported this one suspect or dead.
     incarnation: Incarnation,
     has_left: bool,
-    /// Never holds this daemon itself.
+    /// The other members; never contains this daemon.
     members: BTreeMap<NodeId, Member>,
-    /// At most one at a time, so that the load is constant.
+    /// The outstanding probe; at most one at a time, so that the load is constant.
     probe: Option<Probe>,
     next_probe: Instant,
-    /// One update a member at most, bar suspicions of different daemons.
+    /// Updates to gossip: at most one per member, except for suspicions by different daemons.
     queue: VecDeque<Queued>,
 }
 
 impl Membership {
-    /// A daemon that knows of no other yet.
+    /// Creates the view of a daemon that knows no other member yet.
     pub fn new(cfg: Config, me: NodeId, domain: DomainId, incarnation: Incarnation) -> Membership {
         Membership {
             cfg,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Takes an input.
+    /// Handles an input and returns what the driver has to do.
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.on_tick(now),
@@ -145,17 +149,18 @@
         }
     }
 
-    /// What is held of a member; `None` of one that is not known, and of this daemon.
+    /// Returns the recorded health of a member; `None` for unknown members and for this daemon.
     pub fn health(&self, node: NodeId) -> Option<Health> {
         self.members.get(&node).map(|m| m.health)
     }
 
-    /// This daemon's incarnation, for every message it sends.
+    /// Returns this daemon's incarnation, which goes with every message it sends.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Members that count as live, suspects included, with their failure domains; not this daemon.
+    /// Returns the members that count as live, including suspects and without this daemon, with
+    /// their failure domains.
     pub fn live(&self) -> impl Iterator<Item = (NodeId, DomainId)> + '_ {
         self.members
             .iter()
@@ -163,12 +168,13 @@
             .map(|(&node, m)| (node, m.domain))
     }
 
-    /// Whether the host list shows the member as leaving.
+    /// Returns whether the host list shows the member as leaving.
     pub fn is_leaving(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(|m| m.leaving)
     }
 
-    /// Up to `max` reports to go with the next message; those that went least often come first.
+    /// Takes up to `max` updates to piggyback on the next message. New updates come first; updates
+    /// that have been sent go to the end of the queue.
     pub fn take_updates(&mut self, max: usize) -> Vec<Update> {
         let n = self.queue.len().min(max);
         let mut taken: Vec<Queued> = self.queue.drain(..n).collect();
@@ -181,7 +187,7 @@
         updates
     }
 
-    /// All that is held, this daemon included, for a peer that just joined.
+    /// Returns the health of all members, including this daemon, for a peer that has just joined.
     pub fn snapshot(&self) -> Vec<Update> {
         let others = self.members.keys().filter_map(|&node| self.view(node));
         others.chain([self.own_update()]).collect()
@@ -278,7 +284,8 @@
         m.suspected_by.clear();
         if update.health == Health::Suspect {
             m.suspected_by.insert(update.by);
-            // Look for ourselves soon: our word may confirm it, or give the member its chance.
+            // Probe the member soon: this daemon may confirm the suspicion, or the probe lets the
+            // member refute it.
             m.last_probe = None;
         }
         let changed = m.health != update.health || !is_known;
@@ -335,7 +342,8 @@
             .filter(|m| m.health == Health::Alive)
             .count()
             + 1;
-        // One daemon's word is never enough; the long timeout is for when there is no other's.
+        // One daemon's suspicion never suffices; `max_suspicion` covers the case that no other
+        // daemon can confirm it.
         let required = self.cfg.confirmations.min(alive).max(2);
         let due: Vec<NodeId> = self
             .members
@@ -419,8 +427,9 @@
     fn start_probe(&mut self, now: Instant) -> Vec<Action> {
         self.next_probe = now + self.cfg.probe_interval;
         let cfg = self.cfg;
-        // Least recently probed first, those never probed before all others. Ties fall to a hash
-        // that differs between probers, so that a fleet started together does not probe in step.
+        // Least recently probed first; members that were never probed precede all others. Ties are
+        // broken by a hash that differs between probers, so that daemons that start together do not
+        // all probe the same member.
         let me = self.me;
         let target = self
             .members
--- a/crates/kelpworks-coord/src/poison.rs
+++ b/crates/kelpworks-coord/src/poison.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the upstreams that run them.
+//! Detection of poison requests: requests that crash the upstreams that run them.
 //!
-//! When an upstream dies, every request that it was running is a suspect. Suspects are run again
-//! apart from each other, at most one on an upstream, so a second crash points at one of them.
-//! Its fingerprint is then refused for a while; all the others are cleared by finishing.
+//! When an upstream dies, every request that it was running is suspected. Suspects are rerun in
+//! isolation from each other, at most one on an upstream, so that a second crash identifies one of
+//! them. Its fingerprint is then refused for a time; the others are cleared when they finish.
 //!
 //! ```
 //! use kelpworks_coord::id::UpstreamId;
@@ -24,10 +24,10 @@
 //! assert_eq!(poison.check(now, good), Admission::Normal);
 //! ```
 //!
-//! Limits: a request that was running on two upstreams that died of something else is refused
-//! though innocent. Suspects of different daemons may meet on one upstream before the reports have
-//! spread; when that one dies no one is convicted, and those suspects run alone from then on, which
-//! may cost a third upstream.
+//! Limits: a request that was running on two upstreams that died of other causes is refused by
+//! mistake. Suspects of different daemons may run on one upstream before the daemons have exchanged
+//! their reports; when that upstream dies, none of them is refused, and they run exclusively from
+//! then on, which may cost a third upstream.
 
 use std::collections::BTreeMap;
 
@@ -35,15 +35,15 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Bounds.
+/// Limits of poison detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// How long a convicted request is refused. Default 10 min.
+    /// How long a poison request is refused. Default 10 min.
     pub refusal_ttl: Span,
-    /// How long a suspicion is remembered. Default 10 min.
+    /// How long a suspicion lasts after the last crash. Default 10 min.
     pub suspicion_ttl: Span,
-    /// Suspects and convicts tracked at most; beyond it the oldest suspect is forgotten.
-    /// Default 4,096.
+    /// Most suspects and refused requests that are tracked; above it the oldest suspect is dropped,
+    /// or without suspects the refusal that ends first. Default 4,096.
     pub max_tracked: usize,
 }
 
@@ -57,36 +57,36 @@
     }
 }
 
-/// Hash of team and body; the same when a caller sends a request again.
+/// Hash of a request's team and body; equal when a caller retries a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// An input.
+/// An input of [`PoisonTracker`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An upstream died while it ran these.
+    /// An upstream died while it ran requests.
     Crashed {
-        /// The upstream.
+        /// Upstream that died.
         upstream: UpstreamId,
-        /// What it ran for this daemon.
+        /// Requests that it ran for this daemon.
         running: Vec<Fingerprint>,
     },
-    /// A request finished.
+    /// A request finished, which clears it.
     Finished(Fingerprint),
-    /// A request ended otherwise, with its upstream alive; it stays under suspicion.
+    /// A request ended without finishing while its upstream lives; it stays suspected.
     Ended(Fingerprint),
-    /// Another daemon saw an upstream die that ran this.
+    /// Another daemon reported that an upstream died while it ran a request.
     PeerSuspects {
-        /// The request.
+        /// Request that is suspected.
         fingerprint: Fingerprint,
-        /// The upstream that died.
+        /// Upstream that died.
         upstream: UpstreamId,
     },
-    /// Another daemon convicted this, with so much of the refusal left.
+    /// Another daemon identified a poison request and refuses it.
     PeerConfirmed {
-        /// The request.
+        /// Poison request.
         fingerprint: Fingerprint,
-        /// Time left.
+        /// Remaining time of the refusal.
         remaining: Span,
     },
 }
@@ -94,57 +94,59 @@
 /// Something for the driver to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// Run it again, where [`PoisonTracker::try_start`] allows; tell peers of the suspicion.
+    /// Rerun a suspect where [`PoisonTracker::try_start`] allows it, and report the suspicion to
+    /// peers.
     RerunIsolated {
-        /// The request.
+        /// Request to rerun.
         fingerprint: Fingerprint,
-        /// The upstream that died.
+        /// Upstream that died.
         upstream: UpstreamId,
     },
-    /// Fail it, refuse it from now on, and tell peers.
+    /// Fail a poison request, refuse it from now on, and report it to peers.
     Refuse(Fingerprint),
-    /// Withdraw the suspicion from peers.
+    /// Withdraw the suspicion that was reported to peers.
     Clear(Fingerprint),
 }
 
-/// How a request may be run.
+/// Whether and where a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// Like any other.
+    /// On any upstream; the request is not suspected.
     Normal,
-    /// Only where [`PoisonTracker::try_start`] allows.
+    /// Only where [`PoisonTracker::try_start`] allows it.
     Isolated,
-    /// Not at all.
+    /// Not at all; the request is refused as poison.
     Refused {
-        /// Until then.
+        /// Remaining time of the refusal.
         retry_after: Span,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Suspect {
-    /// First upstream that died with it.
+    /// First upstream that died while it ran this request.
     first_crash: UpstreamId,
-    /// Since the last crash.
+    /// Time of the last crash.
     since: Instant,
-    /// Where it runs now, if anywhere; no two suspects share one.
+    /// Upstream on which it runs now; no two suspects share one.
     running_on: Option<UpstreamId>,
-    /// Set when it shared a second crash with another suspect: runs while no other suspect does.
+    /// Set after it was one of several suspects in a second crash: it runs only while no other
+    /// suspect runs.
     exclusive: bool,
 }
 
-/// What one daemon holds of suspects and convicts.
+/// One daemon's record of suspected and refused requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PoisonTracker {
     cfg: Config,
-    /// Together with `convicts` at most [`Config::max_tracked`].
+    /// Together with `refused` at most [`Config::max_tracked`].
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Refused until then; disjoint from `suspects`.
+    /// End of the refusal of each poison request; disjoint from `suspects`.
     refused: BTreeMap<Fingerprint, Instant>,
 }
 
 impl PoisonTracker {
-    /// No suspects.
+    /// Creates an empty tracker.
     pub fn new(cfg: Config) -> PoisonTracker {
         PoisonTracker {
             cfg,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// How a request may be run now.
+    /// Returns whether and where a request may run now.
     pub fn check(&self, now: Instant, fingerprint: Fingerprint) -> Admission {
         if let Some(until) = self.refused.get(&fingerprint).filter(|&&until| until > now) {
             return Admission::Refused {
@@ -166,10 +168,11 @@
         }
     }
 
-    /// Asks to run a suspect on an upstream, and notes that it does.
+    /// Records that a suspect starts on an upstream, if it may, and returns whether it may.
     ///
-    /// False while another suspect runs there, on the upstream with which it first crashed, or
-    /// while one of the two must run alone. Always true for those that are no suspects.
+    /// Returns false while another suspect runs on the upstream, for the upstream of the suspect's
+    /// first crash, while any other suspect runs if one of the two is exclusive, and for refused
+    /// requests. Always returns true for requests that are neither suspected nor refused.
     pub fn try_start(
         &mut self,
         now: Instant,
@@ -201,7 +204,7 @@
         true
     }
 
-    /// Takes an input.
+    /// Handles an input and returns what the driver has to do.
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.expire(now);
         match event {
--- a/crates/kelpworks-coord/src/rendezvous.rs
+++ b/crates/kelpworks-coord/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Choice of a few daemons per failure domain by rendezvous hashing.
+//! Selection of a few daemons per failure domain by rendezvous hashing.
 //!
 //! The object API counts a waiting watch as a call and does not grow with the fleet, so only a few
-//! daemons watch it and tell the others. Every daemon works out by itself who they are; when one
-//! dies only its own place is filled anew.
+//! daemons watch it and notify the others. Every daemon computes the same selection on its own;
+//! when a selected daemon dies, only it is replaced.
 //!
 //! ```
 //! use kelpworks_coord::id::*;
@@ -14,8 +14,9 @@
 //! assert_eq!(watchers.len(), 2);
 //! ```
 //!
-//! Daemons whose views of the membership differ choose differently for a while: there may be more
-//! watchers than wanted, or fewer. Anti-entropy in [`crate::dissemination`] covers the latter.
+//! Limits: daemons with different views of the membership select differently, so that there may
+//! temporarily be more or fewer watchers than wanted. When there are fewer, the heartbeats of
+//! [`crate::dissemination`] still deliver new generations.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +25,9 @@
 use crate::id::DomainId;
 use crate::id::NodeId;
 
-/// Up to `per_domain` members of each failure domain for a duty, in order of identifier.
+/// Returns up to `per_domain` members of each failure domain for a role, in order of identifier.
+///
+/// The name of the role is hashed, so that different roles select different members.
 pub fn choose(members: &[(NodeId, DomainId)], role: &str, per_domain: usize) -> Vec<NodeId> {
     let mut by_domain: BTreeMap<DomainId, Vec<(u64, NodeId)>> = BTreeMap::new();
     for &(node, domain) in members {
--- a/crates/kelpworks-coord/src/repair.rs
+++ b/crates/kelpworks-coord/src/repair.rs
@@ -1,8 +1,9 @@
-//! Level-triggered repair: orders follow from what is wanted and what was last read back.
+//! Level-triggered reconciliation of an engine's state: orders follow from the desired state and
+//! the last observed state.
 //!
-//! No order is remembered as done. A holder of the placement lease reads each engine's state and
-//! orders the difference, as often as there is one; so an order that was lost, or a stale one that
-//! an engine took from an earlier holder, is made good by the next reading.
+//! No order is recorded as done. The holder of the placement lease reads each engine's state and
+//! orders the difference, as often as there is one. So a lost order, or a stale order that an
+//! engine accepted from an earlier holder, is corrected after the next read.
 //!
 //! ```
 //! use kelpworks_coord::lease::Token;
@@ -22,19 +23,21 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// What one engine is to hold, and what it was last seen to hold.
+/// Desired and last observed state of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Repair<S> {
-    /// Longest time from sending an order to its effect.
+    /// Longest time from sending an order until its effect can be read.
     order_bound: Span,
     desired: Option<S>,
-    /// Last state read, and when its reading was asked for.
+    /// Last state read, and when the query for it was sent.
     observed: Option<(S, Instant)>,
     last_order_at: Option<Instant>,
 }
 
 impl<S: Clone + PartialEq> Repair<S> {
-    /// An engine of which nothing is known or wanted.
+    /// Creates the state of an engine with no desired and no observed state.
+    ///
+    /// `order_bound` is the longest time from sending an order until its effect can be read.
     pub fn new(order_bound: Span) -> Repair<S> {
         Repair {
             order_bound,
@@ -44,14 +47,15 @@
         }
     }
 
-    /// Sets what the engine is to hold.
+    /// Sets the state that the engine should have.
     pub fn set_desired(&mut self, state: S) {
         self.desired = Some(state);
     }
 
-    /// Notes what the engine said that it holds, and when it was asked.
+    /// Records the state that the engine reported, and when it was queried.
     ///
-    /// Answers may come out of order: one that was asked for before the last is dropped.
+    /// Answers may come out of order: the answer to an earlier query than the latest answered one
+    /// is dropped.
     pub fn observe(&mut self, now: Instant, queried_at: Instant, state: S) {
         debug_assert!(queried_at <= now);
         if self
@@ -63,15 +67,16 @@
         }
     }
 
-    /// Whether the engine was last seen to hold what is wanted.
+    /// Returns whether the last observed state equals the desired state.
     pub fn is_converged(&self) -> bool {
         self.observed.as_ref().map(|(s, _)| s) == self.desired.as_ref()
     }
 
-    /// The order that is due now; the caller sends it at once.
+    /// Returns the order that is due now; the caller sends it at once.
     ///
-    /// None without the lease, without a reading, and after an order until a reading that was
-    /// asked for after the order's bound still shows a difference.
+    /// Returns `None` without the lease (no fencing token), before the first observed state, and
+    /// after an order until a state that was queried after the order bound still shows a
+    /// difference.
     pub fn due_order(&mut self, now: Instant, fencing_token: Option<Token>) -> Option<(Token, S)> {
         let token = fencing_token?;
         let (_, queried_at) = self.observed.as_ref()?;
--- a/crates/kelpworks-coord/src/time.rs
+++ b/crates/kelpworks-coord/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time, as the driver passes it in.
+//! Monotonic time, as drivers pass it to the state machines.
 //!
 //! ```
 //! use kelpworks_coord::time::Instant;
@@ -8,7 +8,7 @@
 //! assert_eq!(t, Instant::from_millis(15));
 //! ```
 //!
-//! Values of two daemons are not comparable: each counts from its own start.
+//! Instants of two daemons are not comparable: each daemon counts from its own start.
 
 use std::ops::Add;
 
@@ -21,25 +21,25 @@
 pub struct Span(u64);
 
 impl Span {
-    /// No time.
+    /// A span of length zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of so many milliseconds.
+    /// Creates a span of whole milliseconds.
     pub const fn from_millis(ms: u64) -> Span {
         Span(ms)
     }
 
-    /// A span of so many seconds.
+    /// Creates a span of whole seconds.
     pub const fn from_secs(s: u64) -> Span {
         Span(s * 1_000)
     }
 
-    /// Its length in milliseconds.
+    /// Returns the length in milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// This span `n` times.
+    /// Returns this span multiplied by `n`; saturates at the numeric bounds.
     pub const fn times(self, n: u64) -> Span {
         Span(self.0.saturating_mul(n))
     }
@@ -61,17 +61,17 @@
     /// The daemon's start.
     pub const ZERO: Instant = Instant(0);
 
-    /// The point so many milliseconds after the daemon's start.
+    /// Creates the instant `ms` milliseconds after the daemon's start.
     pub const fn from_millis(ms: u64) -> Instant {
         Instant(ms)
     }
 
-    /// Milliseconds since the daemon's start.
+    /// Returns the milliseconds since the daemon's start.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// Time from `earlier` to this point; zero when `earlier` is later.
+    /// Returns the time from `earlier` to this instant; zero when `earlier` is later.
     pub const fn since(self, earlier: Instant) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
--- a/crates/kelpworks-coord/src/token.rs
+++ b/crates/kelpworks-coord/src/token.rs
@@ -1,19 +1,21 @@
-//! Token order: which replies of a session's pipeline count, and when a token may leave.
+//! Token order: which replies of a session's pipeline are accepted, and when a token may be
+//! emitted.
 //!
-//! For every token each layer must run exactly once and in order, though stages die, replies come
-//! late or twice, and parts of the work are done again elsewhere. A [`Lineage`] is the one place
-//! that decides: it knows the step that is due, accepts the one reply that matches it, and drops
-//! and counts every other.
+//! For every token each layer must run exactly once and in order, although stages die, replies
+//! arrive late or twice, and work is repeated on other replicas. A [`Lineage`] alone decides this:
+//! it knows the step that is due, accepts the one reply that matches it, and drops and counts all
+//! others.
 //!
-//! Each stage remembers how many positions its replica holds. The step due at a stage runs from
-//! there to the end of the sequence, so one rule covers prefill, decode and both recoveries:
+//! A lineage tracks for each stage how many positions its replica has in its KV cache. The step due
+//! at a stage runs from there to the end of the sequence, so one rule covers prefill, decode and
+//! both kinds of recovery:
 //!
-//! - [`Lineage::replace`] puts a new replica in place of one stage. The others keep their KV; the
-//!   new one replays the positions it lacks, from input rows or handles that the driver kept.
-//! - [`Lineage::restart`] starts every stage from nothing; prompt and emitted tokens are prefilled.
+//! - [`Lineage::replace`] replaces the replica of one stage. The other stages keep their KV; the
+//!   new replica replays the positions it lacks, from input rows or handles that the driver kept.
+//! - [`Lineage::restart`] restarts every stage without KV; prompt and emitted tokens are prefilled.
 //!
-//! Either draws a new attempt number, higher than all before, so replies of the replaced run no
-//! longer match. Tokens that were emitted are input from then on and are never produced again.
+//! Both use a new attempt number, higher than all before, so that replies of the replaced run no
+//! longer match. Emitted tokens are input from then on and are never produced again.
 //!
 //! ```
 //! use kelpworks_coord::id::Incarnation;
@@ -38,17 +40,17 @@
 //! # Ok::<(), kelpworks_coord::token::Error>(())
 //! ```
 //!
-//! Limits: a step covers all positions that a stage lacks; a driver that wants to prefill in
-//! chunks needs a cursor of its own in front. [`Lineage::accept`] allocates nothing.
+//! Limits: a step covers all positions that a stage lacks; a driver that prefills in chunks needs
+//! a cursor of its own on top. [`Lineage::accept`] allocates nothing.
 
 use thiserror::Error;
 
 use crate::id::Incarnation;
 
-/// Result of building a [`Lineage`].
+/// Result of creating or restarting a [`Lineage`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a pipeline cannot be driven.
+/// Reason for which stages or prompt do not form a pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
@@ -67,16 +69,16 @@
         /// Layers of the model.
         layers: u32,
     },
-    /// There is no prompt to begin from.
+    /// The prompt has no tokens.
     #[error("the prompt is empty")]
     EmptyPrompt,
 }
 
-/// A session, unique over all daemons.
+/// Identifier of a session, unique over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u128);
 
-/// A model version, as the driver numbers them.
+/// Model version, numbered by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionKey(pub u32);
 
@@ -89,25 +91,25 @@
     pub end: u32,
 }
 
-/// What a session runs.
+/// Session, model and prompt length of a [`Lineage`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Spec {
-    /// The session.
+    /// Identifier that replies must carry.
     pub session: SessionId,
-    /// Model version; a session never changes it.
+    /// Model version; never changes within a session.
     pub version: VersionKey,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_len: u32,
 }
 
 /// The step that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DueStep {
-    /// The session.
+    /// Identifier of the session.
     pub session: SessionId,
-    /// Attempt of the stage's replica.
+    /// Attempt number of the stage's replica.
     pub attempt: u32,
     /// First position of the step.
     pub position: u32,
@@ -115,20 +117,20 @@
     pub count: u32,
     /// Index of the stage.
     pub stage: usize,
-    /// Its layers.
+    /// Layers of the stage.
     pub layers: LayerRange,
-    /// Model version.
+    /// Model version that must run.
     pub version: VersionKey,
-    /// Incarnation of the stage's replica, once known.
+    /// Incarnation of the stage's replica; `None` until known.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What an engine echoes of the step it ran.
+/// An engine's description of the step that it ran, echoed with the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Reply {
-    /// The session.
+    /// Identifier of the session.
     pub session: SessionId,
-    /// The attempt.
+    /// Attempt number that came with the step.
     pub attempt: u32,
     /// First position that ran.
     pub position: u32,
@@ -136,14 +138,14 @@
     pub count: u32,
     /// Layers that ran.
     pub layers: LayerRange,
-    /// Version that ran.
+    /// Model version that ran.
     pub version: VersionKey,
     /// Incarnation of the engine.
     pub incarnation: Incarnation,
 }
 
 impl Reply {
-    /// The reply of an engine of this incarnation that ran exactly the step.
+    /// Returns the reply of an engine of this incarnation that ran exactly the step.
     pub fn to(step: &DueStep, incarnation: Incarnation) -> Reply {
         Reply {
             session: step.session,
@@ -157,53 +159,53 @@
     }
 }
 
-/// What an accepted reply leads to.
+/// Result of an accepted reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// The step of the next stage is due.
     NextStage,
-    /// Every layer has run; the reply's token may leave.
+    /// Every layer has run; the reply's token may be emitted.
     Token {
         /// Position of the token in the sequence.
         position: u32,
     },
 }
 
-/// Why a reply was dropped. The first difference in this order counts.
+/// Reason for which a reply was dropped: the first difference in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Error)]
 pub enum DropReason {
-    /// Another session's.
+    /// Of another session.
     #[error("of another session")]
     Session,
-    /// Of an older attempt, or of one that was never begun.
+    /// Of an older attempt, or of one that never started.
     #[error("of another attempt")]
     Attempt,
-    /// Of another stage.
+    /// Of another stage, or of other layers than the stage's.
     #[error("of other layers")]
     Layers,
     /// Of another model version.
     #[error("of another version")]
     Version,
-    /// Of an engine that restarted, and so lost the session's KV.
+    /// Of an engine that restarted and so lost the session's KV.
     #[error("of another incarnation")]
     Incarnation,
-    /// Late or repeated, or of a different number of positions.
+    /// Of other positions: late, repeated, or of a different count.
     #[error("of other positions")]
     Position,
 }
 
-/// Replies dropped, by reason.
+/// Numbers of dropped replies, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DropCounts([u32; 6]);
 
 impl DropCounts {
-    /// Replies dropped for this reason.
+    /// Returns the number of replies dropped for a reason.
     pub fn of(&self, reason: DropReason) -> u32 {
         self.0[reason as usize]
     }
 
-    /// Replies dropped in all.
+    /// Returns the number of replies dropped for any reason.
     pub fn total(&self) -> u32 {
         self.0.iter().sum()
     }
@@ -216,38 +218,39 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Stage {
-    /// Begins where the stage before ends.
+    /// Begins where the previous stage ends.
     layers: LayerRange,
-    /// Attempt of the present replica; at most [`Lineage::attempt`].
+    /// Attempt number of the present replica; at most [`Lineage::attempt`].
     attempt: u32,
-    /// Positions whose KV the present replica holds; never more than `Lineage::sequence_len`.
+    /// Number of positions in the present replica's KV cache; at most `Lineage::sequence_len`.
     kv_len: u32,
-    /// Set from the first accepted reply on, or by the driver.
+    /// Set by the driver, or by the first accepted reply.
     incarnation: Option<Incarnation>,
 }
 
-/// Cursor of one session.
+/// Progress of one session through its pipeline.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lineage {
     spec: Spec,
     /// Not empty; covers each layer exactly once and in order.
     stages: Vec<Stage>,
-    /// Highest attempt drawn so far; never falls.
+    /// Highest attempt number so far; never decreases.
     attempt: u32,
-    /// Prompt and emitted tokens, all known; never falls. Each round takes every stage's `held`
-    /// up to it, and then one token is emitted.
+    /// Number of prompt and emitted tokens; never decreases. Each round raises every stage's
+    /// `kv_len` to it, and then one token is emitted.
     sequence_len: u32,
-    /// Stage whose step is due. Stages before it hold `end` positions, unless replaced since.
+    /// Index of the stage whose step is due. For stages before it `kv_len` is `sequence_len`,
+    /// unless they were replaced since.
     due_stage: usize,
     drops: DropCounts,
 }
 
 impl Lineage {
-    /// A session at its beginning, with the prompt to be prefilled.
+    /// Creates a session whose prompt has to be prefilled.
     ///
     /// # Errors
     ///
-    /// When the stages do not cover the model's layers once and in order, or there is no prompt.
+    /// When the stages do not cover the model's layers once and in order, or the prompt is empty.
     pub fn new(spec: Spec, stages: &[LayerRange]) -> Result<Lineage> {
         check_stages(spec, stages)?;
         let stages = stages
@@ -270,7 +273,7 @@
         })
     }
 
-    /// The step that is due.
+    /// Returns the step that is due.
     pub fn due_step(&self) -> DueStep {
         let stage = &self.stages[self.due_stage];
         DueStep {
@@ -285,11 +288,11 @@
         }
     }
 
-    /// Takes a reply, if it is the one that is due.
+    /// Accepts a reply if it matches the step that is due, and moves on to the next step.
     ///
     /// # Errors
     ///
-    /// The reason for which the reply was dropped; nothing else has changed then.
+    /// The reason for which the reply was dropped; only the count of drops has changed then.
     pub fn accept(&mut self, reply: &Reply) -> std::result::Result<Progress, DropReason> {
         if let Err(reason) = self.matches(reply) {
             self.drops.count(reason);
@@ -308,7 +311,8 @@
         Ok(Progress::Token { position })
     }
 
-    /// Whether a reply is the one that is due, for a refusal too; changes and counts nothing.
+    /// Checks whether a reply, or a refusal by the engine, matches the step that is due. Changes
+    /// and counts nothing.
     ///
     /// # Errors
     ///
@@ -336,19 +340,19 @@
         Ok(())
     }
 
-    /// Puts a new replica in place of a stage's, and returns its attempt.
+    /// Replaces the replica of a stage, and returns the new replica's attempt number.
     ///
-    /// `held` is the number of positions that it already holds by KV import, 0 for none. It
-    /// replays the rest when the stage's step is next due; the outputs of positions before the
-    /// last round are not needed again.
+    /// `kv_len` is the number of positions that the new replica already has by KV import, 0 for
+    /// none. It replays the rest when the stage's step is next due; the outputs of positions before
+    /// the last round are not needed again.
     ///
     /// # Panics
     ///
-    /// When there is no such stage, or `held` is more than the old replica held.
+    /// When there is no such stage, or `kv_len` is more than that of the old replica.
     pub fn replace(&mut self, stage: usize, kv_len: u32, incarnation: Option<Incarnation>) -> u32 {
         assert!(
             kv_len <= self.stages[stage].kv_len,
-            "imported positions that never ran"
+            "kv_len is more than that of the replaced replica"
         );
         self.attempt += 1;
         let stage = &mut self.stages[stage];
@@ -358,13 +362,14 @@
         self.attempt
     }
 
-    /// Starts every stage anew, on stages that may be cut otherwise, and returns the attempt.
+    /// Restarts the session on stages whose layer ranges may differ, and returns the attempt
+    /// number.
     ///
-    /// Prompt and emitted tokens are prefilled; the next token to leave is the same as before.
+    /// Prompt and emitted tokens are prefilled; the next token to emit stays the same.
     ///
     /// # Errors
     ///
-    /// As [`Lineage::new`]; nothing has changed then.
+    /// Like [`Lineage::new`]; nothing has changed then.
     pub fn restart(&mut self, stages: &[LayerRange]) -> Result<u32> {
         check_stages(self.spec, stages)?;
         self.attempt += 1;
@@ -380,17 +385,17 @@
         Ok(attempt)
     }
 
-    /// Tokens that have left.
+    /// Returns the number of emitted tokens.
     pub fn emitted(&self) -> u32 {
         self.sequence_len - self.spec.prompt_len
     }
 
-    /// Highest attempt so far.
+    /// Returns the highest attempt number so far.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Positions that the replica of a stage holds.
+    /// Returns the number of positions in the KV cache of a stage's replica.
     ///
     /// # Panics
     ///
@@ -399,12 +404,12 @@
         self.stages[stage].kv_len
     }
 
-    /// Replies dropped since the counts were last taken.
+    /// Returns the numbers of replies dropped since [`Lineage::take_drops`] was last called.
     pub fn drops(&self) -> DropCounts {
         self.drops
     }
 
-    /// Takes the counts of dropped replies, for metrics.
+    /// Returns the numbers of dropped replies and resets them, for metrics.
     pub fn take_drops(&mut self) -> DropCounts {
         std::mem::take(&mut self.drops)
     }
--- a/crates/kelpworks-coord/tests/checker/mod.rs
+++ b/crates/kelpworks-coord/tests/checker/mod.rs
@@ -1,7 +1,11 @@
-//! Explores a model's states exhaustively, breadth first, by `pathfinding`.
+//! Explicit-state model checker: explores a model's states exhaustively, breadth first.
 //!
-//! `KELPWORKS_MODEL_BOUND=2 cargo test --release -p kelpworks-coord --test 'model_*' -- --nocapture`
-//! explores the larger bounds; 1 is the default.
+//! The environment variable `KELPWORKS_MODEL_BOUND` sets the bound, 1 by default. A run with the
+//! larger bounds:
+//!
+//! ```text
+//! KELPWORKS_MODEL_BOUND=2 cargo test --release -p kelpworks-coord --test 'model_*' -- --nocapture
+//! ```
 
 use std::fmt;
 use std::fmt::Debug;
@@ -10,32 +14,30 @@
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-/// More states than this are an error in the choice of bounds.
+/// Most states that are explored; a model with more has too large bounds.
 const MAX_STATES: usize = 4_000_000;
 
 /// A protocol together with its environment.
 pub(crate) trait Model {
-    /// A state of all parts and the environment.
+    /// State of all processes and their environment.
     type State: Clone + Eq + Hash + Debug;
-    /// What leads from one state to another.
+    /// Transition from one state to another.
     type Step: Copy + Debug;
 
-    /// The state at the beginning.
     fn initial_state(&self) -> Self::State;
 
-    /// Every step possible in a state.
+    /// Returns every step that is possible in a state.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
 
-    /// Takes a step.
+    /// Applies a step to a state.
     fn apply(&self, state: &mut Self::State, step: Self::Step);
 
-    /// The name of an invariant that does not hold in a state.
+    /// Returns an invariant that does not hold in a state.
     fn violated(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// An invariant that does not hold, with the shortest way there.
+/// An invariant that does not hold, with the shortest trace to a state that violates it.
 pub(crate) struct Violation {
-    /// The invariant.
     pub(crate) invariant: &'static str,
     steps: Vec<String>,
 }
@@ -55,7 +57,7 @@
     }
 }
 
-/// Number of states reached, or the first violation.
+/// Returns the number of reachable states, or the first violation.
 pub(crate) fn explore<M: Model>(model: &M) -> Result<usize, Violation> {
     let mut states = 0;
     for state in bfs_reach(model.initial_state(), |s| successors(model, s)) {
@@ -71,7 +73,7 @@
     Ok(states)
 }
 
-fn after<M: Model>(model: &M, state: &M::State, step: M::Step) -> M::State {
+fn successor<M: Model>(model: &M, state: &M::State, step: M::Step) -> M::State {
     let mut next = state.clone();
     model.apply(&mut next, step);
     next
@@ -79,7 +81,7 @@
 
 fn successors<M: Model>(model: &M, state: &M::State) -> Vec<M::State> {
     let steps = model.steps(state).into_iter();
-    steps.map(|step| after(model, state, step)).collect()
+    steps.map(|step| successor(model, state, step)).collect()
 }
 
 fn trace<M: Model>(model: &M, end: &M::State) -> Vec<String> {
@@ -92,13 +94,13 @@
     let step = |from: &M::State, to: &M::State| {
         let mut steps = model.steps(from).into_iter();
         steps
-            .find(|&step| after(model, from, step) == *to)
+            .find(|&step| successor(model, from, step) == *to)
             .map(|step| format!("{step:?}"))
     };
     path.windows(2).filter_map(|w| step(&w[0], &w[1])).collect()
 }
 
-/// Asserts that no invariant is broken, and prints the number of states.
+/// Asserts that no reachable state violates an invariant, and prints the number of states.
 pub(crate) fn assert_holds<M: Model>(name: &str, model: &M) {
     match explore(model) {
         Ok(states) => println!("{name}: {states} states"),
@@ -106,7 +108,7 @@
     }
 }
 
-/// Asserts that the checker finds this invariant broken, and prints the trace.
+/// Asserts that the checker finds a violation of this invariant, and prints the trace.
 pub(crate) fn assert_caught<M: Model>(name: &str, model: &M, invariant: &str) {
     match explore(model) {
         Ok(states) => panic!("{name}: not caught in {states} states"),
@@ -117,7 +119,7 @@
     }
 }
 
-/// The bound that was asked for, 1 if none was.
+/// Returns the bound of `KELPWORKS_MODEL_BOUND`, 1 without it.
 pub(crate) fn bound() -> u32 {
     let text = std::env::var("KELPWORKS_MODEL_BOUND");
     text.map_or(1, |t| {
--- a/crates/kelpworks-coord/tests/claim.rs
+++ b/crates/kelpworks-coord/tests/claim.rs
@@ -123,8 +123,8 @@
     )
 }
 
-/// An API that loses writes and takes reads: the write is tried again until the claim should have
-/// been settled, and the caller is told then.
+/// An API that answers reads and loses writes: the write is retried until the create timeout, and
+/// the caller gets its answer then.
 #[rstest]
 #[case::before(999, "[Write]")]
 #[case::after(1_000, "[NotRun(Unavailable)]")]
--- a/crates/kelpworks-coord/tests/control.rs
+++ b/crates/kelpworks-coord/tests/control.rs
@@ -1,4 +1,5 @@
-//! Table tests of the config head, the lease, repair, the write budget and dissemination.
+//! Table tests of the config head, the lease, repair, startup readiness, the write budget,
+//! rendezvous hashing and dissemination.
 
 use rstest::rstest;
 
@@ -117,7 +118,8 @@
     last
 }
 
-/// The same part came and went again: a compare of digests alone would take it for unchanged.
+/// Another operator changes the same part and changes it back. Comparing digests alone would take
+/// the part for unchanged.
 #[rstest]
 #[case::seen_at_once(vec![head(12, 7, part(1, 4), part(2, 7))], false)]
 #[case::after_a_lost_reply(vec![SwapEvent::Lost, head(9, 7, part(1, 4), part(2, 7))], true)]
@@ -161,7 +163,7 @@
     assert_eq!(
         follower.current(),
         Some(seen(5)),
-        "the old stays in force meanwhile"
+        "the previous configuration stays in force"
     );
     assert_eq!(
         follower.on_event(FollowerEvent::Retry),
@@ -244,14 +246,14 @@
     assert_eq!(
         lease.fencing_token(at(200)),
         None,
-        "no order while it is being given up"
+        "no order during the release"
     );
     let written = Event::Api(ApiReply::Written(Version::initial(2)));
     assert_eq!(lease.on_event(at(210), written), [Action::Resigned]);
     assert_eq!(
         lease.on_event(at(60_000), Event::Tick),
         [Action::Read],
-        "it is not taken back"
+        "a released lease is not acquired again"
     );
 
     let mut next = Lease::new(lease::Config::default(), OTHER, at(0));
@@ -319,7 +321,7 @@
     assert_eq!(
         lease.on_event(at(due + 2_000), unchanged),
         [write],
-        "the same write again"
+        "the same write is repeated"
     );
 }
 
@@ -359,7 +361,7 @@
     assert!(taken.abs_diff(per_second * 10) <= 9, "{taken}");
     assert!(
         budget.try_take(at(10_000), Purpose::Lease, 1).is_ok(),
-        "the reserve is apart"
+        "reserved writes have their own bucket"
     );
 }
 
@@ -418,8 +420,8 @@
     }
 }
 
-/// Daemons have a generation in force that the store has lost. The next change is made on top of an
-/// older head, and must be newer for them all the same.
+/// Daemons have a generation in force that the store lost in a restore. The next change is made on
+/// top of an older head, and daemons must still take it for newer.
 #[test]
 fn change_after_restore_has_a_higher_generation_than_the_lost_change() {
     use kelpworks_coord::head;
@@ -470,10 +472,11 @@
     let actions = follower.on_event(head::FollowerEvent::Seen(next));
     assert_eq!(actions, [head::FollowerAction::Fetch(next)]);
     let older = follower.on_event(head::FollowerEvent::Seen(copy));
-    assert_eq!(older, [], "the copy itself changes nothing");
+    assert_eq!(older, [], "the older head itself changes nothing");
 }
 
-/// Guards against versions that are ordered by their revision alone.
+/// Guards against ordering versions by their revision alone: after a restore, the head of the later
+/// era can have a lower revision than the one read before.
 #[test]
 fn swap_continues_with_a_lower_revision_of_a_later_era() {
     use kelpworks_coord::head;
--- a/crates/kelpworks-coord/tests/fleet.rs
+++ b/crates/kelpworks-coord/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of membership, facts and poison requests.
+//! Tests of membership, facts and the detection of poison requests.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -170,7 +170,7 @@
         incarnation: Incarnation(1),
         sequence,
     };
-    // What an author says under one version is one thing.
+    // An author states only one thing in one version, so all fields follow from it.
     let ttl = Span::from_secs(10 + sequence);
     Fact {
         key,
@@ -223,7 +223,7 @@
     let deltas = std::iter::from_fn(|| Some(facts.take_delta(at(2), 1_000, 7)));
     assert!(
         deltas.take(1_000).any(|d| d.is_empty()),
-        "each fact goes a bounded number of times"
+        "each fact is sent a bounded number of times"
     );
 }
 
@@ -280,7 +280,7 @@
     };
     assert_eq!((1..=3).map(letter).collect::<String>(), admits);
     let later = poison.check(at(600_001), Fingerprint(1));
-    assert_eq!(later, Admission::Normal, "no one is held for ever");
+    assert_eq!(later, Admission::Normal, "suspicions and refusals expire");
 }
 
 #[test]
--- a/crates/kelpworks-coord/tests/model_claim.rs
+++ b/crates/kelpworks-coord/tests/model_claim.rs
@@ -30,12 +30,13 @@
 use kelpworks_coord::time::Span;
 
 const AT_MOST_ONCE: &str = "at most one run";
-const NOT_RUN_IS_TRUE: &str = "a submission told not-run never ran";
+const NOT_RUN_IS_TRUE: &str = "a submission answered not-run never ran";
 const SAME_OUTCOME: &str = "all answers of a key are the same";
-const REPEAT_GETS_OUTCOME: &str = "a repeat after success gets its outcome while the holder lives";
+const REPEAT_GETS_OUTCOME: &str = "a retry after success gets its outcome while the holder lives";
 const NOT_BLOCKED: &str = "a key that was never dispatched is not blocked while its holders live";
 
-/// All deadlines lie here; before it the clock stands still, since only their passing matters.
+/// Deadline of all submissions. The clock has only two values, before it and at it, since only its
+/// passing matters.
 const DEADLINE: Instant = Instant::from_millis(1_000);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -43,22 +44,22 @@
     None,
     /// The object API ignores the condition of a write.
     Unconditional,
-    /// A lost reply is taken for a write that took effect.
+    /// A lost reply counts as a write that took effect.
     LostIsStored,
-    /// A dead holder is taken for one that never dispatched.
+    /// A dead holder counts as one that never dispatched.
     DeadNeverDispatched,
-    /// The driver answers a waiting caller `not-run` without telling the machine.
+    /// The driver answers a waiting caller `not-run` without an input to the state machine.
     DriverAnswers,
-    /// What is recorded is not what was answered.
+    /// Peers get another outcome than the caller.
     OutcomeChanged,
-    /// A daemon forgets the claims that it gave up.
+    /// A daemon drops its abandoned claims at once.
     ForgetsAbandoned,
-    /// Outcomes are neither recorded nor told to peers.
+    /// Outcomes are neither recorded nor reported to peers.
     OutcomeLost,
 }
 
 struct ClaimModel {
-    /// For each submission, the daemon it goes to.
+    /// Daemon that receives each submission.
     sent_to: Vec<usize>,
     faults: u8,
     crashes: u8,
@@ -84,9 +85,9 @@
 struct Submission {
     claim: Claim,
     started: bool,
-    /// The daemon that held it crashed.
+    /// Whether the daemon that held it crashed.
     crashed_holder: bool,
-    /// Its daemon sees that the deadline has passed.
+    /// Whether its daemon observes that the deadline has passed.
     late: bool,
     call: Option<Call>,
     upstream: Upstream,
@@ -96,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     object: Option<Stored>,
-    /// What stood before, for stale reads.
+    /// Earlier states of the object, for stale reads.
     past: Vec<Option<Stored>>,
     version: u64,
     submissions: Vec<Submission>,
@@ -114,7 +115,7 @@
 enum Step {
     Start(usize),
     Effect(usize),
-    /// A read that shows what stood before.
+    /// A read returns an earlier state of the object.
     StaleRead(usize, usize),
     Reply(usize),
     LoseReply(usize),
@@ -338,7 +339,7 @@
         }
     }
 
-    /// What becomes of a further submission once faults stop.
+    /// Returns a further submission of the key as it ends once faults stop.
     fn repeat_submission(&self, world: &World) -> Submission {
         let mut world = world.clone();
         let extra = world.submissions.len();
@@ -368,7 +369,7 @@
     }
 }
 
-/// Condition and new body of a write or removal.
+/// Returns condition and new body of a write or removal.
 fn change(action: &Action) -> Option<(Version, Option<Record>)> {
     match action {
         Action::Write { if_version, record } => Some((*if_version, Some(record.clone()))),
@@ -413,7 +414,7 @@
         let mut steps: Vec<Step> = (0..world.delayed.len()).map(Step::LateWrite).collect();
         for (i, s) in world.submissions.iter().enumerate() {
             if s.upstream == Upstream::Sent {
-                // The request may be on its way though its daemon is gone.
+                // The request may be in flight although its daemon crashed.
                 steps.push(Step::Execute(i));
             }
             if !s.crashed_holder {
@@ -470,7 +471,7 @@
             }
             Step::UpstreamRefuses(i) => self.finish(world, i, RunResult::NotRun),
             Step::UpstreamCut(i) => {
-                // The request may still be on its way.
+                // The request may still be in flight.
                 let sent = world.submissions[i].upstream;
                 self.finish(world, i, RunResult::MayHaveRun);
                 world.submissions[i].upstream = match sent {
@@ -487,7 +488,7 @@
                 world.crashes -= 1;
                 world.crashed = true;
                 for j in (0..self.sent_to.len()).filter(|&j| self.sent_to[j] == self.sent_to[i]) {
-                    // What was not submitted yet goes to the daemon's next run.
+                    // Submissions that have not started go to the daemon's next run.
                     if world.submissions[j].started {
                         delay(world, j);
                         world.submissions[j].crashed_holder = true;
@@ -500,8 +501,8 @@
 
     fn violated(&self, world: &World) -> Option<&'static str> {
         let was_wrongly_denied = |s: &Submission| {
-            let told = matches!(s.answer, Some(Answer::NotRun(_)));
-            told && (s.upstream == Upstream::Executed || s.upstream == Upstream::Sent)
+            let answered_not_run = matches!(s.answer, Some(Answer::NotRun(_)));
+            answered_not_run && (s.upstream == Upstream::Executed || s.upstream == Upstream::Sent)
         };
         if world.runs > 1 {
             return Some(AT_MOST_ONCE);
--- a/crates/kelpworks-coord/tests/model_head.rs
+++ b/crates/kelpworks-coord/tests/model_head.rs
@@ -30,10 +30,10 @@
 use kelpworks_coord::time::Span;
 
 const GENERATIONS_RISE: &str = "generations rise with each accepted change, by one within an era";
-const MONOTONIC: &str = "a daemon's generation never goes down";
+const MONOTONIC: &str = "a daemon's generation never decreases";
 const NO_LOST_UPDATE: &str = "no change overwrites one that its operator did not see";
 const APPLIED_ONCE: &str = "a change is applied once";
-const OUTCOME_IS_TRUE: &str = "an operator is told what became of the change";
+const OUTCOME_IS_TRUE: &str = "an operator gets the true outcome of a change";
 const VALIDATED: &str = "every accepted pair was validated together";
 const CONVERGES: &str = "every daemon reaches the accepted head once faults stop";
 
@@ -44,30 +44,30 @@
     None,
     /// The object API ignores the condition of a write.
     Unconditional,
-    /// Operators do not see when a part was brought.
+    /// Operators do not see in which generation a part was last changed.
     HidesSince,
-    /// Operators do not see which change brought a part.
+    /// Operators do not see which change last wrote a part.
     HidesNonce,
-    /// A write that was delayed takes effect whatever its condition.
+    /// A delayed write takes effect regardless of its condition.
     LateUnconditional,
     /// Operators skip validation.
     NoValidation,
-    /// A daemon takes any head it is shown.
+    /// A daemon applies any head that it receives.
     AppliesAnyHead,
-    /// A daemon takes no head from the API after the first.
+    /// A daemon ignores all heads after the first.
     IgnoresLaterHeads,
-    /// Replies carry revisions without the era.
+    /// Replies contain revisions without the era.
     NoEra,
-    /// Writes that are under way when the API is restored reach it all the same.
+    /// Writes that are in flight when the API is restored still reach it.
     WritesOutliveEras,
 }
 
 struct HeadModel {
     changes: Vec<Change>,
-    /// The pair of registers and rules with these digests does not fit.
+    /// Digests of a register and of rules that are not valid together.
     incompatible: (Digest, Digest),
     faults: u8,
-    /// Times that the API may come back from an older copy.
+    /// Number of times that the API may be restored from an older copy.
     restores: u8,
     mutant: Mutant,
 }
@@ -94,18 +94,18 @@
     highest: Generation,
 }
 
-/// A head that was accepted, at the version that it was then given.
+/// A head that was accepted, with the version that it got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Accepted {
     version: Version,
     head: Head,
-    /// Whether the API came back from a copy without it.
+    /// Whether a restore of the API lost it.
     lost: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// Every head that was ever accepted, in that order; the last that is not lost is in force.
+    /// Every accepted head, in order of acceptance; the last that is not lost is the present one.
     history: Vec<Accepted>,
     era: Era,
     restores: u8,
@@ -119,7 +119,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Effect(usize),
-    /// A read that shows an older head.
+    /// A read returns an older head.
     StaleRead(usize, usize),
     Reply(usize),
     LoseReply(usize),
@@ -128,13 +128,13 @@
     LateWrite(usize),
     Tick(usize),
     TimeOut(usize),
-    /// A daemon is shown a head of the history, by whatever source.
+    /// A daemon receives a head of the history, from any source.
     Show(usize, usize),
-    /// A daemon is shown what the other has in force.
+    /// A daemon receives the head that the other daemon has in force.
     Push(usize),
     Fetched(usize),
     Restart(usize),
-    /// The API comes back from the copy whose last head is this one of the history.
+    /// The API is restored from the copy whose last head is this one of the history.
     Restore(usize),
 }
 
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The head as an operator sees it.
+    /// Returns the head as the mutant shows it to operators.
     fn shown(&self, at: StoredHead) -> StoredHead {
         let shown = |p: Part| match self.mutant {
             Mutant::HidesSince => Part {
@@ -197,7 +197,7 @@
 
     fn write(&self, world: &mut World, o: usize, if_version: Version, head: Head) -> bool {
         let current = current_head(world);
-        // The API compares revisions; it can't know of which era a condition is.
+        // The API compares revisions only; it doesn't know the era of a condition.
         let is_met = current.version.revision == if_version.revision;
         if !is_met && self.mutant != Mutant::Unconditional {
             return false;
@@ -242,7 +242,7 @@
             SwapAction::Validate(_) if self.mutant == Mutant::NoValidation => SwapEvent::Valid,
             SwapAction::Validate(_) => SwapEvent::Invalid,
             SwapAction::SwapHead { if_version, head } => {
-                // The client knows of the later era by then, and sends nothing.
+                // The operator's client has observed the later era by then, and sends nothing.
                 let is_outdated = if_version.era < world.era && self.mutant == Mutant::None;
                 match !is_outdated && self.write(world, o, if_version, head) {
                     true => SwapEvent::Swapped,
@@ -268,7 +268,7 @@
                 daemon.fetching = Some(head);
             }
         }
-        // The count would tell states apart without end.
+        // The count would make the number of distinct states unbounded.
         daemon.follower.take_stale_count();
     }
 
@@ -298,7 +298,7 @@
             self.show(&mut world, d, last);
             self.fetched(&mut world, d);
         }
-        // A daemon keeps what the API has lost until it is shown something newer.
+        // A daemon keeps a head that the API has lost until it receives a newer one.
         let keeps_lost = |current: Option<Head>| {
             let mut lost = world.history.iter().filter(|a| a.lost);
             lost.any(|a| Some(a.head) == current && a.head.generation > last.generation)
@@ -362,7 +362,7 @@
         }
     }
 
-    /// What an operator was told, against what happened.
+    /// Returns whether the outcome that an operator got agrees with the history.
     fn outcome_is_true(&self, world: &World, o: usize) -> bool {
         let change = self.changes[o];
         let heads = || world.history.iter().map(|a| &a.head);
@@ -376,7 +376,7 @@
                 let part = stands.and_then(|h| part(h, change.kind));
                 match part {
                     Some(part) => part.nonce != change.nonce,
-                    // Only a copy from before the first change of that part lacks it.
+                    // The part is missing only after a restore from before its first change.
                     None => stands.is_some() && world.era > Era::FIRST,
                 }
             }
@@ -401,19 +401,19 @@
     }
 }
 
-/// A head as the API showed it when it was accepted.
+/// Returns a head of the history with the version that it got when it was accepted.
 fn stored(world: &World, index: usize) -> StoredHead {
     let Accepted { version, head, .. } = world.history[index];
     StoredHead { version, head }
 }
 
-/// Index of the head that the API holds.
+/// Returns the index of the API's present head in the history.
 fn current_index(world: &World) -> usize {
     let last = world.history.iter().rposition(|a| !a.lost);
     last.expect("the empty head is never lost")
 }
 
-/// The head that the API holds, as it shows it now.
+/// Returns the API's present head, with a version of the present era.
 fn current_head(world: &World) -> StoredHead {
     let Accepted { version, head, .. } = world.history[current_index(world)];
     StoredHead {
@@ -422,8 +422,8 @@
     }
 }
 
-/// Brings the API back to a copy, in its next era. What operators know of that ends the calls that wait for an
-/// answer; a write that is under way has no effect any more.
+/// Restores the API from a copy, in its next era. Operators observe the era, which ends their
+/// outstanding writes; a write in flight no longer takes effect.
 fn restore(model: &HeadModel, world: &mut World, index: usize) {
     for accepted in &mut world.history[index + 1..] {
         accepted.lost = true;
@@ -558,7 +558,7 @@
     }
 }
 
-/// Two operators on different parts that do not fit together.
+/// Two operators change different parts that are not valid together.
 fn incompatible_parts() -> HeadModel {
     let changes = vec![change(PartKind::Register, 1), change(PartKind::Rules, 2)];
     HeadModel {
@@ -567,12 +567,12 @@
     }
 }
 
-/// Two operators on the same part.
+/// Two operators change the same part.
 fn changes_to_same_part() -> HeadModel {
     model(vec![change(PartKind::Rules, 1), change(PartKind::Rules, 2)])
 }
 
-/// One operator before two that race.
+/// Three operators change the same part, so that two can race after the first.
 fn two_race_after_one() -> HeadModel {
     model([1, 2, 3].map(|byte| change(PartKind::Rules, byte)).to_vec())
 }
--- a/crates/kelpworks-coord/tests/model_lease.rs
+++ b/crates/kelpworks-coord/tests/model_lease.rs
@@ -28,41 +28,42 @@
 use kelpworks_coord::time::Span;
 
 const ONE_HOLDER_A_TOKEN: &str = "each token has one holder";
-const EXCLUSION: &str = "no two daemons may order at one moment";
+const EXCLUSION: &str = "no two daemons may send orders at the same time";
 const PROMPT_ORDER: &str = "an order within its bound precedes the next acquisition";
-const TOKEN_ORDER: &str = "a checking engine takes orders in token order";
+const TOKEN_ORDER: &str = "an engine that checks tokens accepts orders in token order";
 const REPAIRED: &str = "no stale order is left in effect after repair";
 
-/// Global time that one step of the clock adds, in milliseconds of a true clock.
+/// Time that one step of the global clock adds, in milliseconds.
 const UNIT_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
     None,
-    /// The engine takes any order.
+    /// The engine accepts any order.
     NoFenceCheck,
-    /// The second daemon's clock runs at four times the rate, so that it hardly waits.
+    /// The second daemon's clock runs at four times the rate, so that it acquires the lease too
+    /// early.
     FastSuccessorClock,
-    /// A renewal counts from its reply.
+    /// The lease's time counts from the reply to the renewal.
     CountsFromReply,
-    /// A daemon orders without having read the engine's state back.
+    /// A daemon sends orders without reading the engine's state first.
     NoReadBack,
     /// The lease object is removed, and with it the token.
     ObjectRemoved,
-    /// Replies carry revisions without the era.
+    /// Replies contain revisions without the era.
     NoEra,
 }
 
 struct LeaseModel {
     cfg: Config,
-    /// Milliseconds that each daemon's clock gains a unit.
+    /// Milliseconds that each daemon's clock advances per time unit.
     rates: [u64; 2],
-    /// Units of time explored.
+    /// Time units to explore.
     horizon: u64,
     faults: u8,
     crashes: u8,
     duplicates: u8,
-    /// How often the store comes back from an older copy.
+    /// Number of times that the store may be restored from an older copy.
     restores: u8,
     engine_checks: bool,
     mutant: Mutant,
@@ -85,17 +86,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Daemon {
     lease: Lease,
-    /// The lease before the outstanding call, for a mutant.
+    /// State of the lease before the outstanding call, for [`Mutant::CountsFromReply`].
     before: Option<Lease>,
     repair: Repair<Token>,
     clock: u64,
     incarnation: u64,
     call: Option<Call>,
-    /// An order that was allowed and not sent yet.
+    /// Order that was allowed by the fencing check and is not sent yet.
     checked: Option<Order>,
-    /// Takes no step; the replies of its calls wait.
+    /// Whether the daemon is paused: it takes no step, and replies to its calls wait.
     paused: bool,
-    /// What it ordered last, for a mutant.
+    /// Value of the last order, for [`Mutant::NoReadBack`].
     ordered: Option<Token>,
 }
 
@@ -103,15 +104,16 @@
 struct World {
     time: u64,
     object: Stored,
-    /// What stood before, for stale reads.
+    /// Previous state of the object, for stale reads.
     past: Stored,
     daemons: [Daemon; 2],
     delayed: Vec<(Version, Record)>,
     orders: Vec<Order>,
-    /// Orders that the network holds back.
+    /// Orders that the network delays.
     late: Vec<Order>,
-    /// Order in effect on the engine, and the highest token seen by it.
+    /// Value of the order in effect on the engine.
     value: Token,
+    /// Highest token that the engine received.
     highest: Token,
     holders: BTreeMap<Token, Owner>,
     faults: u8,
@@ -128,7 +130,7 @@
     Resume(usize),
     Tick(usize),
     Effect(usize),
-    /// A read that shows what stood before.
+    /// A read returns the previous state of the object.
     StaleRead(usize),
     Reply(usize),
     LoseReply(usize),
@@ -143,7 +145,7 @@
     DeliverLate(usize),
     DropOrder(usize),
     Crash(usize),
-    /// The store comes back from the copy before its last change, or from one without the lease.
+    /// The store is restored from the copy before its last change, or from one without the lease.
     Restore {
         has_lease: bool,
     },
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Gives a daemon's machine an input and carries out what it answers.
+    /// Passes an input to a daemon's lease and carries out the actions that it returns.
     fn feed(&self, world: &mut World, d: usize, event: Event) {
         let daemon = &mut world.daemons[d];
         let now = Instant::from_millis(daemon.clock);
@@ -244,7 +246,7 @@
         };
         let mut repair = daemon.repair.clone();
         repair.observe(now, now, seen);
-        // A reading that leads to no order is not kept, so as not to tell such states apart.
+        // A state read that leads to no order is not kept, to keep the number of states small.
         if let Some((token, value)) = repair.due_order(now, fence) {
             daemon.repair = repair;
             daemon.ordered = (self.mutant == Mutant::NoReadBack).then_some(value);
@@ -281,7 +283,7 @@
         !world.daemons.iter().all(fenced)
     }
 
-    /// Whether the engine ends with the holder's order once faults stop.
+    /// Returns whether the holder's order ends up in effect on the engine once faults stop.
     fn converges(&self, world: &World) -> bool {
         let mut world = world.clone();
         for _ in 0..40 {
@@ -353,7 +355,7 @@
     }
 }
 
-/// Whether anything is outstanding that takes no time unless a fault delays it.
+/// Returns whether there is work outstanding that takes no time unless a fault delays it.
 fn has_pending_work(world: &World) -> bool {
     let idle = |d: &Daemon| {
         let now = Instant::from_millis(d.clock);
@@ -363,7 +365,7 @@
     !world.orders.is_empty() || !world.daemons.iter().all(idle)
 }
 
-/// The write of an outstanding call may take effect at any later time.
+/// Lets the write of an outstanding call take effect at any later time.
 fn delay(world: &mut World, d: usize) {
     if let Some(Call::Write { if_version, record }) = world.daemons[d].call {
         world.delayed.push((if_version, record));
@@ -371,7 +373,8 @@
     }
 }
 
-/// A store compares revisions; it can't know of which era a condition is.
+/// Writes the object if its revision matches. The store compares revisions only; it doesn't know
+/// the era of a condition.
 fn write(world: &mut World, if_version: Version, record: Record) -> bool {
     let Version { era, revision } = world.object.version;
     if revision != if_version.revision {
@@ -398,7 +401,7 @@
     }
 }
 
-/// The store comes back in its next era.
+/// Restores the store from a copy, in its next era.
 fn restore(world: &mut World, has_lease: bool) {
     let era = Era(world.object.version.era.0 + 1);
     let copy = match has_lease {
@@ -544,7 +547,7 @@
         if !self.exclusive(world) {
             return Some(EXCLUSION);
         }
-        // Without the object nothing heals, which is not what that mutant is to show.
+        // Without the object the state never converges, which is not what that mutant tests.
         let ended = world.time == self.horizon && self.mutant != Mutant::ObjectRemoved;
         (ended && !self.converges(world)).then_some(REPAIRED)
     }
@@ -572,7 +575,7 @@
     }
 }
 
-/// One clock is slow by a half, the other fast by a half.
+/// Returns a model in which one clock runs at half the true rate and the other at one and a half.
 fn drifting() -> LeaseModel {
     let mut model = model();
     model.cfg.ttl = Span::from_millis(3 * UNIT_MS);
--- a/crates/kelpworks-coord/tests/model_membership.rs
+++ b/crates/kelpworks-coord/tests/model_membership.rs
@@ -21,9 +21,10 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
-const NO_LIVE_MEMBER_DEAD: &str = "no live daemon is held dead for ever";
-const CRASHED_IS_DEAD: &str = "a crashed daemon ends up dead for all";
-const CONFIRMED: &str = "no daemon counts as dead by one daemon's word before the long timeout";
+const NO_LIVE_MEMBER_DEAD: &str = "no live daemon counts as dead forever";
+const CRASHED_IS_DEAD: &str = "a crashed daemon finally counts as dead for all others";
+const CONFIRMED: &str =
+    "no daemon counts as dead by one daemon's suspicion before the long timeout";
 
 const NODES: usize = 3;
 const ROUND_MS: u64 = 1_000;
@@ -34,15 +35,15 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
     None,
-    /// No daemon learns what others hold of it, so none refutes.
+    /// No daemon learns the health that others record for it, so none refutes it.
     NoRefutation,
-    /// Passed-on suspicions count as the relaying daemon's own.
+    /// A relayed suspicion counts as one of the relaying daemon.
     RelayedCountsAsOwn,
-    /// A helper answers for its target without probing it.
+    /// An indirect prober acknowledges without probing the target.
     FalseIndirectAck,
 }
 
-/// Directed links that are cut, `(from, to)`.
+/// Directed links that are cut, as `(from, to)`.
 type Cut = &'static [(usize, usize)];
 
 const NO_CUT: Cut = &[];
@@ -58,7 +59,7 @@
 struct MembershipModel {
     rounds: u64,
     crashes: u8,
-    /// Whether rounds also run in the reverse order of daemons.
+    /// Whether rounds may also visit the daemons in reverse order.
     reorder: bool,
     mutant: Mutant,
 }
@@ -69,7 +70,7 @@
     up: [bool; NODES],
     round: u64,
     crashes: u8,
-    /// When a daemon first found another silent.
+    /// Time in ms of the first failed probe of each daemon (first index) to each other one.
     first_failed_probe: [[Option<u64>; NODES]; NODES],
     violation: Option<&'static str>,
 }
@@ -80,7 +81,7 @@
     Crash(usize),
 }
 
-/// What goes on within one round.
+/// One visit of a daemon within a round.
 struct Round<'a> {
     world: &'a mut World,
     cut: Cut,
@@ -89,7 +90,7 @@
 }
 
 impl Round<'_> {
-    fn passes(&self, from: usize, to: usize) -> bool {
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         self.world.up[from] && self.world.up[to] && !self.cut.contains(&(from, to))
     }
 
@@ -143,9 +144,10 @@
         self.feed(to, Event::Updates(updates));
     }
 
-    /// A probe and its answer; true when the answer arrived.
+    /// Carries out a probe and its acknowledgement; returns the acknowledged incarnation when the
+    /// acknowledgement arrived.
     fn probe_and_answer(&mut self, d: usize, t: usize, mut view: Update) -> Option<Incarnation> {
-        if !self.passes(d, t) {
+        if !self.is_reachable(d, t) {
             return None;
         }
         if self.mutant == Mutant::NoRefutation {
@@ -162,7 +164,7 @@
                 view,
             },
         );
-        if !self.passes(t, d) {
+        if !self.is_reachable(t, d) {
             return None;
         }
         self.gossip(t, d);
@@ -195,14 +197,14 @@
     }
 
     fn probe_via(&mut self, d: usize, via: usize, t: usize, view: Update) {
-        if !self.passes(d, via) {
+        if !self.is_reachable(d, via) {
             return;
         }
         let answered = match self.mutant {
             Mutant::FalseIndirectAck => Some(view.incarnation),
             _ => self.probe_and_answer(via, t, view),
         };
-        if let Some(incarnation) = answered.filter(|_| self.passes(via, d)) {
+        if let Some(incarnation) = answered.filter(|_| self.is_reachable(via, d)) {
             self.feed(
                 d,
                 Event::Contact {
@@ -218,7 +220,7 @@
     fn round(&self, world: &mut World, cut: Cut, reverse: bool) {
         let start = world.round * ROUND_MS;
         world.round += 1;
-        // The probe, its direct timeout and its indirect timeout.
+        // Ticks at the probe, at its direct timeout and at its indirect timeout, in ms.
         for sub in [0, 400, 800] {
             for i in 0..NODES {
                 let d = if reverse { NODES - 1 - i } else { i };
--- a/crates/kelpworks-coord/tests/model_token.rs
+++ b/crates/kelpworks-coord/tests/model_token.rs
@@ -18,8 +18,9 @@
 use kelpworks_coord::token::Spec;
 use kelpworks_coord::token::VersionKey;
 
-const CORRECT_TOKENS: &str = "each token is the one that all layers in order give";
-const KV_MATCHES: &str = "what a stage is held to hold, its engine computed in that attempt";
+const CORRECT_TOKENS: &str = "each token is the result of all layers in order";
+const KV_MATCHES: &str =
+    "the positions recorded for a stage were computed by its engine in that attempt";
 const ONE_INCARNATION: &str = "one attempt of a stage runs on one incarnation";
 const COMPLETES: &str = "the answer completes once faults stop";
 
@@ -33,7 +34,7 @@
     LayerRange { first: 1, end: 2 },
 ];
 
-/// The field of a reply that a mutant does not compare.
+/// Field of a reply that a mutant does not compare.
 #[derive(Clone, Copy, PartialEq)]
 enum Unchecked {
     Nothing,
@@ -50,18 +51,19 @@
     faults: u8,
     duplicates: u8,
     unchecked: Unchecked,
-    /// Whether the driver leaves a stage without its replay after replacing it, as a mutant.
+    /// Mutant: the driver does not send the replay to a stage that it replaced.
     skips_replay: bool,
 }
 
-/// An output row, or a token: a chain over stage, position, input and all earlier inputs.
+/// An output row or a token: a hash chain over stage, model version and all inputs up to the
+/// position.
 type Row = u64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Engine {
     incarnation: u64,
     version: u32,
-    /// Attempt and input rows, one a position, of the session.
+    /// Attempt number and input rows of the session, one row per position.
     kv: Option<(u32, Vec<Row>)>,
 }
 
@@ -83,12 +85,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     lineage: Lineage,
-    /// Replica in use for each stage, and the incarnation that its attempt began on.
+    /// Replica in use for each stage.
     used: [usize; STAGES],
+    /// Incarnation of each stage's first accepted reply in its present attempt.
     first_incarnation: [Option<Incarnation>; STAGES],
-    /// What the driver keeps: inputs of each stage by position; after the last, the tokens.
+    /// Rows that the driver keeps: inputs of each stage by position, which are the tokens for the
+    /// first stage. The last element stays empty.
     rows: Vec<Vec<Row>>,
-    /// Two for each stage.
+    /// Two replicas for each stage.
     engines: [[Engine; 2]; STAGES],
     requests: Vec<Request>,
     answers: Vec<Answer>,
@@ -106,7 +110,7 @@
     DeliverTwice(usize),
     Drop(usize),
     Foreign,
-    /// The driver takes the stage to the replica, that may be the same.
+    /// The driver replaces the stage's replica by this one, which may be the same.
     Replace(usize, usize),
     Restart,
     Crash(usize, usize),
@@ -120,7 +124,7 @@
     })
 }
 
-/// Token after the sequence, by running every stage over all of it.
+/// Returns the token after the sequence, computed by running every stage over all of it.
 fn reference(sequence: &[Row]) -> Row {
     let mut rows = sequence.to_vec();
     for stage in 0..STAGES {
@@ -169,7 +173,7 @@
         if position == 0 && newer {
             engine.kv = Some((attempt, Vec::new()));
         }
-        // A gap, a repeat or an old attempt is refused.
+        // The engine refuses gaps, repeated positions and older attempts.
         let Some((_, kv)) = engine
             .kv
             .as_mut()
@@ -216,7 +220,7 @@
         } else {
             world.lineage.accept(&reply)
         };
-        // The counts would tell states apart without end.
+        // The counts would make the number of distinct states unbounded.
         world.lineage.take_drops();
         let Ok(progress) = accepted else { return };
         let began = *world.first_incarnation[due.stage].get_or_insert(answer.reply.incarnation);
@@ -263,7 +267,7 @@
         world.used[stage] = replica;
         world.first_incarnation[stage] = None;
         world.lineage.replace(stage, 0, None);
-        // The step that was due may have changed with it.
+        // The replacement may have changed the step that is due.
         if !self.skips_replay {
             self.send(world);
         }
@@ -283,7 +287,8 @@
         })
     }
 
-    /// Once faults stop, the driver replaces a stage that refuses, and the answer completes.
+    /// Returns whether the answer completes once faults stop and the driver replaces stages that
+    /// refuse their step.
     fn completes(&self, world: &World) -> bool {
         let mut world = world.clone();
         for _ in 0..40 {
@@ -301,7 +306,7 @@
                 let good = (0..2).find(|&r| world.engines[stage][r].version == 1);
                 match good {
                     Some(replica) => self.replace(&mut world, stage, replica),
-                    // No replica of the version is left; a driver fails the session.
+                    // Without a replica of the version the driver fails the session.
                     None => return true,
                 }
             }
