--- a/crates/kelpworks-cli/src/change.rs
+++ b/crates/kelpworks-cli/src/change.rs
@@ -10,9 +10,9 @@
 use kelpworks::clients::object_api::Deadlines;
 use kelpworks::clients::object_api::HttpObjectApi;
 use kelpworks::config::accept;
+use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
-use kelpworks::config::accept::Which;
 use kelpworks::config::accept::name_of;
 use kelpworks::config::document::read_file;
 use kelpworks::register::Register;
@@ -45,12 +45,12 @@
 
 /// Reads and parses the new text, so that its own errors are reported before any system is
 /// contacted.
-fn read_proposal(which: Which, file: &Path) -> Result<Proposal> {
+fn read_proposal(which: PartKind, file: &Path) -> Result<Proposal> {
     let name = file.display().to_string();
     let text = read_file(file)?;
     match which {
-        Which::Register => Register::parse(&name, &text).map(drop)?,
-        Which::Rules => Rules::parse_alone(&name, &text).map(drop)?,
+        PartKind::Register => Register::parse(&name, &text).map(drop)?,
+        PartKind::Rules => Rules::parse_alone(&name, &text).map(drop)?,
     }
     Ok(Proposal::new(which, &name, text))
 }
--- a/crates/kelpworks-coord/src/claim/mod.rs
+++ b/crates/kelpworks-coord/src/claim/mod.rs
@@ -1,17 +1,17 @@
 //! At-most-once dispatch of keyed non-idempotent requests, by claim objects.
 //!
-//! The first daemon to see a key creates the key's claim object, conditional on its absence, and
-//! dispatches only once it knows that the object is there and its own. A repeat of the request
-//! finds the object and gets the recorded outcome, or learns that the request may have run. Two
-//! writes a request: the claim and its outcome.
+//! The first daemon that receives a key creates the key's claim object, on condition that it does
+//! not exist, and dispatches only after it has confirmed that the object exists and is its own. A
+//! retry of the request finds the object and gets the recorded outcome, or learns that the request
+//! may have run. Each request takes two writes: the claim and its outcome.
 //!
-//! **A claim that was never dispatched.** When the create's reply is lost and the object API then
-//! goes down, the claim may exist though its holder refuses the request. A third write before
-//! each dispatch would tell such a claim from one that ran; that price would be paid by every
-//! request for a rare case. Instead the holder keeps the refused claim in memory: it removes the
-//! object once the API is back, and until then answers peers [`PeerStatus::NeverDispatched`], upon
-//! which a repeat takes the object over by conditional update. Only if the holder dies in that
-//! window does the key stay `may-have-run`, until claims are cleared after their retention.
+//! **Claims that were never dispatched.** When the reply to the create is lost and the object API
+//! then goes down, the claim may exist although its holder refuses the request. A third write
+//! before each dispatch would distinguish such a claim from one that ran, but every request would
+//! pay for a rare case. Instead the holder keeps the refused claim in memory. It removes the object
+//! once the API is back, and until then reports [`PeerStatus::NeverDispatched`] to peers, after
+//! which a retry takes the object over by conditional update. Only if the holder dies in that
+//! window does the key stay `may-have-run`, until claims are removed after their retention time.
 //!
 //! ```
 //! use kelpworks_coord::claim::*;
@@ -33,10 +33,10 @@
 //! assert_eq!(actions, [Action::Dispatch]);
 //! ```
 //!
-//! `not-run` speaks of the submission that gets it. During an outage a daemon cannot know whether
-//! an earlier submission of the key, sent to another daemon, ran.
+//! The verdict `not-run` covers only the submission that gets it. During an outage a daemon cannot
+//! know whether an earlier submission of the key to another daemon ran.
 //!
-//! The machine assumes that conditional writes are linearizable; reads may be stale.
+//! The state machine assumes that conditional writes are linearizable; reads may be stale.
 
 mod messages;
 
@@ -48,22 +48,22 @@
 pub use messages::ApiReply;
 pub use messages::Config;
 pub use messages::Event;
-pub use messages::NotRun;
+pub use messages::NotRunReason;
 pub use messages::Outcome;
 pub use messages::PeerStatus;
 pub use messages::Phase;
 pub use messages::Record;
 pub use messages::Request;
-pub use messages::Run;
+pub use messages::RunResult;
 pub use messages::Stored;
 
-/// A claim that was given up is taken for removed after finding it absent so often and once more:
-/// one such read may be a lagging replica's, or come before a late write.
-const ABSENT_READS: u8 = 2;
+/// Number of times that the cleanup of an abandoned claim reads again after it found no object. A
+/// single read without result may come from a lagging replica, or precede a delayed write.
+const ABSENT_RETRIES: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Cleanup {
-    At(Instant),
+    RetryAt(Instant),
     Reading,
     Removing,
     Finished,
@@ -76,12 +76,13 @@
     Creating {
         if_version: Version,
     },
-    /// It is not known whether the write took effect.
-    Unsure {
+    /// It is unknown whether the write of the claim took effect. `read_at` is `None` while a read
+    /// is outstanding.
+    Unconfirmed {
         if_version: Version,
         read_at: Option<Instant>,
     },
-    Asking {
+    QueryingHolder {
         version: Version,
     },
     Running {
@@ -94,14 +95,15 @@
         answer_by: Option<Instant>,
         retry_at: Option<Instant>,
     },
-    /// Never dispatched, by this state's being reached only before dispatch or after a run that
-    /// reached no execution.
+    /// Never run: this state is reached only before dispatch, or after a dispatch that no upstream
+    /// executed.
     Abandoned(Cleanup),
-    /// Ended; the phase is what peers are told.
+    /// Ended. The phase determines the status reported to peers; `None` when this submission
+    /// dispatched nothing.
     Ended(Option<Phase>),
 }
 
-/// One submission of a keyed request, from first sight to recorded outcome.
+/// One submission of a keyed request, from its receipt to its recorded outcome.
 ///
 /// [`Action::Dispatch`] is returned at most once, and never together with or after
 /// [`Answer::NotRun`].
@@ -109,29 +111,30 @@
 pub struct Claim {
     cfg: Config,
     req: Request,
-    /// Give up settling then; at most the request's deadline.
-    settle_by: Instant,
-    /// Whether a write of the claim may have taken effect without our knowing.
-    exposed: bool,
-    /// Reads of the cleanup that found nothing; at most [`ABSENT_READS`].
-    absent_reads: u8,
+    /// Deadline for creating the claim; at most the request's deadline.
+    create_by: Instant,
+    /// Whether a write of the claim may have taken effect without confirmation.
+    maybe_written: bool,
+    /// Reads of the cleanup that found no object; at most [`ABSENT_RETRIES`].
+    absent_retries: u8,
     state: State,
 }
 
 impl Claim {
-    /// A submission that has not begun.
+    /// Creates a submission that waits for [`Event::Start`].
     pub fn new(cfg: Config, req: Request) -> Claim {
         Claim {
             cfg,
             req,
-            settle_by: req.deadline,
-            exposed: false,
-            absent_reads: 0,
+            create_by: req.deadline,
+            maybe_written: false,
+            absent_retries: 0,
             state: State::New,
         }
     }
 
-    /// Takes an input. Inputs that do not fit the present state are ignored.
+    /// Handles an input and returns what the driver has to do. Inputs that do not match the present
+    /// state are ignored.
     pub fn on_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Start => self.start(now),
@@ -142,7 +145,7 @@
         }
     }
 
-    /// What to tell a peer that asks about this claim's nonce.
+    /// Returns the status for a peer that queries this claim's nonce.
     pub fn status(&self) -> PeerStatus {
         match &self.state {
             State::Abandoned(_) => PeerStatus::NeverDispatched,
@@ -150,16 +153,18 @@
                 Phase::Done(outcome) => PeerStatus::Done(outcome.clone()),
                 _ => PeerStatus::MayHaveRun,
             },
-            // A submission that ended on another's claim dispatched nothing of its own.
+            // A submission that found another submission's claim dispatched nothing itself.
             State::Ended(None) => PeerStatus::NeverDispatched,
             _ => PeerStatus::InProgress,
         }
     }
 
-    /// Whether the object's state is settled, so that the driver may drop this value.
+    /// Returns whether the submission needs no further reads or writes, so that the driver may drop
+    /// this value.
     ///
-    /// One that was given up is better kept for a while, see the module's documentation.
-    pub fn is_settled(&self) -> bool {
+    /// Drivers should keep an abandoned claim for a while to answer peers, see the module
+    /// documentation.
+    pub fn is_finished(&self) -> bool {
         matches!(
             self.state,
             State::Ended(_) | State::Abandoned(Cleanup::Finished)
@@ -170,7 +175,7 @@
         if self.state != State::New {
             return Vec::new();
         }
-        self.settle_by = self.req.deadline.min(now + self.cfg.settle);
+        self.create_by = self.req.deadline.min(now + self.cfg.create_timeout);
         self.create(Version::ABSENT)
     }
 
@@ -194,8 +199,8 @@
 
     fn on_api(&mut self, now: Instant, reply: ApiReply) -> Vec<Action> {
         match self.state.clone() {
-            State::Creating { if_version } => self.on_created(now, if_version, reply),
-            State::Unsure {
+            State::Creating { if_version } => self.on_create_reply(now, if_version, reply),
+            State::Unconfirmed {
                 if_version,
                 read_at: None,
             } => self.on_read_back(now, if_version, reply),
@@ -204,28 +209,33 @@
                 phase,
                 answer_by,
                 retry_at: None,
-            } => self.on_recorded(now, version, phase, answer_by, reply),
-            State::Abandoned(cleanup) => self.on_cleaned(now, cleanup, reply),
+            } => self.on_record_reply(now, version, phase, answer_by, reply),
+            State::Abandoned(cleanup) => self.on_cleanup_reply(now, cleanup, reply),
             _ => Vec::new(),
         }
     }
 
-    fn on_created(&mut self, now: Instant, if_version: Version, reply: ApiReply) -> Vec<Action> {
+    fn on_create_reply(
+        &mut self,
+        now: Instant,
+        if_version: Version,
+        reply: ApiReply,
+    ) -> Vec<Action> {
         match reply {
             ApiReply::Stored(version) => self.dispatch(now, version),
             ApiReply::Conflict(Some(found)) => self.on_found(now, found),
-            // Taken over from a claim that its holder removed meanwhile.
+            // This write was to take over a claim that its holder removed in the meantime.
             ApiReply::Conflict(None) => self.create(Version::ABSENT),
-            ApiReply::Refused => self.give_up(now, NotRun::Unavailable),
+            ApiReply::Refused => self.abandon(now, NotRunReason::Unavailable),
             _ => {
-                self.exposed = true;
+                self.maybe_written = true;
                 self.read_back(if_version)
             }
         }
     }
 
     fn read_back(&mut self, if_version: Version) -> Vec<Action> {
-        self.state = State::Unsure {
+        self.state = State::Unconfirmed {
             if_version,
             read_at: None,
         };
@@ -235,16 +245,16 @@
     fn on_read_back(&mut self, now: Instant, if_version: Version, reply: ApiReply) -> Vec<Action> {
         match reply {
             ApiReply::Found(found) if found.version != if_version => self.on_found(now, found),
-            // Before any other write: an API that takes reads and loses writes would hold the
-            // caller until the budget is spent.
-            _ if now >= self.settle_by => self.give_up(now, NotRun::Unavailable),
-            // The same write again: whichever of the two takes effect, the other conflicts and
-            // shows our nonce.
+            // This check precedes further writes: with an API that answers reads and loses writes,
+            // the caller would wait until the write budget is spent.
+            _ if now >= self.create_by => self.abandon(now, NotRunReason::Unavailable),
+            // Send the same write again: whichever of the two takes effect, the other conflicts and
+            // returns an object with this submission's nonce.
             ApiReply::Found(_) => self.create(if_version),
             ApiReply::Absent => self.create(Version::ABSENT),
             _ => {
-                let read_at = Some(now + self.cfg.retry);
-                self.state = State::Unsure {
+                let read_at = Some(now + self.cfg.retry_interval);
+                self.state = State::Unconfirmed {
                     if_version,
                     read_at,
                 };
@@ -256,17 +266,17 @@
     fn on_found(&mut self, now: Instant, found: Stored) -> Vec<Action> {
         let record = found.record;
         if record.digest != self.req.digest {
-            return self.end(Answer::NotRun(NotRun::KeyReused));
+            return self.end(Answer::NotRun(NotRunReason::KeyReused));
         }
         match record.phase {
             Phase::Done(outcome) => self.end(Answer::Completed(outcome)),
             Phase::DoneUnrecorded | Phase::MayHaveRun => self.end(Answer::MayHaveRun),
             Phase::Claimed if record.nonce == self.req.nonce => self.dispatch(now, found.version),
             Phase::Claimed => {
-                self.state = State::Asking {
+                self.state = State::QueryingHolder {
                     version: found.version,
                 };
-                vec![Action::AskHolder {
+                vec![Action::QueryHolder {
                     holder: record.holder,
                     incarnation: record.incarnation,
                     nonce: record.nonce,
@@ -276,30 +286,30 @@
     }
 
     fn on_peer(&mut self, now: Instant, status: Option<PeerStatus>) -> Vec<Action> {
-        let State::Asking { version } = self.state else {
+        let State::QueryingHolder { version } = self.state else {
             return Vec::new();
         };
         match status {
             Some(PeerStatus::InProgress) => self.end(Answer::InProgress),
             Some(PeerStatus::Done(outcome)) => self.end(Answer::Completed(outcome)),
             Some(PeerStatus::NeverDispatched) if now < self.req.deadline => self.create(version),
-            Some(PeerStatus::NeverDispatched) => self.give_up(now, NotRun::Deadline),
+            Some(PeerStatus::NeverDispatched) => self.abandon(now, NotRunReason::Deadline),
             Some(PeerStatus::MayHaveRun) | None => self.end(Answer::MayHaveRun),
         }
     }
 
     fn dispatch(&mut self, now: Instant, version: Version) -> Vec<Action> {
         if now >= self.req.deadline {
-            self.exposed = true;
-            return self.give_up(now, NotRun::Deadline);
+            self.maybe_written = true;
+            return self.abandon(now, NotRunReason::Deadline);
         }
         self.state = State::Running { version };
         vec![Action::Dispatch]
     }
 
-    fn give_up(&mut self, now: Instant, reason: NotRun) -> Vec<Action> {
-        let cleanup = match self.exposed {
-            true => Cleanup::At(now + self.cfg.retry),
+    fn abandon(&mut self, now: Instant, reason: NotRunReason) -> Vec<Action> {
+        let cleanup = match self.maybe_written {
+            true => Cleanup::RetryAt(now + self.cfg.retry_interval),
             false => Cleanup::Finished,
         };
         self.state = State::Abandoned(cleanup);
@@ -311,14 +321,14 @@
         vec![Action::Answer(answer)]
     }
 
-    fn on_finished(&mut self, now: Instant, run: Run) -> Vec<Action> {
+    fn on_finished(&mut self, now: Instant, run: RunResult) -> Vec<Action> {
         let State::Running { version } = self.state else {
             return Vec::new();
         };
         match run {
-            Run::NotRun => {
+            RunResult::NotRun => {
                 self.state = State::Abandoned(Cleanup::Removing);
-                let answer = Action::Answer(Answer::NotRun(NotRun::Upstream));
+                let answer = Action::Answer(Answer::NotRun(NotRunReason::Upstream));
                 vec![
                     answer,
                     Action::Remove {
@@ -326,18 +336,18 @@
                     },
                 ]
             }
-            Run::MayHaveRun => {
+            RunResult::MayHaveRun => {
                 let mut actions = vec![Action::Answer(Answer::MayHaveRun)];
                 actions.extend(self.write_phase(version, Phase::MayHaveRun, None));
                 actions
             }
-            Run::Completed(outcome) if outcome.body.len() > self.cfg.max_outcome_bytes => {
+            RunResult::Completed(outcome) if outcome.body.len() > self.cfg.max_outcome_bytes => {
                 let mut actions = vec![Action::Answer(Answer::Completed(outcome))];
                 actions.extend(self.write_phase(version, Phase::DoneUnrecorded, None));
                 actions
             }
-            Run::Completed(outcome) => {
-                let answer_by = Some(now + self.cfg.record);
+            RunResult::Completed(outcome) => {
+                let answer_by = Some(now + self.cfg.record_timeout);
                 self.write_phase(version, Phase::Done(outcome), answer_by)
             }
         }
@@ -362,7 +372,7 @@
         }]
     }
 
-    fn on_recorded(
+    fn on_record_reply(
         &mut self,
         now: Instant,
         version: Version,
@@ -371,14 +381,15 @@
         reply: ApiReply,
     ) -> Vec<Action> {
         match reply {
-            // Only this daemon writes a dispatched claim, so a conflict shows an earlier try.
+            // Only this daemon writes a dispatched claim, so a conflict means that an earlier
+            // attempt of this write took effect.
             ApiReply::Stored(_) | ApiReply::Conflict(_) => {
-                let answer = answer_by.and_then(|_| completed(&phase));
+                let answer = answer_by.and_then(|_| completed_answer(&phase));
                 self.state = State::Ended(Some(phase));
                 answer.into_iter().collect()
             }
             _ => {
-                let retry_at = Some(now + self.cfg.retry);
+                let retry_at = Some(now + self.cfg.retry_interval);
                 self.state = State::Recording {
                     version,
                     phase,
@@ -390,7 +401,7 @@
         }
     }
 
-    fn on_cleaned(&mut self, now: Instant, cleanup: Cleanup, reply: ApiReply) -> Vec<Action> {
+    fn on_cleanup_reply(&mut self, now: Instant, cleanup: Cleanup, reply: ApiReply) -> Vec<Action> {
         let (next, actions) = match (cleanup, reply) {
             (Cleanup::Reading, ApiReply::Found(found)) if found.record.nonce == self.req.nonce => (
                 Cleanup::Removing,
@@ -398,16 +409,16 @@
                     if_version: found.version,
                 }],
             ),
-            (Cleanup::Reading, ApiReply::Absent) if self.absent_reads < ABSENT_READS => {
-                self.absent_reads += 1;
-                (Cleanup::At(now + self.cfg.retry), Vec::new())
+            (Cleanup::Reading, ApiReply::Absent) if self.absent_retries < ABSENT_RETRIES => {
+                self.absent_retries += 1;
+                (Cleanup::RetryAt(now + self.cfg.retry_interval), Vec::new())
             }
             (Cleanup::Reading, ApiReply::Found(_) | ApiReply::Absent)
             | (Cleanup::Removing, ApiReply::Removed | ApiReply::Conflict(_)) => {
                 (Cleanup::Finished, Vec::new())
             }
             (Cleanup::Reading | Cleanup::Removing, _) => {
-                (Cleanup::At(now + self.cfg.retry), Vec::new())
+                (Cleanup::RetryAt(now + self.cfg.retry_interval), Vec::new())
             }
             (cleanup, _) => (cleanup, Vec::new()),
         };
@@ -417,19 +428,23 @@
 
     fn on_tick(&mut self, now: Instant) -> Vec<Action> {
         match self.state.clone() {
-            State::Unsure { .. } if now >= self.settle_by => self.give_up(now, NotRun::Unavailable),
-            State::Unsure {
+            State::Unconfirmed { .. } if now >= self.create_by => {
+                self.abandon(now, NotRunReason::Unavailable)
+            }
+            State::Unconfirmed {
                 if_version,
                 read_at: Some(at),
             } if now >= at => self.read_back(if_version),
-            State::Asking { .. } if now >= self.req.deadline => self.end(Answer::MayHaveRun),
+            State::QueryingHolder { .. } if now >= self.req.deadline => {
+                self.end(Answer::MayHaveRun)
+            }
             State::Recording {
                 version,
                 phase,
                 answer_by,
                 retry_at,
             } => self.tick_recording(now, version, phase, answer_by, retry_at),
-            State::Abandoned(Cleanup::At(at)) if now >= at => {
+            State::Abandoned(Cleanup::RetryAt(at)) if now >= at => {
                 self.state = State::Abandoned(Cleanup::Reading);
                 vec![Action::Read]
             }
@@ -445,10 +460,10 @@
         answer_by: Option<Instant>,
         retry_at: Option<Instant>,
     ) -> Vec<Action> {
-        let late = answer_by.is_some_and(|by| now >= by);
-        let answer_by = answer_by.filter(|_| !late);
-        let mut actions: Vec<Action> = late
-            .then(|| completed(&phase))
+        let timed_out = answer_by.is_some_and(|by| now >= by);
+        let answer_by = answer_by.filter(|_| !timed_out);
+        let mut actions: Vec<Action> = timed_out
+            .then(|| completed_answer(&phase))
             .flatten()
             .into_iter()
             .collect();
@@ -466,7 +481,7 @@
     }
 }
 
-fn completed(phase: &Phase) -> Option<Action> {
+fn completed_answer(phase: &Phase) -> Option<Action> {
     match phase {
         Phase::Done(outcome) => Some(Action::Answer(Answer::Completed(outcome.clone()))),
         _ => None,
--- a/crates/kelpworks-coord/src/facts.rs
+++ b/crates/kelpworks-coord/src/facts.rs
@@ -1,8 +1,8 @@
-//! Rare facts about upstreams and requests, spread among daemons as versioned deltas.
+//! Infrequent facts about upstreams and requests, gossiped among daemons as versioned deltas.
 //!
 //! A fact has one author, the daemon that observed it; only that daemon changes or clears it. The
-//! newest of an author's versions wins, so merging is commutative, associative and idempotent, and
-//! facts may travel in any order, twice, or by way of others. Every fact expires.
+//! author's newest version wins, so merging is commutative, associative and idempotent, and facts
+//! may arrive in any order, more than once, and through other daemons. Every fact expires.
 //!
 //! ```
 //! use kelpworks_coord::facts::*;
@@ -16,13 +16,13 @@
 //! for fact in a.take_delta(now, 1_000, 7) {
 //!     b.merge(now, fact);
 //! }
-//! assert_eq!(b.authors(now, Kind::Leaving, 77), 1);
-//! assert_eq!(b.authors(now + Span::from_secs(60), Kind::Leaving, 77), 0);
+//! assert_eq!(b.author_count(now, Kind::Leaving, 77), 1);
+//! assert_eq!(b.author_count(now + Span::from_secs(60), Kind::Leaving, 77), 0);
 //! ```
 //!
-//! Times to live are relative, since clocks are not shared: the time that a fact spends on the way
-//! is added to its life. A fact that a peer missed in all its transmissions arrives by
-//! [`Facts::snapshot`], which a driver sends when two [`Facts::digest`]s differ for long.
+//! Times to live are relative because daemons share no clock: the time that a fact spends in
+//! transit extends its lifetime. A peer that missed all transmissions of a fact gets it by
+//! [`Facts::snapshot`], which drivers send when two [`Facts::digest`]s stay different.
 
 use std::collections::BTreeMap;
 
@@ -35,12 +35,12 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// Bounds of a store.
+/// Limits of a [`Facts`] store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Facts held at most; beyond it the one that expires first is dropped. Default 4,096.
+    /// Most facts that are kept; above it the one that expires first is dropped. Default 4,096.
     pub max_facts: usize,
-    /// Longest life of a fact, whatever its author says. Default 1 h.
+    /// Longest time to live of a fact; longer ones are cut to it. Default 1 h.
     pub max_ttl: Span,
 }
 
@@ -53,16 +53,16 @@
     }
 }
 
-/// What a fact says of its subject.
+/// What a fact states about its subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The upstream is leaving: no new work.
+    /// The upstream is leaving and takes no new work.
     Leaving,
     /// The upstream is down.
     Down,
-    /// The upstream is kept out of use.
+    /// The upstream is quarantined.
     Quarantine,
     /// An upstream died while it ran the request of this fingerprint.
     Suspect,
@@ -70,41 +70,41 @@
     Poison,
 }
 
-/// What identifies a fact.
+/// Identity of a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
-    /// The daemon that observed it.
+    /// Daemon that observed it.
     pub author: NodeId,
-    /// What it says.
+    /// What it states.
     pub kind: Kind,
     /// An upstream's identifier, or a request's fingerprint.
     pub subject: u64,
 }
 
-/// Version of a fact; a restarted author's are all newer.
+/// Version of a fact. Versions of a later run of the author are newer than all earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Stamp {
-    /// Of the author.
+    /// Incarnation of the author.
     pub incarnation: Incarnation,
-    /// Rises with each change that the author makes to any fact.
+    /// Increases with each change that the author makes to any of its facts.
     pub sequence: u64,
 }
 
-/// A fact on its way.
+/// A fact as daemons exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Fact {
-    /// Its identity.
+    /// Author, kind and subject.
     pub key: Key,
-    /// Its version.
+    /// Version; of two facts with one key, the one with the higher stamp wins.
     pub stamp: Stamp,
-    /// False when it was cleared.
+    /// False when the author cleared the fact.
     pub holds: bool,
-    /// More about it, by kind; for [`Kind::Suspect`] the upstream that died, else 0.
+    /// Additional value, by kind: for [`Kind::Suspect`] the upstream that died, else 0.
     pub detail: u64,
-    /// Time it has left.
+    /// Remaining time to live.
     pub ttl: Span,
 }
 
@@ -112,22 +112,22 @@
 pub const FACT_BYTES: usize = 240;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct StoredFact {
     stamp: Stamp,
     holds: bool,
     detail: u64,
     expires: Instant,
-    /// Messages that it still goes with.
-    sends: u32,
+    /// Number of messages that it still goes with; `u32::MAX` until first sent.
+    sends_left: u32,
 }
 
-struct Said {
+struct Statement {
     holds: bool,
     detail: u64,
     ttl: Span,
 }
 
-/// The facts that one daemon holds.
+/// The facts that one daemon knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Facts {
     cfg: Config,
@@ -136,33 +136,33 @@
     /// Sequence of the last change by this daemon.
     sequence: u64,
     /// At most [`Config::max_facts`].
-    held: BTreeMap<Key, Held>,
+    facts: BTreeMap<Key, StoredFact>,
 }
 
 impl Facts {
-    /// An empty store. `incarnation` must be above that of this daemon's earlier runs.
+    /// Creates an empty store. `incarnation` must be above that of this daemon's earlier runs.
     pub fn new(cfg: Config, me: NodeId, incarnation: Incarnation) -> Facts {
         Facts {
             cfg,
             me,
             incarnation,
             sequence: 0,
-            held: BTreeMap::new(),
+            facts: BTreeMap::new(),
         }
     }
 
-    /// States a fact of this daemon's own observation, or renews it.
+    /// States a fact that this daemon observed, or renews it.
     pub fn set(&mut self, now: Instant, kind: Kind, subject: u64, ttl: Span) {
         self.set_detail(now, kind, subject, 0, ttl);
     }
 
-    /// As [`Facts::set`], with more about it.
+    /// Like [`Facts::set`], with [`Fact::detail`].
     pub fn set_detail(&mut self, now: Instant, kind: Kind, subject: u64, detail: u64, ttl: Span) {
         self.write(
             now,
             kind,
             subject,
-            Said {
+            Statement {
                 holds: true,
                 detail,
                 ttl,
@@ -170,25 +170,25 @@
         );
     }
 
-    /// Clears a fact that this daemon stated; of others' it says nothing.
+    /// Clears a fact that this daemon stated. The same fact by other authors is not affected.
     pub fn clear(&mut self, now: Instant, kind: Kind, subject: u64) {
         let key = Key {
             author: self.me,
             kind,
             subject,
         };
-        if self.held.get(&key).is_some_and(|h| h.holds) {
-            // The clearing must live as long as any copy of what it clears.
-            let said = Said {
+        if self.facts.get(&key).is_some_and(|h| h.holds) {
+            // The tombstone must outlive every copy of the fact that it clears.
+            let statement = Statement {
                 holds: false,
                 detail: 0,
                 ttl: self.cfg.max_ttl,
             };
-            self.write(now, kind, subject, said);
+            self.write(now, kind, subject, statement);
         }
     }
 
-    fn write(&mut self, now: Instant, kind: Kind, subject: u64, said: Said) {
+    fn write(&mut self, now: Instant, kind: Kind, subject: u64, statement: Statement) {
         self.sequence += 1;
         let key = Key {
             author: self.me,
@@ -199,7 +199,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
         };
-        let Said { holds, detail, ttl } = said;
+        let Statement { holds, detail, ttl } = statement;
         self.merge(
             now,
             Fact {
@@ -212,10 +212,10 @@
         );
     }
 
-    /// Takes a fact in; true when it was news.
+    /// Merges a fact; returns true when it was new or newer than the known version.
     pub fn merge(&mut self, now: Instant, fact: Fact) -> bool {
         let expires = now + fact.ttl.min(self.cfg.max_ttl);
-        if let Some(old) = self.held.get_mut(&fact.key) {
+        if let Some(old) = self.facts.get_mut(&fact.key) {
             if old.stamp == fact.stamp {
                 old.expires = old.expires.min(expires);
             }
@@ -232,14 +232,14 @@
             detail,
             ..
         } = fact;
-        self.held.insert(
+        self.facts.insert(
             fact.key,
-            Held {
+            StoredFact {
                 stamp,
                 holds,
                 detail,
                 expires,
-                sends: u32::MAX,
+                sends_left: u32::MAX,
             },
         );
         self.shrink(now);
@@ -247,59 +247,60 @@
     }
 
     fn shrink(&mut self, now: Instant) {
-        self.held.retain(|_, h| h.expires > now);
-        while self.held.len() > self.cfg.max_facts {
+        self.facts.retain(|_, h| h.expires > now);
+        while self.facts.len() > self.cfg.max_facts {
             let first = self
-                .held
+                .facts
                 .iter()
                 .min_by_key(|(_, h)| h.expires)
                 .map(|(&k, _)| k);
             let Some(first) = first else { return };
-            self.held.remove(&first);
+            self.facts.remove(&first);
         }
     }
 
-    /// Facts to go with the next message, within a size in bytes; newest news first.
+    /// Returns facts to piggyback on the next message, up to `max_bytes`; those sent least often
+    /// come first.
     ///
-    /// Each goes with a number of messages that grows with the logarithm of the members' number.
+    /// Each fact goes with a number of messages that grows with the logarithm of `members`.
     pub fn take_delta(&mut self, now: Instant, max_bytes: usize, members: usize) -> Vec<Fact> {
         self.shrink(now);
-        let cap = 3 * (members as u32 + 2).ilog2();
-        let mut fresh: Vec<(Key, u32)> = self
-            .held
+        let max_sends = 3 * (members as u32 + 2).ilog2();
+        let mut pending: Vec<(Key, u32)> = self
+            .facts
             .iter()
-            .map(|(&key, h)| (key, h.sends.min(cap)))
-            .filter(|&(_, sends)| sends > 0)
+            .map(|(&key, h)| (key, h.sends_left.min(max_sends)))
+            .filter(|&(_, sends_left)| sends_left > 0)
             .collect();
-        fresh.sort_by_key(|&(key, sends)| (std::cmp::Reverse(sends), key));
-        fresh.truncate(max_bytes / FACT_BYTES);
-        for &(key, sends) in &fresh {
-            if let Some(held) = self.held.get_mut(&key) {
-                held.sends = sends - 1;
+        pending.sort_by_key(|&(key, sends_left)| (std::cmp::Reverse(sends_left), key));
+        pending.truncate(max_bytes / FACT_BYTES);
+        for &(key, sends_left) in &pending {
+            if let Some(stored) = self.facts.get_mut(&key) {
+                stored.sends_left = sends_left - 1;
             }
         }
-        fresh
+        pending
             .iter()
             .filter_map(|&(key, _)| self.fact(now, key))
             .collect()
     }
 
-    /// All facts.
+    /// Returns all facts that have not expired, including cleared ones.
     pub fn snapshot(&self, now: Instant) -> Vec<Fact> {
-        self.held
+        self.facts
             .keys()
             .filter_map(|&key| self.fact(now, key))
             .collect()
     }
 
     fn fact(&self, now: Instant, key: Key) -> Option<Fact> {
-        let &Held {
+        let &StoredFact {
             stamp,
             holds,
             detail,
             expires,
             ..
-        } = self.held.get(&key)?;
+        } = self.facts.get(&key)?;
         let ttl = expires.since(now);
         (ttl > Span::ZERO).then_some(Fact {
             key,
@@ -310,29 +311,29 @@
         })
     }
 
-    /// Hash over keys and versions; equal on daemons that hold the same facts.
+    /// Returns a hash of keys and versions; equal on daemons that know the same facts.
     pub fn digest(&self, now: Instant) -> u64 {
         let mut hasher = Xxh3::new();
-        for (key, held) in self.held.iter().filter(|(_, h)| h.expires > now) {
+        for (key, stored) in self.facts.iter().filter(|(_, h)| h.expires > now) {
             hasher.update(&key.author.0.to_le_bytes());
             hasher.update(&[key.kind as u8]);
             hasher.update(&key.subject.to_le_bytes());
-            hasher.update(&held.stamp.incarnation.0.to_le_bytes());
-            hasher.update(&held.stamp.sequence.to_le_bytes());
+            hasher.update(&stored.stamp.incarnation.0.to_le_bytes());
+            hasher.update(&stored.stamp.sequence.to_le_bytes());
         }
         hasher.digest()
     }
 
-    /// Number of daemons that state this of the subject now.
-    pub fn authors(&self, now: Instant, kind: Kind, subject: u64) -> usize {
-        self.standing(now, kind)
+    /// Returns the number of daemons whose fact of this kind about the subject holds now.
+    pub fn author_count(&self, now: Instant, kind: Kind, subject: u64) -> usize {
+        self.active(now, kind)
             .filter(|f| f.key.subject == subject)
             .count()
     }
 
-    /// Facts of a kind that hold now.
-    pub fn standing(&self, now: Instant, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
-        self.held
+    /// Returns the facts of a kind that hold now, without cleared ones.
+    pub fn active(&self, now: Instant, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
+        self.facts
             .iter()
             .filter(move |(key, h)| key.kind == kind && h.holds)
             .filter_map(move |(&key, _)| self.fact(now, key))
--- a/crates/kelpworks-coord/src/repair.rs
+++ b/crates/kelpworks-coord/src/repair.rs
@@ -1,8 +1,9 @@
-//! Level-triggered repair: orders follow from what is wanted and what was last read back.
+//! Level-triggered reconciliation of an engine's state: orders follow from the desired state and
+//! the last observed state.
 //!
-//! No order is remembered as done. A holder of the placement lease reads each engine's state and
-//! orders the difference, as often as there is one; so an order that was lost, or a stale one that
-//! an engine took from an earlier holder, is made good by the next reading.
+//! No order is recorded as done. The holder of the placement lease reads each engine's state and
+//! orders the difference, as often as there is one. So a lost order, or a stale order that an
+//! engine accepted from an earlier holder, is corrected after the next read.
 //!
 //! ```
 //! use kelpworks_coord::lease::Token;
@@ -11,75 +12,83 @@
 //!
 //! let mut engine = Repair::new(Span::from_secs(2));
 //! let now = Instant::ZERO;
-//! engine.want("layers 0..8");
-//! engine.read_back(now, now, "layers 8..16");
-//! assert_eq!(engine.due(now, Some(Token(3))), Some((Token(3), "layers 0..8")));
-//! assert_eq!(engine.due(now, Some(Token(3))), None, "until the order's effect can be read");
-//! assert_eq!(engine.due(now, None), None, "without the lease nothing is ordered");
+//! engine.set_desired("layers 0..8");
+//! engine.observe(now, now, "layers 8..16");
+//! assert_eq!(engine.due_order(now, Some(Token(3))), Some((Token(3), "layers 0..8")));
+//! assert_eq!(engine.due_order(now, Some(Token(3))), None, "until the order's effect can be read");
+//! assert_eq!(engine.due_order(now, None), None, "without the lease nothing is ordered");
 //! ```
 
 use crate::lease::Token;
 use crate::time::Instant;
 use crate::time::Span;
 
-/// What one engine is to hold, and what it was last seen to hold.
+/// Desired and last observed state of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Repair<S> {
-    /// Longest time from sending an order to its effect.
+    /// Longest time from sending an order until its effect can be read.
     order_bound: Span,
-    wanted: Option<S>,
-    /// Last state read, and when its reading was asked for.
-    read: Option<(S, Instant)>,
-    ordered: Option<Instant>,
+    desired: Option<S>,
+    /// Last state read, and when the query for it was sent.
+    observed: Option<(S, Instant)>,
+    last_order_at: Option<Instant>,
 }
 
 impl<S: Clone + PartialEq> Repair<S> {
-    /// An engine of which nothing is known or wanted.
+    /// Creates the state of an engine with no desired and no observed state.
+    ///
+    /// `order_bound` is the longest time from sending an order until its effect can be read.
     pub fn new(order_bound: Span) -> Repair<S> {
         Repair {
             order_bound,
-            wanted: None,
-            read: None,
-            ordered: None,
+            desired: None,
+            observed: None,
+            last_order_at: None,
         }
     }
 
-    /// Sets what the engine is to hold.
-    pub fn want(&mut self, state: S) {
-        self.wanted = Some(state);
+    /// Sets the state that the engine should have.
+    pub fn set_desired(&mut self, state: S) {
+        self.desired = Some(state);
     }
 
-    /// Notes what the engine said that it holds, and when it was asked.
+    /// Records the state that the engine reported, and when it was queried.
     ///
-    /// Answers may come out of order: one that was asked for before the last is dropped.
-    pub fn read_back(&mut self, now: Instant, asked: Instant, state: S) {
-        debug_assert!(asked <= now);
-        if self.read.as_ref().is_none_or(|(_, at)| *at <= asked) {
-            self.read = Some((state, asked));
+    /// Answers may come out of order: the answer to an earlier query than the latest answered one
+    /// is dropped.
+    pub fn observe(&mut self, now: Instant, queried_at: Instant, state: S) {
+        debug_assert!(queried_at <= now);
+        if self
+            .observed
+            .as_ref()
+            .is_none_or(|(_, at)| *at <= queried_at)
+        {
+            self.observed = Some((state, queried_at));
         }
     }
 
-    /// Whether the engine was last seen to hold what is wanted.
-    pub fn is_right(&self) -> bool {
-        self.read.as_ref().map(|(s, _)| s) == self.wanted.as_ref()
+    /// Returns whether the last observed state equals the desired state.
+    pub fn is_converged(&self) -> bool {
+        self.observed.as_ref().map(|(s, _)| s) == self.desired.as_ref()
     }
 
-    /// The order that is due now; the caller sends it at once.
+    /// Returns the order that is due now; the caller sends it at once.
     ///
-    /// None without the lease, without a reading, and after an order until a reading that was
-    /// asked for after the order's bound still shows a difference.
-    pub fn due(&mut self, now: Instant, fence: Option<Token>) -> Option<(Token, S)> {
-        let token = fence?;
-        let (_, asked) = self.read.as_ref()?;
+    /// Returns `None` without the lease (no fencing token), before the first observed state, and
+    /// after an order until a state that was queried after the order bound still shows a
+    /// difference.
+    pub fn due_order(&mut self, now: Instant, fencing_token: Option<Token>) -> Option<(Token, S)> {
+        let token = fencing_token?;
+        let (_, queried_at) = self.observed.as_ref()?;
         if self
-            .ordered
-            .is_some_and(|at| *asked < at + self.order_bound)
-            || self.is_right()
+            .last_order_at
+            .is_some_and(|at| *queried_at < at + self.order_bound)
+            || self.is_converged()
         {
             return None;
         }
-        let wanted = self.wanted.clone()?;
-        self.ordered = Some(now);
-        Some((token, wanted))
+        let desired = self.desired.clone()?;
+        self.last_order_at = Some(now);
+        Some((token, desired))
     }
 }
--- a/crates/kelpworks-coord/tests/model_claim.rs
+++ b/crates/kelpworks-coord/tests/model_claim.rs
@@ -14,13 +14,13 @@
 use kelpworks_coord::claim::Claim;
 use kelpworks_coord::claim::Config;
 use kelpworks_coord::claim::Event;
-use kelpworks_coord::claim::NotRun;
+use kelpworks_coord::claim::NotRunReason;
 use kelpworks_coord::claim::Outcome;
 use kelpworks_coord::claim::PeerStatus;
 use kelpworks_coord::claim::Phase;
 use kelpworks_coord::claim::Record;
 use kelpworks_coord::claim::Request;
-use kelpworks_coord::claim::Run;
+use kelpworks_coord::claim::RunResult;
 use kelpworks_coord::claim::Stored;
 use kelpworks_coord::id::Incarnation;
 use kelpworks_coord::id::NodeId;
@@ -30,12 +30,13 @@
 use kelpworks_coord::time::Span;
 
 const AT_MOST_ONCE: &str = "at most one run";
-const NOT_RUN_IS_TRUE: &str = "a submission told not-run never ran";
+const NOT_RUN_IS_TRUE: &str = "a submission answered not-run never ran";
 const SAME_OUTCOME: &str = "all answers of a key are the same";
-const REPEATED: &str = "a repeat after success gets its outcome while the holder lives";
+const REPEAT_GETS_OUTCOME: &str = "a retry after success gets its outcome while the holder lives";
 const NOT_BLOCKED: &str = "a key that was never dispatched is not blocked while its holders live";
 
-/// All deadlines lie here; before it the clock stands still, since only their passing matters.
+/// Deadline of all submissions. The clock has only two values, before it and at it, since only its
+/// passing matters.
 const DEADLINE: Instant = Instant::from_millis(1_000);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -43,22 +44,22 @@
     None,
     /// The object API ignores the condition of a write.
     Unconditional,
-    /// A lost reply is taken for a write that took effect.
+    /// A lost reply counts as a write that took effect.
     LostIsStored,
-    /// A dead holder is taken for one that never dispatched.
+    /// A dead holder counts as one that never dispatched.
     DeadNeverDispatched,
-    /// The driver answers a waiting caller `not-run` without telling the machine.
+    /// The driver answers a waiting caller `not-run` without an input to the state machine.
     DriverAnswers,
-    /// What is recorded is not what was answered.
+    /// Peers get another outcome than the caller.
     OutcomeChanged,
-    /// A daemon forgets the claims that it gave up.
-    Forgets,
-    /// Outcomes are neither recorded nor told to peers.
+    /// A daemon drops its abandoned claims at once.
+    ForgetsAbandoned,
+    /// Outcomes are neither recorded nor reported to peers.
     OutcomeLost,
 }
 
 struct ClaimModel {
-    /// For each submission, the daemon it goes to.
+    /// Daemon that receives each submission.
     sent_to: Vec<usize>,
     faults: u8,
     crashes: u8,
@@ -84,9 +85,9 @@
 struct Submission {
     claim: Claim,
     started: bool,
-    /// The daemon that held it crashed.
-    gone: bool,
-    /// Its daemon sees that the deadline has passed.
+    /// Whether the daemon that held it crashed.
+    crashed_holder: bool,
+    /// Whether its daemon observes that the deadline has passed.
     late: bool,
     call: Option<Call>,
     upstream: Upstream,
@@ -96,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     object: Option<Stored>,
-    /// What stood before, for stale reads.
+    /// Earlier states of the object, for stale reads.
     past: Vec<Option<Stored>>,
     version: u64,
     submissions: Vec<Submission>,
@@ -107,22 +108,22 @@
     crashed: bool,
     faults: u8,
     crashes: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Start(usize),
     Effect(usize),
-    /// A read that shows what stood before.
+    /// A read returns an earlier state of the object.
     StaleRead(usize, usize),
     Reply(usize),
     LoseReply(usize),
     Delay(usize),
     Refuse(usize),
     LateWrite(usize),
-    AskHolder(usize),
-    HolderSilent(usize),
+    QueryHolder(usize),
+    HolderUnreachable(usize),
     Execute(usize),
     Complete(usize),
     UpstreamRefuses(usize),
@@ -136,8 +137,8 @@
 impl ClaimModel {
     fn submission(&self, i: usize, daemon: usize) -> Submission {
         let cfg = Config {
-            retry: Span::ZERO,
-            record: Span::ZERO,
+            retry_interval: Span::ZERO,
+            record_timeout: Span::ZERO,
             ..Config::default()
         };
         let req = Request {
@@ -150,7 +151,7 @@
         Submission {
             claim: Claim::new(cfg, req),
             started: false,
-            gone: false,
+            crashed_holder: false,
             late: false,
             call: None,
             upstream: Upstream::Idle,
@@ -184,7 +185,7 @@
         if let Answer::Completed(outcome) = &answer
             && answered.into_iter().any(|o| o != outcome)
         {
-            world.broken = Some(SAME_OUTCOME);
+            world.violation = Some(SAME_OUTCOME);
         }
         world.submissions[i].answer.get_or_insert(answer);
     }
@@ -245,7 +246,7 @@
 
     fn peer_status(&self, world: &World, nonce: Nonce) -> Option<PeerStatus> {
         let holder = &world.submissions[nonce.0 as usize];
-        if holder.gone {
+        if holder.crashed_holder {
             let never = self.mutant == Mutant::DeadNeverDispatched;
             return never.then_some(PeerStatus::NeverDispatched);
         }
@@ -256,7 +257,7 @@
                     body: "another".into(),
                 }))
             }
-            PeerStatus::NeverDispatched if self.mutant == Mutant::Forgets => None,
+            PeerStatus::NeverDispatched if self.mutant == Mutant::ForgetsAbandoned => None,
             PeerStatus::Done(_) if self.mutant == Mutant::OutcomeLost => None,
             status => Some(status),
         }
@@ -267,7 +268,7 @@
         world.runs += 1;
     }
 
-    fn finish(&self, world: &mut World, i: usize, run: Run) {
+    fn finish(&self, world: &mut World, i: usize, run: RunResult) {
         world.submissions[i].upstream = Upstream::Ended;
         self.feed(world, i, Event::Finished(run));
     }
@@ -286,9 +287,9 @@
         let answers = waits && self.mutant == Mutant::DriverAnswers;
         steps.extend(answers.then_some(Step::DriverAnswers(i)));
         match &s.call {
-            Some(Call::Action(Action::AskHolder { .. })) => {
-                steps.push(Step::AskHolder(i));
-                steps.extend(faulty.then_some(Step::HolderSilent(i)));
+            Some(Call::Action(Action::QueryHolder { .. })) => {
+                steps.push(Step::QueryHolder(i));
+                steps.extend(faulty.then_some(Step::HolderUnreachable(i)));
             }
             Some(Call::Action(action)) => {
                 steps.push(Step::Effect(i));
@@ -323,52 +324,52 @@
                 | Step::StaleRead(..)
                 | Step::Delay(_)
                 | Step::Refuse(_)
-                | Step::HolderSilent(_)
+                | Step::HolderUnreachable(_)
                 | Step::UpstreamRefuses(_)
                 | Step::UpstreamCut(_)
                 | Step::DeadlinePasses(_)
         )
     }
 
-    fn ask_holder(&self, world: &mut World, i: usize) {
-        if let Some(Call::Action(Action::AskHolder { nonce, .. })) = world.submissions[i].call {
+    fn query_holder(&self, world: &mut World, i: usize) {
+        if let Some(Call::Action(Action::QueryHolder { nonce, .. })) = world.submissions[i].call {
             world.submissions[i].call = None;
             let status = self.peer_status(world, nonce);
             self.feed(world, i, Event::Peer(status));
         }
     }
 
-    /// What becomes of a further submission once faults stop.
-    fn repeated(&self, world: &World) -> Submission {
+    /// Returns a further submission of the key as it ends once faults stop.
+    fn repeat_submission(&self, world: &World) -> Submission {
         let mut world = world.clone();
-        let fresh = world.submissions.len();
-        world.submissions.push(self.submission(fresh, 0));
+        let extra = world.submissions.len();
+        world.submissions.push(self.submission(extra, 0));
         world.faults = 0;
         world.crashes = 0;
         for round in 0..40 {
             let late = (0..world.delayed.len()).map(|_| Step::LateWrite(0));
             late.collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|step| self.take(&mut world, step));
+                .for_each(|step| self.apply(&mut world, step));
             if round == 20 {
-                self.take(&mut world, Step::Start(fresh));
+                self.apply(&mut world, Step::Start(extra));
             }
             for i in 0..world.submissions.len() {
                 let mut steps = Vec::new();
-                if !world.submissions[i].gone && (i != fresh || round > 20) {
+                if !world.submissions[i].crashed_holder && (i != extra || round > 20) {
                     self.submission_steps(&world, i, &mut steps);
                 }
                 steps.retain(|s| !matches!(s, Step::Start(_)));
                 if let Some(&step) = steps.last() {
-                    self.take(&mut world, step);
+                    self.apply(&mut world, step);
                 }
             }
         }
-        world.submissions.remove(fresh)
+        world.submissions.remove(extra)
     }
 }
 
-/// Condition and new body of a write or removal.
+/// Returns condition and new body of a write or removal.
 fn change(action: &Action) -> Option<(Version, Option<Record>)> {
     match action {
         Action::Write { if_version, record } => Some((*if_version, Some(record.clone()))),
@@ -388,7 +389,7 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         let submissions = self
             .sent_to
             .iter()
@@ -405,7 +406,7 @@
             crashed: false,
             faults: self.faults,
             crashes: self.crashes,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -413,17 +414,17 @@
         let mut steps: Vec<Step> = (0..world.delayed.len()).map(Step::LateWrite).collect();
         for (i, s) in world.submissions.iter().enumerate() {
             if s.upstream == Upstream::Sent {
-                // The request may be on its way though its daemon is gone.
+                // The request may be in flight although its daemon crashed.
                 steps.push(Step::Execute(i));
             }
-            if !s.gone {
+            if !s.crashed_holder {
                 self.submission_steps(world, i, &mut steps);
             }
         }
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         if self.costs_a_fault(step) {
             world.faults -= 1;
         }
@@ -454,21 +455,25 @@
                 let (if_version, record) = world.delayed.remove(i);
                 self.write(world, if_version, record);
             }
-            Step::AskHolder(i) => self.ask_holder(world, i),
-            Step::HolderSilent(i) => {
+            Step::QueryHolder(i) => self.query_holder(world, i),
+            Step::HolderUnreachable(i) => {
                 world.submissions[i].call = None;
                 self.feed(world, i, Event::Peer(None));
             }
             Step::Execute(i) => self.execute(world, i),
             Step::Complete(i) => {
                 let body = format!("run {i}");
-                self.finish(world, i, Run::Completed(Outcome { status: 200, body }));
+                self.finish(
+                    world,
+                    i,
+                    RunResult::Completed(Outcome { status: 200, body }),
+                );
             }
-            Step::UpstreamRefuses(i) => self.finish(world, i, Run::NotRun),
+            Step::UpstreamRefuses(i) => self.finish(world, i, RunResult::NotRun),
             Step::UpstreamCut(i) => {
-                // The request may still be on its way.
+                // The request may still be in flight.
                 let sent = world.submissions[i].upstream;
-                self.finish(world, i, Run::MayHaveRun);
+                self.finish(world, i, RunResult::MayHaveRun);
                 world.submissions[i].upstream = match sent {
                     Upstream::Sent => Upstream::Sent,
                     _ => Upstream::Ended,
@@ -477,16 +482,16 @@
             Step::Tick(i) => self.feed(world, i, Event::Tick),
             Step::DeadlinePasses(i) => world.submissions[i].late = true,
             Step::DriverAnswers(i) => {
-                self.answer(world, i, Answer::NotRun(NotRun::Unavailable));
+                self.answer(world, i, Answer::NotRun(NotRunReason::Unavailable));
             }
             Step::Crash(i) => {
                 world.crashes -= 1;
                 world.crashed = true;
                 for j in (0..self.sent_to.len()).filter(|&j| self.sent_to[j] == self.sent_to[i]) {
-                    // What was not submitted yet goes to the daemon's next run.
+                    // Submissions that have not started go to the daemon's next run.
                     if world.submissions[j].started {
                         delay(world, j);
-                        world.submissions[j].gone = true;
+                        world.submissions[j].crashed_holder = true;
                         world.submissions[j].call = None;
                     }
                 }
@@ -494,19 +499,19 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        let lied = |s: &Submission| {
-            let told = matches!(s.answer, Some(Answer::NotRun(_)));
-            told && (s.upstream == Upstream::Executed || s.upstream == Upstream::Sent)
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        let was_wrongly_denied = |s: &Submission| {
+            let answered_not_run = matches!(s.answer, Some(Answer::NotRun(_)));
+            answered_not_run && (s.upstream == Upstream::Executed || s.upstream == Upstream::Sent)
         };
         if world.runs > 1 {
             return Some(AT_MOST_ONCE);
         }
-        if world.submissions.iter().any(lied) {
+        if world.submissions.iter().any(was_wrongly_denied) {
             return Some(NOT_RUN_IS_TRUE);
         }
-        if world.broken.is_some() {
-            return world.broken;
+        if world.violation.is_some() {
+            return world.violation;
         }
         let all_ended = world
             .submissions
@@ -519,10 +524,10 @@
             Some(answer @ Answer::Completed(_)) => Some(answer),
             _ => None,
         });
-        if completed.is_some() && self.repeated(world).answer.as_ref() != completed {
-            return Some(REPEATED);
+        if completed.is_some() && self.repeat_submission(world).answer.as_ref() != completed {
+            return Some(REPEAT_GETS_OUTCOME);
         }
-        let blocked = || self.repeated(world).upstream == Upstream::Idle;
+        let blocked = || self.repeat_submission(world).upstream == Upstream::Idle;
         (!world.dispatched && blocked()).then_some(NOT_BLOCKED)
     }
 }
@@ -537,13 +542,13 @@
 }
 
 #[test]
-fn claims_hold_for_two_submissions() {
+fn invariants_hold_for_two_submissions() {
     let faults = 2 + bound() as u8;
     assert_holds("claim, two submissions", &ClaimModel { faults, ..model() });
 }
 
 #[test]
-fn claims_hold_for_three_submissions() {
+fn invariants_hold_for_three_submissions() {
     let faults = bound() as u8;
     let model = ClaimModel {
         sent_to: vec![0, 1, 0],
@@ -559,8 +564,8 @@
 #[case::dead_never_dispatched(Mutant::DeadNeverDispatched, AT_MOST_ONCE)]
 #[case::driver_answers(Mutant::DriverAnswers, NOT_RUN_IS_TRUE)]
 #[case::outcome_changed(Mutant::OutcomeChanged, SAME_OUTCOME)]
-#[case::forgets(Mutant::Forgets, NOT_BLOCKED)]
-#[case::outcome_lost(Mutant::OutcomeLost, REPEATED)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
+#[case::forgets_abandoned(Mutant::ForgetsAbandoned, NOT_BLOCKED)]
+#[case::outcome_lost(Mutant::OutcomeLost, REPEAT_GETS_OUTCOME)]
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
     assert_caught("claim", &ClaimModel { mutant, ..model() }, invariant);
 }
--- a/crates/kelpworks-coord/tests/model_lease.rs
+++ b/crates/kelpworks-coord/tests/model_lease.rs
@@ -28,41 +28,42 @@
 use kelpworks_coord::time::Span;
 
 const ONE_HOLDER_A_TOKEN: &str = "each token has one holder";
-const EXCLUSION: &str = "no two daemons may order at one moment";
+const EXCLUSION: &str = "no two daemons may send orders at the same time";
 const PROMPT_ORDER: &str = "an order within its bound precedes the next acquisition";
-const TOKEN_ORDER: &str = "a checking engine takes orders in token order";
+const TOKEN_ORDER: &str = "an engine that checks tokens accepts orders in token order";
 const REPAIRED: &str = "no stale order is left in effect after repair";
 
-/// Global time that one step of the clock adds, in milliseconds of a true clock.
+/// Time that one step of the global clock adds, in milliseconds.
 const UNIT_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
     None,
-    /// The engine takes any order.
+    /// The engine accepts any order.
     NoFenceCheck,
-    /// The second daemon's clock runs at four times the rate, so that it hardly waits.
-    NoWait,
-    /// A renewal counts from its reply.
+    /// The second daemon's clock runs at four times the rate, so that it acquires the lease too
+    /// early.
+    FastSuccessorClock,
+    /// The lease's time counts from the reply to the renewal.
     CountsFromReply,
-    /// A daemon orders without having read the engine's state back.
+    /// A daemon sends orders without reading the engine's state first.
     NoReadBack,
     /// The lease object is removed, and with it the token.
     ObjectRemoved,
-    /// Replies carry revisions without the era.
+    /// Replies contain revisions without the era.
     NoEra,
 }
 
 struct LeaseModel {
     cfg: Config,
-    /// Milliseconds that each daemon's clock gains a unit.
+    /// Milliseconds that each daemon's clock advances per time unit.
     rates: [u64; 2],
-    /// Units of time explored.
+    /// Time units to explore.
     horizon: u64,
     faults: u8,
     crashes: u8,
     duplicates: u8,
-    /// How often the store comes back from an older copy.
+    /// Number of times that the store may be restored from an older copy.
     restores: u8,
     engine_checks: bool,
     mutant: Mutant,
@@ -85,17 +86,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Daemon {
     lease: Lease,
-    /// The lease before the outstanding call, for a mutant.
+    /// State of the lease before the outstanding call, for [`Mutant::CountsFromReply`].
     before: Option<Lease>,
     repair: Repair<Token>,
     clock: u64,
     incarnation: u64,
     call: Option<Call>,
-    /// An order that was allowed and not sent yet.
+    /// Order that was allowed by the fencing check and is not sent yet.
     checked: Option<Order>,
-    /// Takes no step; the replies of its calls wait.
+    /// Whether the daemon is paused: it takes no step, and replies to its calls wait.
     paused: bool,
-    /// What it ordered last, for a mutant.
+    /// Value of the last order, for [`Mutant::NoReadBack`].
     ordered: Option<Token>,
 }
 
@@ -103,22 +104,23 @@
 struct World {
     time: u64,
     object: Stored,
-    /// What stood before, for stale reads.
+    /// Previous state of the object, for stale reads.
     past: Stored,
     daemons: [Daemon; 2],
     delayed: Vec<(Version, Record)>,
     orders: Vec<Order>,
-    /// Orders that the network holds back.
+    /// Orders that the network delays.
     late: Vec<Order>,
-    /// Order in effect on the engine, and the highest token seen by it.
+    /// Value of the order in effect on the engine.
     value: Token,
+    /// Highest token that the engine received.
     highest: Token,
     holders: BTreeMap<Token, Owner>,
     faults: u8,
     crashes: u8,
     duplicates: u8,
     restores: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -128,7 +130,7 @@
     Resume(usize),
     Tick(usize),
     Effect(usize),
-    /// A read that shows what stood before.
+    /// A read returns the previous state of the object.
     StaleRead(usize),
     Reply(usize),
     LoseReply(usize),
@@ -143,7 +145,7 @@
     DeliverLate(usize),
     DropOrder(usize),
     Crash(usize),
-    /// The store comes back from the copy before its last change, or from one without the lease.
+    /// The store is restored from the copy before its last change, or from one without the lease.
     Restore {
         has_lease: bool,
     },
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Gives a daemon's machine an input and carries out what it answers.
+    /// Passes an input to a daemon's lease and carries out the actions that it returns.
     fn feed(&self, world: &mut World, d: usize, event: Event) {
         let daemon = &mut world.daemons[d];
         let now = Instant::from_millis(daemon.clock);
@@ -182,14 +184,14 @@
                     daemon.call = Some(Call::Write { if_version, record });
                 }
                 Action::Acquired(token) => {
-                    daemon.repair.want(token);
+                    daemon.repair.set_desired(token);
                     let node = NodeId(d as u64);
                     let owner = Owner {
                         node,
                         incarnation: Incarnation(daemon.incarnation),
                     };
                     if *world.holders.entry(token).or_insert(owner) != owner {
-                        world.broken = Some(ONE_HOLDER_A_TOKEN);
+                        world.violation = Some(ONE_HOLDER_A_TOKEN);
                     }
                 }
                 Action::Resigned => {}
@@ -234,7 +236,7 @@
     fn decide(&self, world: &mut World, d: usize) {
         let daemon = &mut world.daemons[d];
         let now = Instant::from_millis(daemon.clock);
-        let fence = daemon.lease.fence(now);
+        let fence = daemon.lease.fencing_token(now);
         if fence.is_none() {
             return;
         }
@@ -243,9 +245,9 @@
             _ => world.value,
         };
         let mut repair = daemon.repair.clone();
-        repair.read_back(now, now, seen);
-        // A reading that leads to no order is not kept, so as not to tell such states apart.
-        if let Some((token, value)) = repair.due(now, fence) {
+        repair.observe(now, now, seen);
+        // A state read that leads to no order is not kept, to keep the number of states small.
+        if let Some((token, value)) = repair.due_order(now, fence) {
             daemon.repair = repair;
             daemon.ordered = (self.mutant == Mutant::NoReadBack).then_some(value);
             daemon.checked = Some(Order {
@@ -259,26 +261,30 @@
     fn deliver(&self, world: &mut World, order: Order) {
         let prompt = world.time - order.checked_at <= self.cfg.order_bound.as_millis() / UNIT_MS;
         if prompt && world.object.record.token > order.token {
-            world.broken = Some(PROMPT_ORDER);
+            world.violation = Some(PROMPT_ORDER);
         }
         let checks = self.engine_checks && self.mutant != Mutant::NoFenceCheck;
         if checks && order.token < world.highest {
             return;
         }
         if self.engine_checks && order.token < world.value {
-            world.broken = Some(TOKEN_ORDER);
+            world.violation = Some(TOKEN_ORDER);
         }
         world.value = order.value;
         world.highest = world.highest.max(order.token);
     }
 
     fn exclusive(&self, world: &World) -> bool {
-        let fenced = |d: &Daemon| d.lease.fence(Instant::from_millis(d.clock)).is_some();
+        let fenced = |d: &Daemon| {
+            d.lease
+                .fencing_token(Instant::from_millis(d.clock))
+                .is_some()
+        };
         !world.daemons.iter().all(fenced)
     }
 
-    /// Whether the engine ends with the holder's order once faults stop.
-    fn heals(&self, world: &World) -> bool {
+    /// Returns whether the holder's order ends up in effect on the engine once faults stop.
+    fn converges(&self, world: &World) -> bool {
         let mut world = world.clone();
         for _ in 0..40 {
             for (version, record) in std::mem::take(&mut world.delayed) {
@@ -311,13 +317,13 @@
         if self.mutant == Mutant::ObjectRemoved && world.time == 2 {
             world.object = Stored::ABSENT;
         }
-        let haste = if self.mutant == Mutant::NoWait {
+        let clock_factor = if self.mutant == Mutant::FastSuccessorClock {
             [1, 4]
         } else {
             [1, 1]
         };
         for (d, daemon) in world.daemons.iter_mut().enumerate() {
-            let rate = self.rates[d] * haste[d];
+            let rate = self.rates[d] * clock_factor[d];
             daemon.clock += rate;
         }
     }
@@ -349,8 +355,8 @@
     }
 }
 
-/// Whether anything is outstanding that takes no time unless a fault delays it.
-fn pending(world: &World) -> bool {
+/// Returns whether there is work outstanding that takes no time unless a fault delays it.
+fn has_pending_work(world: &World) -> bool {
     let idle = |d: &Daemon| {
         let now = Instant::from_millis(d.clock);
         let due = || !d.lease.clone().on_event(now, Event::Tick).is_empty();
@@ -359,7 +365,7 @@
     !world.orders.is_empty() || !world.daemons.iter().all(idle)
 }
 
-/// The write of an outstanding call may take effect at any later time.
+/// Lets the write of an outstanding call take effect at any later time.
 fn delay(world: &mut World, d: usize) {
     if let Some(Call::Write { if_version, record }) = world.daemons[d].call {
         world.delayed.push((if_version, record));
@@ -367,7 +373,8 @@
     }
 }
 
-/// A store compares revisions; it can't know of which era a condition is.
+/// Writes the object if its revision matches. The store compares revisions only; it doesn't know
+/// the era of a condition.
 fn write(world: &mut World, if_version: Version, record: Record) -> bool {
     let Version { era, revision } = world.object.version;
     if revision != if_version.revision {
@@ -394,7 +401,7 @@
     }
 }
 
-/// The store comes back in its next era.
+/// Restores the store from a copy, in its next era.
 fn restore(world: &mut World, has_lease: bool) {
     let era = Era(world.object.version.era.0 + 1);
     let copy = match has_lease {
@@ -412,7 +419,7 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         World {
             time: 0,
             object: Stored::ABSENT,
@@ -428,13 +435,13 @@
             crashes: self.crashes,
             duplicates: self.duplicates,
             restores: self.restores,
-            broken: None,
+            violation: None,
         }
     }
 
     fn steps(&self, world: &World) -> Vec<Step> {
         let mut steps = Vec::new();
-        if world.time < self.horizon && !pending(world) {
+        if world.time < self.horizon && !has_pending_work(world) {
             steps.push(Step::Advance);
         }
         for d in 0..2 {
@@ -456,7 +463,7 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         match step {
             Step::Advance => self.advance(world),
             Step::Pause(d) => {
@@ -533,16 +540,16 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
         if !self.exclusive(world) {
             return Some(EXCLUSION);
         }
-        // Without the object nothing heals, which is not what that mutant is to show.
+        // Without the object the state never converges, which is not what that mutant tests.
         let ended = world.time == self.horizon && self.mutant != Mutant::ObjectRemoved;
-        (ended && !self.heals(world)).then_some(REPAIRED)
+        (ended && !self.converges(world)).then_some(REPAIRED)
     }
 }
 
@@ -551,11 +558,11 @@
     LeaseModel {
         cfg: Config {
             ttl: ms(2 * UNIT_MS),
-            renew: ms(UNIT_MS),
+            renew_interval: ms(UNIT_MS),
             order_bound: ms(UNIT_MS),
             drift_per_mille: 0,
-            watch: ms(UNIT_MS),
-            retry: ms(UNIT_MS),
+            poll_interval: ms(UNIT_MS),
+            retry_interval: ms(UNIT_MS),
         },
         rates: [UNIT_MS; 2],
         horizon: 4,
@@ -568,7 +575,7 @@
     }
 }
 
-/// One clock is slow by a half, the other fast by a half.
+/// Returns a model in which one clock runs at half the true rate and the other at one and a half.
 fn drifting() -> LeaseModel {
     let mut model = model();
     model.cfg.ttl = Span::from_millis(3 * UNIT_MS);
@@ -582,13 +589,13 @@
 }
 
 #[test]
-fn a_lease_holds_under_lost_replies_and_pauses() {
+fn invariants_hold_under_lost_replies_and_pauses() {
     let faults = bound() as u8;
     assert_holds("lease, lost and late", &LeaseModel { faults, ..model() });
 }
 
 #[test]
-fn a_lease_holds_under_a_crash_and_a_duplicate() {
+fn invariants_hold_under_a_crash_and_a_duplicate() {
     let model = LeaseModel {
         crashes: 1,
         duplicates: 1,
@@ -599,7 +606,7 @@
 }
 
 #[test]
-fn a_lease_holds_when_engines_ignore_the_fence() {
+fn invariants_hold_when_engines_ignore_fencing_tokens() {
     let faults = bound() as u8;
     let model = LeaseModel {
         engine_checks: false,
@@ -613,7 +620,7 @@
 #[rstest]
 #[case::checking_engine(true)]
 #[case::ignoring_engine(false)]
-fn a_lease_holds_when_the_store_comes_back_from_an_older_copy(#[case] engine_checks: bool) {
+fn invariants_hold_after_store_restore(#[case] engine_checks: bool) {
     let model = LeaseModel {
         restores: 1,
         faults: bound() as u8 - 1,
@@ -624,7 +631,7 @@
 }
 
 #[test]
-fn a_lease_holds_when_the_store_comes_back_from_older_copies_twice() {
+fn invariants_hold_after_two_store_restores() {
     let model = LeaseModel {
         restores: 2,
         faults: 0,
@@ -635,7 +642,7 @@
 
 #[rstest]
 #[case::one_holder(1, ONE_HOLDER_A_TOKEN)]
-fn the_checker_catches_versions_without_their_era(#[case] restores: u8, #[case] invariant: &str) {
+fn checker_catches_versions_without_era(#[case] restores: u8, #[case] invariant: &str) {
     let model = LeaseModel {
         restores,
         faults: 1,
@@ -646,7 +653,7 @@
 }
 
 #[test]
-fn a_lease_holds_under_clock_drift() {
+fn invariants_hold_under_clock_drift() {
     let faults = bound() as u8 - 1;
     assert_holds(
         "lease, drift",
@@ -659,11 +666,11 @@
 
 #[rstest]
 #[case::no_fence_check(Mutant::NoFenceCheck, TOKEN_ORDER)]
-#[case::no_wait(Mutant::NoWait, PROMPT_ORDER)]
+#[case::fast_successor_clock(Mutant::FastSuccessorClock, PROMPT_ORDER)]
 #[case::counts_from_reply(Mutant::CountsFromReply, EXCLUSION)]
 #[case::no_read_back(Mutant::NoReadBack, REPAIRED)]
 #[case::object_removed(Mutant::ObjectRemoved, ONE_HOLDER_A_TOKEN)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
     let engine_checks = mutant != Mutant::NoReadBack;
     let model = LeaseModel {
         faults: 2,
@@ -676,7 +683,7 @@
 }
 
 #[test]
-fn the_checker_catches_a_wait_that_allows_for_no_drift() {
+fn checker_catches_a_takeover_wait_without_drift() {
     let mut model = drifting();
     model.cfg.drift_per_mille = 0;
     model.faults = 1;
--- a/crates/kelpworks-coord/tests/model_membership.rs
+++ b/crates/kelpworks-coord/tests/model_membership.rs
@@ -21,9 +21,10 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
-const LIVE_IS_SEEN: &str = "no live daemon is held dead for ever";
-const CRASHED_IS_DEAD: &str = "a crashed daemon ends up dead for all";
-const CONFIRMED: &str = "no daemon counts as dead by one daemon's word before the long timeout";
+const NO_LIVE_MEMBER_DEAD: &str = "no live daemon counts as dead forever";
+const CRASHED_IS_DEAD: &str = "a crashed daemon finally counts as dead for all others";
+const CONFIRMED: &str =
+    "no daemon counts as dead by one daemon's suspicion before the long timeout";
 
 const NODES: usize = 3;
 const ROUND_MS: u64 = 1_000;
@@ -34,20 +35,20 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
     None,
-    /// No daemon learns what others hold of it, so none refutes.
+    /// No daemon learns the health that others record for it, so none refutes it.
     NoRefutation,
-    /// Passed-on suspicions count as the relaying daemon's own.
+    /// A relayed suspicion counts as one of the relaying daemon.
     RelayedCountsAsOwn,
-    /// A helper answers for its target without probing it.
-    HelperLies,
+    /// An indirect prober acknowledges without probing the target.
+    FalseIndirectAck,
 }
 
-/// Directed links that are cut, `(from, to)`.
+/// Directed links that are cut, as `(from, to)`.
 type Cut = &'static [(usize, usize)];
 
-const WHOLE: Cut = &[];
+const NO_CUT: Cut = &[];
 const CUTS: [Cut; 6] = [
-    WHOLE,
+    NO_CUT,
     &[(0, 1), (1, 0)],
     &[(0, 1)],
     &[(1, 0), (1, 2)],
@@ -58,7 +59,7 @@
 struct MembershipModel {
     rounds: u64,
     crashes: u8,
-    /// Whether rounds also run in the reverse order of daemons.
+    /// Whether rounds may also visit the daemons in reverse order.
     reorder: bool,
     mutant: Mutant,
 }
@@ -69,9 +70,9 @@
     up: [bool; NODES],
     round: u64,
     crashes: u8,
-    /// When a daemon first found another silent.
-    failed: [[Option<u64>; NODES]; NODES],
-    broken: Option<&'static str>,
+    /// Time in ms of the first failed probe of each daemon (first index) to each other one.
+    first_failed_probe: [[Option<u64>; NODES]; NODES],
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -80,7 +81,7 @@
     Crash(usize),
 }
 
-/// What goes on within one round.
+/// One visit of a daemon within a round.
 struct Round<'a> {
     world: &'a mut World,
     cut: Cut,
@@ -89,7 +90,7 @@
 }
 
 impl Round<'_> {
-    fn passes(&self, from: usize, to: usize) -> bool {
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         self.world.up[from] && self.world.up[to] && !self.cut.contains(&(from, to))
     }
 
@@ -98,7 +99,7 @@
         for action in actions {
             match action {
                 Action::Probe { target, view } => self.probe(d, index(target), view),
-                Action::ProbeVia { via, target, view } => {
+                Action::IndirectProbe { via, target, view } => {
                     self.probe_via(d, index(via), index(target), view);
                 }
                 _ => {}
@@ -109,7 +110,7 @@
     fn feed(&mut self, d: usize, event: Event) -> Vec<Action> {
         let actions = self.world.members[d].on_event(self.now, event);
         for action in &actions {
-            if let Action::Changed {
+            if let Action::HealthChanged {
                 node,
                 health: Health::Dead,
             } = *action
@@ -121,10 +122,12 @@
     }
 
     fn check_confirmed(&mut self, t: usize) {
-        let since: Vec<u64> = (0..NODES).filter_map(|d| self.world.failed[d][t]).collect();
-        let late = |at: &u64| self.now.as_millis() - at >= LONG_TIMEOUT_MS;
-        if since.len() < 2 && !since.iter().any(late) {
-            self.world.broken = Some(CONFIRMED);
+        let failures: Vec<u64> = (0..NODES)
+            .filter_map(|d| self.world.first_failed_probe[d][t])
+            .collect();
+        let is_long_ago = |at: &u64| self.now.as_millis() - at >= LONG_TIMEOUT_MS;
+        if failures.len() < 2 && !failures.iter().any(is_long_ago) {
+            self.world.violation = Some(CONFIRMED);
         }
     }
 
@@ -141,9 +144,10 @@
         self.feed(to, Event::Updates(updates));
     }
 
-    /// A probe and its answer; true when the answer arrived.
+    /// Carries out a probe and its acknowledgement; returns the acknowledged incarnation when the
+    /// acknowledgement arrived.
     fn probe_and_answer(&mut self, d: usize, t: usize, mut view: Update) -> Option<Incarnation> {
-        if !self.passes(d, t) {
+        if !self.is_reachable(d, t) {
             return None;
         }
         if self.mutant == Mutant::NoRefutation {
@@ -160,20 +164,20 @@
                 view,
             },
         );
-        if !self.passes(t, d) {
+        if !self.is_reachable(t, d) {
             return None;
         }
         self.gossip(t, d);
         let mut answered = None;
         for action in answers {
-            if let Action::Answer {
+            if let Action::Ack {
                 incarnation, view, ..
             } = action
             {
                 answered = Some(incarnation);
                 self.feed(
                     d,
-                    Event::Heard {
+                    Event::Contact {
                         from: node(t),
                         incarnation,
                     },
@@ -188,22 +192,22 @@
     fn probe(&mut self, d: usize, t: usize, view: Update) {
         if self.probe_and_answer(d, t, view).is_none() {
             let now = self.now.as_millis();
-            self.world.failed[d][t].get_or_insert(now);
+            self.world.first_failed_probe[d][t].get_or_insert(now);
         }
     }
 
     fn probe_via(&mut self, d: usize, via: usize, t: usize, view: Update) {
-        if !self.passes(d, via) {
+        if !self.is_reachable(d, via) {
             return;
         }
         let answered = match self.mutant {
-            Mutant::HelperLies => Some(view.incarnation),
+            Mutant::FalseIndirectAck => Some(view.incarnation),
             _ => self.probe_and_answer(via, t, view),
         };
-        if let Some(incarnation) = answered.filter(|_| self.passes(via, d)) {
+        if let Some(incarnation) = answered.filter(|_| self.is_reachable(via, d)) {
             self.feed(
                 d,
-                Event::Heard {
+                Event::Contact {
                     from: node(t),
                     incarnation,
                 },
@@ -216,7 +220,7 @@
     fn round(&self, world: &mut World, cut: Cut, reverse: bool) {
         let start = world.round * ROUND_MS;
         world.round += 1;
-        // The probe, its direct timeout and its indirect timeout.
+        // Ticks at the probe, at its direct timeout and at its indirect timeout, in ms.
         for sub in [0, 400, 800] {
             for i in 0..NODES {
                 let d = if reverse { NODES - 1 - i } else { i };
@@ -234,16 +238,16 @@
         }
     }
 
-    fn healed(&self, world: &World) -> Option<&'static str> {
+    fn violation_after_healing(&self, world: &World) -> Option<&'static str> {
         let mut world = world.clone();
         for _ in 0..HEAL_ROUNDS {
-            self.round(&mut world, WHOLE, false);
+            self.round(&mut world, NO_CUT, false);
         }
         for d in (0..NODES).filter(|&d| world.up[d]) {
             for t in (0..NODES).filter(|&t| t != d) {
                 let health = world.members[d].health(node(t));
                 match world.up[t] {
-                    true if health != Some(Health::Alive) => return Some(LIVE_IS_SEEN),
+                    true if health != Some(Health::Alive) => return Some(NO_LIVE_MEMBER_DEAD),
                     false if health != Some(Health::Dead) => return Some(CRASHED_IS_DEAD),
                     _ => {}
                 }
@@ -263,14 +267,14 @@
 
 fn member(i: usize) -> Membership {
     let cfg = Config {
-        probe_every: Span::from_millis(ROUND_MS),
+        probe_interval: Span::from_millis(ROUND_MS),
         probe_timeout: Span::from_millis(400),
-        indirect: 2,
+        indirect_probes: 2,
         confirmations: 3,
-        suspect_min: Span::from_millis(ROUND_MS),
-        suspect_max: Span::from_millis(LONG_TIMEOUT_MS),
-        dead_probe: Span::from_millis(2 * ROUND_MS),
-        forget: Span::from_secs(600),
+        min_suspicion: Span::from_millis(ROUND_MS),
+        max_suspicion: Span::from_millis(LONG_TIMEOUT_MS),
+        dead_probe_interval: Span::from_millis(2 * ROUND_MS),
+        retention: Span::from_secs(600),
     };
     let mut member = Membership::new(cfg, node(i), DOMAIN, Incarnation(1));
     let entry = |n| Entry {
@@ -280,12 +284,12 @@
     };
     member.on_event(
         Instant::ZERO,
-        Event::Listed((0..NODES).map(entry).collect()),
+        Event::HostList((0..NODES).map(entry).collect()),
     );
     for from in (0..NODES).filter(|&n| n != i).map(node) {
         member.on_event(
             Instant::ZERO,
-            Event::Heard {
+            Event::Contact {
                 from,
                 incarnation: Incarnation(1),
             },
@@ -298,14 +302,14 @@
     type State = World;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn initial_state(&self) -> World {
         World {
             members: [member(0), member(1), member(2)],
             up: [true; NODES],
             round: 0,
             crashes: self.crashes,
-            failed: [[None; NODES]; NODES],
-            broken: None,
+            first_failed_probe: [[None; NODES]; NODES],
+            violation: None,
         }
     }
 
@@ -324,7 +328,7 @@
         steps
     }
 
-    fn take(&self, world: &mut World, step: Step) {
+    fn apply(&self, world: &mut World, step: Step) {
         match step {
             Step::Round { cut, reverse } => self.round(world, cut, reverse),
             Step::Crash(d) => {
@@ -334,12 +338,12 @@
         }
     }
 
-    fn broken(&self, world: &World) -> Option<&'static str> {
-        if world.broken.is_some() {
-            return world.broken;
+    fn violated(&self, world: &World) -> Option<&'static str> {
+        if world.violation.is_some() {
+            return world.violation;
         }
         if world.round == self.rounds {
-            self.healed(world)
+            self.violation_after_healing(world)
         } else {
             None
         }
@@ -356,13 +360,13 @@
 }
 
 #[test]
-fn members_find_each_other_after_cuts() {
+fn members_converge_after_cuts() {
     let rounds = 5 + u64::from(bound());
     assert_holds("membership, cuts", &MembershipModel { rounds, ..model() });
 }
 
 #[test]
-fn members_find_each_other_after_cuts_in_any_order() {
+fn members_converge_after_cuts_in_either_order() {
     let rounds = 4 + u64::from(bound());
     assert_holds(
         "membership, orders",
@@ -375,7 +379,7 @@
 }
 
 #[test]
-fn members_find_out_a_crash() {
+fn members_detect_a_crash() {
     let rounds = 4 + u64::from(bound());
     assert_holds(
         "membership, crash",
@@ -388,11 +392,11 @@
 }
 
 #[rstest]
-#[case::no_refutation(Mutant::NoRefutation, LIVE_IS_SEEN)]
+#[case::no_refutation(Mutant::NoRefutation, NO_LIVE_MEMBER_DEAD)]
 #[case::relayed_counts_as_own(Mutant::RelayedCountsAsOwn, CONFIRMED)]
-#[case::helper_lies(Mutant::HelperLies, CRASHED_IS_DEAD)]
-fn the_checker_catches(#[case] mutant: Mutant, #[case] invariant: &str) {
-    let crashes = u8::from(mutant == Mutant::HelperLies);
+#[case::false_indirect_ack(Mutant::FalseIndirectAck, CRASHED_IS_DEAD)]
+fn checker_catches_mutants(#[case] mutant: Mutant, #[case] invariant: &str) {
+    let crashes = u8::from(mutant == Mutant::FalseIndirectAck);
     assert_caught(
         "membership",
         &MembershipModel {
