--- a/crates/kelpworks-cli/examples/stand_ins.rs
+++ b/crates/kelpworks-cli/examples/stand_ins.rs
@@ -20,11 +20,11 @@
 
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::EngineConfig;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
 use kelpworks_fakes::PlainService;
 use kelpworks_fakes::PlainServiceConfig;
-use kelpworks_fakes::StandIns;
 use kelpworks_fakes::fleet::EngineView;
 use kelpworks_fakes::fleet::ServiceView;
 
@@ -95,7 +95,7 @@
 async fn run(args: Arguments) -> Result<()> {
     match plan(args)? {
         Plan::Fleet(cfg) => {
-            let fleet = StandIns::spawn(cfg).await?;
+            let fleet = FakeFleet::spawn(cfg).await?;
             println!("{}", serde_json::to_string(&fleet.view())?);
             ended().await
         }
--- a/crates/kelpworks-cli/tests/cli_faults.rs
+++ b/crates/kelpworks-cli/tests/cli_faults.rs
@@ -10,7 +10,7 @@
 
 use kelpworks::config::head::HEAD_KIND;
 use kelpworks_fakes::ApiMode;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
 use support::Platform;
@@ -78,17 +78,20 @@
 }
 
 #[rstest]
-#[case::unavailable("outage_unavailable", ApiMode::Unavailable, Connections::Pass)]
-#[case::refused("outage_refused", ApiMode::Up, Connections::Refuse)]
+#[case::unavailable("outage_unavailable", ApiMode::Unavailable, ConnectionMode::Pass)]
+#[case::refused("outage_refused", ApiMode::Up, ConnectionMode::Refuse)]
 #[tokio::test]
 async fn an_outage_is_an_outcome(
     #[case] name: &str,
     #[case] mode: ApiMode,
-    #[case] connections: Connections,
+    #[case] connections: ConnectionMode,
 ) {
     let platform = prepared().await;
     platform.object_api.set_mode(mode);
-    platform.object_api.faults().connections(connections);
+    platform
+        .object_api
+        .faults()
+        .set_connection_mode(connections);
     let text = platform
         .run(&["rules", "apply", "aralsky/rules.toml"])
         .await;
--- a/crates/kelpworks-cli/tests/frame/mod.rs
+++ b/crates/kelpworks-cli/tests/frame/mod.rs
@@ -23,10 +23,10 @@
 use crate::caller::Caller;
 use kelpworks::config::head::digest_of;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::DaemonAddresses;
-use kelpworks_fakes::documents::NonIdempotentCall;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::DaemonAddresses;
+use kelpworks_fakes::config_files::NonIdempotentCall;
+use kelpworks_fakes::config_files::Team;
 use kelpworks_fakes::engine::LedgerView;
 use kelpworks_fakes::fleet::EngineView;
 use kelpworks_fakes::fleet::FleetView;
@@ -170,7 +170,7 @@
             peers: FREE,
         };
         let file = self.dir.0.join(format!("{name}.toml"));
-        let text = documents::settings(&self.view, addresses, timing);
+        let text = config_files::settings(&self.view, addresses, timing);
         std::fs::write(&file, text).expect("a settings file");
         let mut command = Command::new(KELPWORKS);
         command.arg("serve").arg("--settings").arg(&file);
@@ -182,7 +182,7 @@
     /// Puts the configuration, as an operator does.
     fn import(&self) {
         let models = std::slice::from_ref(&self.model);
-        let register = documents::register(&self.view, models);
+        let register = config_files::register(&self.view, models);
         self.apply("register", "import", &register);
         let paying = digest_of(PAYING).to_string();
         let trial = digest_of(TRIAL).to_string();
@@ -201,7 +201,7 @@
             method: "POST",
             path: "/certificates",
         };
-        self.apply("rules", "apply", &documents::rules(0.5, &teams, &[once]));
+        self.apply("rules", "apply", &config_files::rules(0.5, &teams, &[once]));
     }
 
     /// Runs `kelpworks NOUN VERB` and waits until the change is in force on every daemon.
--- a/crates/kelpworks-fakes/src/fault.rs
+++ b/crates/kelpworks-fakes/src/fault.rs
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Connections {
+pub enum ConnectionMode {
     /// All work.
     #[default]
     Pass,
@@ -142,7 +142,7 @@
 /// Body of `POST /fake/faults`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct FaultOrder {
+pub struct FaultUpdate {
     /// Forget all faults before adding new ones.
     #[serde(default)]
     pub clear: bool,
@@ -151,7 +151,7 @@
     pub add: Vec<Fault>,
     /// What becomes of connections; absent: no change.
     #[serde(default)]
-    pub connections: Option<Connections>,
+    pub connections: Option<ConnectionMode>,
 }
 
 /// The faults of one stand-in; clones share them.
@@ -170,7 +170,7 @@
 
 #[derive(Debug, Default)]
 struct ConnectionTable {
-    mode: Connections,
+    mode: ConnectionMode,
     /// Rises by one an accepted connection.
     accepted: u64,
     /// Connections with a number below this one never answer.
@@ -200,20 +200,20 @@
     pub fn clear(&self) {
         lock(&self.shared.table).clear();
         self.shared.armed.store(false, Ordering::Release);
-        self.connections(Connections::Pass);
+        self.set_connection_mode(ConnectionMode::Pass);
     }
 
     /// Sets what becomes of connections.
-    pub fn connections(&self, mode: Connections) {
+    pub fn set_connection_mode(&self, mode: ConnectionMode) {
         let mut table = lock(&self.shared.connections);
-        if mode == Connections::SilenceExisting {
+        if mode == ConnectionMode::SilenceExisting {
             table.silent_below = table.accepted;
         }
         table.mode = mode;
     }
 
     /// Carries out an order of `POST /fake/faults`.
-    pub fn apply(&self, order: FaultOrder) {
+    pub fn apply(&self, order: FaultUpdate) {
         if order.clear {
             self.clear();
         }
@@ -221,7 +221,7 @@
             self.add(fault);
         }
         if let Some(mode) = order.connections {
-            self.connections(mode);
+            self.set_connection_mode(mode);
         }
     }
 
@@ -269,7 +269,7 @@
         let number = table.accepted;
         table.accepted += 1;
         table.by_port.insert(port, number);
-        table.mode != Connections::Refuse
+        table.mode != ConnectionMode::Refuse
     }
 
     /// What becomes of a request on the connection from this remote port.
@@ -277,8 +277,8 @@
         let table = lock(&self.shared.connections);
         let number = table.by_port.get(&port).copied().unwrap_or(u64::MAX);
         match table.mode {
-            Connections::Refuse => ConnectionVerdict::Close,
-            Connections::SilenceAll => ConnectionVerdict::Silent,
+            ConnectionMode::Refuse => ConnectionVerdict::Close,
+            ConnectionMode::SilenceAll => ConnectionVerdict::Silent,
             _ if number < table.silent_below => ConnectionVerdict::Silent,
             _ => ConnectionVerdict::Pass,
         }
--- a/crates/kelpworks-fakes/src/fleet.rs
+++ b/crates/kelpworks-fakes/src/fleet.rs
@@ -3,12 +3,12 @@
 //! ```
 //! use kelpworks_fakes::FleetConfig;
 //! use kelpworks_fakes::Model;
-//! use kelpworks_fakes::StandIns;
+//! use kelpworks_fakes::FakeFleet;
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() -> kelpworks_fakes::Result<()> {
 //! let model = Model::new("caption", "1", 12);
-//! let fleet = StandIns::spawn(FleetConfig::pipeline(&model, 3, 2)).await?;
+//! let fleet = FakeFleet::spawn(FleetConfig::pipeline(&model, 3, 2)).await?;
 //! assert_eq!(fleet.view().engines.len(), 6);
 //! # Ok(())
 //! # }
@@ -24,8 +24,8 @@
 use crate::engine::Run;
 use crate::error::Error;
 use crate::error::Result;
+use crate::host_list::FakeHostList;
 use crate::host_list::HostListConfig;
-use crate::host_list::HostListStandIn;
 use crate::model::Model;
 use crate::object_api::ObjectApi;
 use crate::object_api::ObjectApiConfig;
@@ -88,11 +88,11 @@
 
 /// A running set of stand-ins; dropping it stops all.
 #[derive(Debug)]
-pub struct StandIns {
+pub struct FakeFleet {
     /// The object API.
     pub object_api: ObjectApi,
     /// The host list.
-    pub host_list: HostListStandIn,
+    pub host_list: FakeHostList,
     /// The weight store.
     pub weight_store: WeightStore,
     /// Engines, in the order of the configuration.
@@ -157,13 +157,13 @@
     pub failure_domain: String,
 }
 
-impl StandIns {
+impl FakeFleet {
     /// Starts all stand-ins.
     ///
     /// # Errors
     ///
     /// When a port cannot be bound, or an engine is to hold a range that no model has.
-    pub async fn spawn(cfg: FleetConfig) -> Result<StandIns> {
+    pub async fn spawn(cfg: FleetConfig) -> Result<FakeFleet> {
         let weight_store = WeightStore::spawn(cfg.weight_store).await?;
         let mut engines = Vec::new();
         for mut engine in cfg.engines {
@@ -189,9 +189,9 @@
             } = s.config();
             live_host(name, s.addr(), failure_domain)
         }));
-        Ok(StandIns {
+        Ok(FakeFleet {
             object_api: ObjectApi::spawn(cfg.object_api).await?,
-            host_list: HostListStandIn::spawn(hosts).await?,
+            host_list: FakeHostList::spawn(hosts).await?,
             weight_store,
             engines,
             services,
--- a/crates/kelpworks-fakes/src/host_list.rs
+++ b/crates/kelpworks-fakes/src/host_list.rs
@@ -36,7 +36,7 @@
 
 /// A running host list; dropping it stops it.
 #[derive(Debug)]
-pub struct HostListStandIn {
+pub struct FakeHostList {
     shared: Arc<Shared>,
     server: Server,
 }
@@ -54,13 +54,13 @@
     list: HostList,
 }
 
-impl HostListStandIn {
+impl FakeHostList {
     /// Starts a host list.
     ///
     /// # Errors
     ///
     /// When the port cannot be bound.
-    pub async fn spawn(cfg: HostListConfig) -> Result<HostListStandIn> {
+    pub async fn spawn(cfg: HostListConfig) -> Result<FakeHostList> {
         let port = Port::bind(cfg.port)?;
         let first = Dated {
             at: Instant::now(),
@@ -81,7 +81,7 @@
                     .post(post_hosts),
             );
         let server = port.serve(Faults::default(), shared.clone(), router)?;
-        Ok(HostListStandIn { shared, server })
+        Ok(FakeHostList { shared, server })
     }
 
     /// Base URL.
--- a/crates/kelpworks-fakes/src/lib.rs
+++ b/crates/kelpworks-fakes/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins of the systems around kelpworks, for tests, examples and measurements only.
 //!
 //! Each stand-in serves the same HTTP border as the real system on a loopback port, keeps a ledger
-//! of what it ran, and misbehaves on demand: see [`Fault`] for single requests, [`Connections`]
+//! of what it ran, and misbehaves on demand: see [`Fault`] for single requests, [`ConnectionMode`]
 //! for whole connections and [`Link`] for what lies between two ends. The answer that a pipeline
 //! of stand-in engines must give is computed directly by [`Model::answer`].
 //!
@@ -35,7 +35,7 @@
 mod server;
 mod weight_store;
 
-pub mod documents;
+pub mod config_files;
 pub mod engine;
 pub mod fleet;
 
@@ -43,22 +43,22 @@
 pub use engine::EngineConfig;
 pub use error::Error;
 pub use error::Result;
-pub use fault::Connections;
+pub use fault::ConnectionMode;
 pub use fault::Fault;
 pub use fault::FaultKind;
-pub use fault::FaultOrder;
+pub use fault::FaultUpdate;
 pub use fault::Faults;
+pub use fleet::FakeFleet;
 pub use fleet::FleetConfig;
-pub use fleet::StandIns;
+pub use host_list::FakeHostList;
 pub use host_list::HostListConfig;
-pub use host_list::HostListStandIn;
 pub use link::Link;
 pub use link::LinkState;
 pub use model::KvCache;
 pub use model::Model;
-pub use model::VOCABULARY;
-pub use model::text;
-pub use model::tokens;
+pub use model::VOCABULARY_SIZE;
+pub use model::token_text;
+pub use model::tokenize;
 pub use object_api::ApiMode;
 pub use object_api::CallCounts;
 pub use object_api::ObjectApi;
--- a/crates/kelpworks-fakes/src/model.rs
+++ b/crates/kelpworks-fakes/src/model.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of tokens; token 0 ends an answer.
-pub const VOCABULARY: u32 = 4096;
+pub const VOCABULARY_SIZE: u32 = 4096;
 
 const END_TOKEN: u32 = 0;
 
@@ -50,12 +50,12 @@
     ///
     /// ```
     /// use kelpworks_fakes::Model;
-    /// use kelpworks_fakes::tokens;
+    /// use kelpworks_fakes::tokenize;
     ///
     /// let model = Model::new("caption", "1", 4);
-    /// let answer = model.answer(&tokens(b"a red chair"), 8);
+    /// let answer = model.answer(&tokenize(b"a red chair"), 8);
     /// assert!(answer.len() <= 8);
-    /// assert_ne!(answer, Model::new("caption", "2", 4).answer(&tokens(b"a red chair"), 8));
+    /// assert_ne!(answer, Model::new("caption", "2", 4).answer(&tokenize(b"a red chair"), 8));
     /// ```
     pub fn new(name: &str, version: &str, layers: u32) -> Model {
         let seed = mix([xxh3_64(name.as_bytes()), xxh3_64(version.as_bytes())]);
@@ -113,7 +113,7 @@
 
     /// Next token, from the output row of the last layer.
     pub fn next_token(&self, row: u64) -> u32 {
-        (row % u64::from(VOCABULARY)) as u32
+        (row % u64::from(VOCABULARY_SIZE)) as u32
     }
 
     /// The whole answer to a prompt, computed directly; ends before token 0.
@@ -142,18 +142,18 @@
 
     /// The text of the whole answer to a prompt.
     pub fn answer_text(&self, prompt: &str, max_tokens: u32) -> String {
-        let answer = self.answer(&tokens(prompt.as_bytes()), max_tokens);
-        answer.into_iter().map(text).collect()
+        let answer = self.answer(&tokenize(prompt.as_bytes()), max_tokens);
+        answer.into_iter().map(token_text).collect()
     }
 }
 
 /// Tokens of a prompt: one a byte, its value plus one.
-pub fn tokens(prompt: &[u8]) -> Vec<u32> {
+pub fn tokenize(prompt: &[u8]) -> Vec<u32> {
     prompt.iter().map(|b| u32::from(*b) + 1).collect()
 }
 
 /// Text of a generated token: a space and three hex digits.
-pub fn text(token: u32) -> String {
+pub fn token_text(token: u32) -> String {
     format!(" {token:03x}")
 }
 
--- a/crates/kelpworks-fakes/src/server.rs
+++ b/crates/kelpworks-fakes/src/server.rs
@@ -37,7 +37,7 @@
 use crate::error::Result;
 use crate::fault::ConnectionVerdict;
 use crate::fault::FaultKind;
-use crate::fault::FaultOrder;
+use crate::fault::FaultUpdate;
 use crate::fault::Faults;
 
 /// Largest request body that a stand-in reads, in bytes.
@@ -301,7 +301,7 @@
 
 #[handler]
 async fn post_faults(req: &mut Request, depot: &mut Depot) -> Answer {
-    match read_json::<FaultOrder>(req).await {
+    match read_json::<FaultUpdate>(req).await {
         Ok(order) => {
             state::<Faults>(depot).apply(order);
             Answer::empty(StatusCode::NO_CONTENT)
--- a/crates/kelpworks-fakes/tests/engine.rs
+++ b/crates/kelpworks-fakes/tests/engine.rs
@@ -7,12 +7,12 @@
 
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::EngineConfig;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 use kelpworks_fakes::WeightStore;
 use kelpworks_fakes::WeightStoreConfig;
-use kelpworks_fakes::tokens;
+use kelpworks_fakes::tokenize;
 use kelpworks_wire::ActivationRequest;
 use kelpworks_wire::Activations;
 use kelpworks_wire::CancelRequest;
@@ -62,8 +62,8 @@
 #[tokio::test]
 async fn a_pipeline_answers_as_the_model(#[case] output: OutputForm, #[case] chunk: usize) {
     let cfg = FleetConfig::pipeline(&model(), 3, 1);
-    let fleet = StandIns::spawn(cfg).await.unwrap();
-    let prompt = tokens(b"a red chair");
+    let fleet = FakeFleet::spawn(cfg).await.unwrap();
+    let prompt = tokenize(b"a red chair");
     let got = answer(&fleet, output, &prompt, chunk, 12).await;
     assert_eq!(got, model().answer(&prompt, 12));
     for engine in &fleet.engines {
--- a/crates/kelpworks-fakes/tests/faults.rs
+++ b/crates/kelpworks-fakes/tests/faults.rs
@@ -7,12 +7,12 @@
 use reqwest::StatusCode;
 use rstest::rstest;
 
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::EngineConfig;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
-use kelpworks_fakes::FaultOrder;
+use kelpworks_fakes::FaultUpdate;
 use kelpworks_wire::Step;
 use kelpworks_wire::StepReply;
 use support::get;
@@ -102,19 +102,19 @@
 }
 
 #[rstest]
-#[case::passes(Connections::Pass, true, true)]
-#[case::refuses(Connections::Refuse, false, false)]
-#[case::existing_are_silent(Connections::SilenceExisting, false, true)]
-#[case::all_are_silent(Connections::SilenceAll, false, false)]
+#[case::passes(ConnectionMode::Pass, true, true)]
+#[case::refuses(ConnectionMode::Refuse, false, false)]
+#[case::existing_are_silent(ConnectionMode::SilenceExisting, false, true)]
+#[case::all_are_silent(ConnectionMode::SilenceAll, false, false)]
 #[tokio::test]
-async fn connections(#[case] mode: Connections, #[case] old: bool, #[case] new: bool) {
+async fn connections(#[case] mode: ConnectionMode, #[case] old: bool, #[case] new: bool) {
     let engine = engine().await;
     let url = format!("{}/v1/state", engine.url());
     let kept = support::client();
     kept.get(&url).send().await.unwrap().bytes().await.unwrap();
-    let order = FaultOrder {
+    let order = FaultUpdate {
         connections: Some(mode),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     let res = post(&engine.url(), "/fake/faults", &order).await.unwrap();
     assert_eq!(res.status(), StatusCode::NO_CONTENT);
@@ -136,9 +136,9 @@
 ) {
     let engine = engine().await;
     let fault = Fault::once(FaultKind::Status(503)).on(matches).times(3);
-    let order = FaultOrder {
+    let order = FaultUpdate {
         add: vec![fault.clone()],
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     post(&engine.url(), "/fake/faults", &order).await.unwrap();
     let seen = seen(&engine, step(vec![1_u32]), patience(true)).await;
@@ -154,7 +154,7 @@
     let before = engine.state().incarnation;
     let poison = Step {
         session: "p".to_owned(),
-        ..step(kelpworks_fakes::tokens(b"a poison pill"))
+        ..step(kelpworks_fakes::tokenize(b"a poison pill"))
     };
     assert_eq!(
         seen(&engine, poison, patience(true)).await,
--- a/crates/kelpworks-fakes/tests/model.rs
+++ b/crates/kelpworks-fakes/tests/model.rs
@@ -9,8 +9,8 @@
 use proptest::proptest;
 
 use kelpworks_fakes::Model;
-use kelpworks_fakes::text;
-use kelpworks_fakes::tokens;
+use kelpworks_fakes::token_text;
+use kelpworks_fakes::tokenize;
 
 const LAYERS: u32 = 6;
 
@@ -41,7 +41,7 @@
 
     #[test]
     fn a_wrong_lineage_changes_the_row(bytes in any::<[u8; 4]>(), at in 0..3_u32) {
-        let prompt = tokens(&bytes);
+        let prompt = tokenize(&bytes);
         let whole = row_through(WHOLE, &prompt);
         prop_assert_ne!(row_through(&[0..at, at + 1..LAYERS], &prompt), whole);
         prop_assert_ne!(row_through(&[0..at + 1, at..LAYERS], &prompt), whole);
@@ -54,6 +54,6 @@
 fn an_answer_is_fixed() {
     let answer = Model::new("caption", "1", LAYERS).answer_text("a red chair", 6);
     insta::assert_snapshot!(answer);
-    assert_eq!(text(0x0a1), " 0a1");
-    assert_eq!(tokens(b"\0a"), [1, 98]);
+    assert_eq!(token_text(0x0a1), " 0a1");
+    assert_eq!(tokenize(b"\0a"), [1, 98]);
 }
--- a/crates/kelpworks-fakes/tests/platform.rs
+++ b/crates/kelpworks-fakes/tests/platform.rs
@@ -9,10 +9,10 @@
 use rstest::rstest;
 
 use kelpworks_fakes::Execution;
+use kelpworks_fakes::FakeHostList;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
 use kelpworks_fakes::HostListConfig;
-use kelpworks_fakes::HostListStandIn;
 use kelpworks_fakes::Link;
 use kelpworks_fakes::LinkState;
 use kelpworks_fakes::PlainService;
@@ -44,7 +44,7 @@
         hosts: vec![host("a"), host("b")],
         ..HostListConfig::default()
     };
-    let list = HostListStandIn::spawn(cfg).await.unwrap();
+    let list = FakeHostList::spawn(cfg).await.unwrap();
     let before: HostList = get(&list.url(), "/hosts").await;
     list.set_state("a", HostState::Leaving);
     list.remove("b");
--- a/crates/kelpworks-fakes/tests/support/mod.rs
+++ b/crates/kelpworks-fakes/tests/support/mod.rs
@@ -11,8 +11,8 @@
 use serde::de::DeserializeOwned;
 
 use kelpworks_fakes::Engine;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 use kelpworks_wire::Class;
 use kelpworks_wire::HandleRef;
 use kelpworks_wire::LayerRange;
@@ -91,7 +91,7 @@
 
 /// Drives one session through the first replica of each stage, `chunk` prompt tokens at a time.
 pub(crate) async fn answer(
-    fleet: &StandIns,
+    fleet: &FakeFleet,
     output: OutputForm,
     prompt: &[u32],
     chunk: usize,
@@ -112,7 +112,7 @@
     answer
 }
 
-async fn forward(fleet: &StandIns, output: OutputForm, position: u32, tokens: Vec<u32>) -> u32 {
+async fn forward(fleet: &FakeFleet, output: OutputForm, position: u32, tokens: Vec<u32>) -> u32 {
     let count = tokens.len() as u32;
     let mut input = StepInput::Tokens(tokens);
     for engine in &fleet.engines {
--- a/crates/kelpworks/examples/measure/capacity/border.rs
+++ b/crates/kelpworks/examples/measure/capacity/border.rs
@@ -18,9 +18,9 @@
 use kelpworks::border::host_list;
 use kelpworks::border::host_list::HostListApi;
 use kelpworks::border::host_list::HttpHostList;
+use kelpworks_fakes::FakeHostList;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::HostListConfig;
-use kelpworks_fakes::HostListStandIn;
 use kelpworks_wire::Class;
 use kelpworks_wire::HandleRef;
 use kelpworks_wire::HostEntry;
@@ -216,7 +216,7 @@
             hosts: (0..size).map(listed).collect(),
             ..HostListConfig::default()
         };
-        let list = threads.fakes.block_on(HostListStandIn::spawn(cfg))?;
+        let list = threads.fakes.block_on(FakeHostList::spawn(cfg))?;
         let tap = Tap::spawn(&threads.fakes, address_of(&list)?)?;
         let api = HttpHostList::new(&tap.url(), host_list::Deadlines::default())?;
         let before = cost::of_threads(DAEMON);
@@ -243,6 +243,6 @@
     }
 }
 
-fn address_of(list: &HostListStandIn) -> Result<SocketAddr> {
+fn address_of(list: &FakeHostList) -> Result<SocketAddr> {
     Ok(list.url().trim_start_matches("http://").parse()?)
 }
--- a/crates/kelpworks/examples/measure/capacity/path.rs
+++ b/crates/kelpworks/examples/measure/capacity/path.rs
@@ -19,9 +19,9 @@
 use crate::support::client::Call;
 use kelpworks::daemon;
 use kelpworks::daemon::Daemon;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 pub(super) const DAEMON: &str = "cap-daemon";
 const THREADS: usize = 2;
@@ -74,13 +74,13 @@
         })
     }
 
-    pub(super) fn fakes(&self, model: &Model, cfg: FleetConfig) -> Result<StandIns> {
-        let fakes = self.fakes.block_on(StandIns::spawn(cfg))?;
+    pub(super) fn fakes(&self, model: &Model, cfg: FleetConfig) -> Result<FakeFleet> {
+        let fakes = self.fakes.block_on(FakeFleet::spawn(cfg))?;
         support::put_config(&fakes, std::slice::from_ref(model), 0.2, &[TEAM])?;
         Ok(fakes)
     }
 
-    fn daemon(&self, fakes: &StandIns, timing: &str) -> Result<Daemon> {
+    fn daemon(&self, fakes: &FakeFleet, timing: &str) -> Result<Daemon> {
         let started = support::daemons(fakes, 1, timing, &self.metrics);
         let mut daemons = self.daemon.block_on(started)?;
         daemons.pop().ok_or_else(|| "no daemon".into())
@@ -184,7 +184,7 @@
         let mut stream = ask(daemon.bound().callers, PROMPT, tokens)?;
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer)?;
-        let told = model().answer(&kelpworks_fakes::tokens(PROMPT.as_bytes()), tokens);
+        let told = model().answer(&kelpworks_fakes::tokenize(PROMPT.as_bytes()), tokens);
         bytes.add(told.len() as f64, answer.len() as f64);
     }
     daemon.kill();
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -26,8 +26,8 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::Team;
 use kelpworks_fakes::fleet::EngineView;
 use kelpworks_fakes::fleet::FleetView;
 
@@ -178,7 +178,7 @@
         services: Vec::new(),
     };
     let models = (0..4).map(|m| Model::new(&format!("model-{m}"), "1", 80));
-    documents::register(&view, &models.collect::<Vec<_>>())
+    config_files::register(&view, &models.collect::<Vec<_>>())
 }
 
 fn rules_text(teams: usize) -> String {
@@ -194,7 +194,7 @@
             token_sha256,
         })
         .collect();
-    documents::rules(0.2, &teams, &[])
+    config_files::rules(0.2, &teams, &[])
 }
 
 fn tables() -> Vec<Series> {
--- a/crates/kelpworks/examples/measure/overload.rs
+++ b/crates/kelpworks/examples/measure/overload.rs
@@ -29,9 +29,9 @@
 use crate::support::client::Refused;
 use crate::table::Table;
 use kelpworks::daemon;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 const MODEL: &str = "caption";
 const LAYERS: u32 = 12;
@@ -213,7 +213,7 @@
     for engine in &mut cfg.engines {
         engine.layer_rate = LAYER_RATE;
     }
-    let fakes = StandIns::spawn(cfg).await?;
+    let fakes = FakeFleet::spawn(cfg).await?;
     support::put_config(
         &fakes,
         std::slice::from_ref(&model),
--- a/crates/kelpworks/examples/measure/recovery.rs
+++ b/crates/kelpworks/examples/measure/recovery.rs
@@ -17,11 +17,11 @@
 use crate::table::Table;
 use kelpworks::daemon;
 use kelpworks::daemon::Daemon;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Engine;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 use kelpworks_wire::HostState;
 
 const MODEL: &str = "caption";
@@ -82,12 +82,16 @@
         }
     }
 
-    fn strike(self, fakes: &StandIns, victim: &Engine) {
+    fn strike(self, fakes: &FakeFleet, victim: &Engine) {
         match self {
             Failure::None => {}
             Failure::Reset => victim.crash(),
-            Failure::Silence => victim.faults().connections(Connections::SilenceAll),
-            Failure::SilentConnections => victim.faults().connections(Connections::SilenceExisting),
+            Failure::Silence => victim
+                .faults()
+                .set_connection_mode(ConnectionMode::SilenceAll),
+            Failure::SilentConnections => victim
+                .faults()
+                .set_connection_mode(ConnectionMode::SilenceExisting),
             Failure::Domain => {
                 let domain = &victim.config().failure_domain;
                 let lost = fakes
@@ -167,7 +171,7 @@
         engine.layer_rate = LAYER_RATE;
         engine.restart_after = None;
     }
-    let fakes = Arc::new(StandIns::spawn(cfg).await?);
+    let fakes = Arc::new(FakeFleet::spawn(cfg).await?);
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &[TEAM])?;
     let timing = if way == Way::FixedTimeout {
         FIXED_TIMEOUT
@@ -200,7 +204,7 @@
 }
 
 /// The engine that runs the middle stage of a session.
-fn victim<'a>(fakes: &'a StandIns, session: &str) -> Option<&'a Engine> {
+fn victim<'a>(fakes: &'a FakeFleet, session: &str) -> Option<&'a Engine> {
     let middle = |e: &&Engine| {
         let runs = e.ledger().runs_of(session);
         runs.iter().any(|r| r.layers.first == LAYERS / STAGES)
@@ -211,7 +215,7 @@
 async fn watch(
     call: &Call,
     client: &reqwest::Client,
-    fakes: &StandIns,
+    fakes: &FakeFleet,
     failure: Failure,
     model: &Model,
 ) -> Result<f64> {
@@ -237,7 +241,7 @@
 async fn resubmit(
     call: &Call,
     client: &reqwest::Client,
-    fakes: &StandIns,
+    fakes: &FakeFleet,
     failure: Failure,
 ) -> Result<f64> {
     let mut session = String::new();
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -24,8 +24,8 @@
 use kelpworks::status;
 use kelpworks_coord::spread;
 use kelpworks_fakes::ApiMode;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 /// Time for daemons to get to know each other.
@@ -246,7 +246,7 @@
 }
 
 /// Swaps the head to another generation of the same texts.
-fn swap(fakes: &StandIns, generation: u64) {
+fn swap(fakes: &FakeFleet, generation: u64) {
     let object = fakes.object_api.get(HEAD_KIND, HEAD_NAME).expect("a head");
     let mut head = parse(&object.body).expect("a head");
     let rules = head.rules.expect("rules");
--- a/crates/kelpworks/examples/measure/throughput.rs
+++ b/crates/kelpworks/examples/measure/throughput.rs
@@ -21,9 +21,9 @@
 use kelpworks::daemon;
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::EngineConfig;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 const LAYERS: u32 = 24;
 const STAGES: u32 = 4;
@@ -150,7 +150,7 @@
     let model = Model::new(deployment.model, "1", LAYERS);
     let cfg = fleet(deployment, &model);
     let bound = bound(&cfg);
-    let fakes = StandIns::spawn(cfg).await?;
+    let fakes = FakeFleet::spawn(cfg).await?;
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &[TEAM])?;
     let daemons = support::daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
     let bases: Vec<String> = daemons
--- a/crates/kelpworks/examples/support/mod.rs
+++ b/crates/kelpworks/examples/support/mod.rs
@@ -20,13 +20,13 @@
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
 use kelpworks::settings::Settings;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::DaemonAddresses;
-use kelpworks_fakes::documents::NonIdempotentCall;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::DaemonAddresses;
+use kelpworks_fakes::config_files::NonIdempotentCall;
+use kelpworks_fakes::config_files::Team;
 
 pub(crate) mod client;
 
@@ -53,12 +53,12 @@
 ///
 /// When the pair is not valid; daemons would never take it.
 pub(crate) fn put_config(
-    fakes: &StandIns,
+    fakes: &FakeFleet,
     models: &[Model],
     share: f64,
     teams: &[ExampleTeam],
 ) -> Result<()> {
-    let register = documents::register(&fakes.view(), models);
+    let register = config_files::register(&fakes.view(), models);
     let digests: Vec<String> = teams
         .iter()
         .map(|t| digest_of(t.token).to_string())
@@ -83,7 +83,7 @@
     } else {
         &[once][..]
     };
-    let rules = documents::rules(share, &listed, calls);
+    let rules = config_files::rules(share, &listed, calls);
     Rules::parse("rules", &rules, &Register::parse("register", &register)?)?;
     let first = Generation(1);
     let part = |text: &str| Part {
@@ -107,7 +107,7 @@
 }
 
 /// Settings of the `n`th daemon beside the stand-ins.
-pub(crate) fn settings(fakes: &StandIns, n: usize, timing: &str) -> Result<Settings> {
+pub(crate) fn settings(fakes: &FakeFleet, n: usize, timing: &str) -> Result<Settings> {
     let name = format!("daemon-{n}");
     let addresses = DaemonAddresses {
         name: &name,
@@ -116,13 +116,13 @@
         operators: FREE,
         peers: FREE,
     };
-    let text = documents::settings(&fakes.view(), addresses, timing);
+    let text = config_files::settings(&fakes.view(), addresses, timing);
     Ok(Settings::parse("settings", &text)?)
 }
 
 /// Starts daemons beside the stand-ins and waits until each is ready.
 pub(crate) async fn daemons(
-    fakes: &StandIns,
+    fakes: &FakeFleet,
     count: usize,
     timing: &str,
     metrics: &PrometheusHandle,
@@ -153,6 +153,6 @@
 }
 
 /// A pipeline of stand-in engines over one model.
-pub(crate) async fn pipeline(model: &Model, stages: u32, replicas: u32) -> Result<StandIns> {
-    Ok(StandIns::spawn(FleetConfig::pipeline(model, stages, replicas)).await?)
+pub(crate) async fn pipeline(model: &Model, stages: u32, replicas: u32) -> Result<FakeFleet> {
+    Ok(FakeFleet::spawn(FleetConfig::pipeline(model, stages, replicas)).await?)
 }
--- a/crates/kelpworks/tests/caller/mod.rs
+++ b/crates/kelpworks/tests/caller/mod.rs
@@ -199,7 +199,7 @@
 
     /// Reads until this much text is there, or the stream has ended.
     pub(crate) async fn read_tokens(&mut self, count: usize) -> &str {
-        // The text of a token has four bytes; see `kelpworks_fakes::text`.
+        // The text of a token has four bytes; see `kelpworks_fakes::token_text`.
         while self.text.len() < 4 * count && self.end.is_none() {
             self.event().await;
         }
--- a/crates/kelpworks/tests/claims_support/mod.rs
+++ b/crates/kelpworks/tests/claims_support/mod.rs
@@ -41,15 +41,15 @@
 use kelpworks::settings::Settings;
 use kelpworks::status::MemberState;
 use kelpworks::status::fetch;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::DaemonAddresses;
-use kelpworks_fakes::documents::NonIdempotentCall;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::DaemonAddresses;
+use kelpworks_fakes::config_files::NonIdempotentCall;
+use kelpworks_fakes::config_files::Team;
 use kelpworks_fakes::fleet::ServiceView;
 
 pub(crate) const MODEL: &str = "report";
@@ -167,7 +167,7 @@
 
 /// Stand-ins and daemons.
 pub(crate) struct Bench {
-    pub(crate) fakes: StandIns,
+    pub(crate) fakes: FakeFleet,
     pub(crate) hosts: Vec<Host>,
     pub(crate) model: Model,
     pub(crate) client: Client,
@@ -183,7 +183,7 @@
     /// The same, with more services in the register.
     pub(crate) async fn start_with(daemons: usize, timing: &str, more: &[ServiceView]) -> Bench {
         let model = Model::new(MODEL, "1", 4);
-        let fakes = StandIns::spawn(FleetConfig::pipeline(&model, 2, 2)).await;
+        let fakes = FakeFleet::spawn(FleetConfig::pipeline(&model, 2, 2)).await;
         let fakes = fakes.expect("stand-ins");
         put_config(&fakes, &model, more);
         let mut hosts = Vec::new();
@@ -336,10 +336,10 @@
     found.expect("it came about")
 }
 
-fn put_config(fakes: &StandIns, model: &Model, more: &[ServiceView]) {
+fn put_config(fakes: &FakeFleet, model: &Model, more: &[ServiceView]) {
     let mut view = fakes.view();
     view.services.extend_from_slice(more);
-    let register = documents::register(&view, std::slice::from_ref(model));
+    let register = config_files::register(&view, std::slice::from_ref(model));
     let digests = TOKENS.map(|t| digest_of(t).to_string());
     let team = |n: usize| Team {
         name: TEAM_NAMES[n],
@@ -352,7 +352,7 @@
         method: "POST",
         path: CERTIFICATES,
     };
-    let mut rules = documents::rules(0.2, &[team(0), team(1)], &[once]);
+    let mut rules = config_files::rules(0.2, &[team(0), team(1)], &[once]);
     for team in TEAM_NAMES {
         rules += &format!("[[non_idempotent]]\nmodel = \"{MODEL}\"\nteam = \"{team}\"\n\n");
     }
@@ -375,7 +375,7 @@
     fakes.object_api.put(HEAD_KIND, HEAD_NAME, &body);
 }
 
-fn settings(fakes: &StandIns, n: usize, timing: &str) -> Settings {
+fn settings(fakes: &FakeFleet, n: usize, timing: &str) -> Settings {
     let addresses = DaemonAddresses {
         name: &format!("daemon-{n}"),
         failure_domain: "domain-0",
@@ -384,6 +384,6 @@
         peers: FREE,
     };
     let timing = format!("state_poll = \"60 s\"\n{timing}");
-    let text = documents::settings(&fakes.view(), addresses, &timing);
+    let text = config_files::settings(&fakes.view(), addresses, &timing);
     Settings::parse("settings", &text).expect("settings")
 }
--- a/crates/kelpworks/tests/claims_verdict.rs
+++ b/crates/kelpworks/tests/claims_verdict.rs
@@ -12,7 +12,7 @@
 use claims_support::until;
 use claims_support::until_ok;
 use kelpworks_fakes::ApiMode;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
 
@@ -103,7 +103,9 @@
     })
     .await;
     for service in &bench.fakes.services {
-        service.faults().connections(Connections::SilenceExisting);
+        service
+            .faults()
+            .set_connection_mode(ConnectionMode::SilenceExisting);
     }
     bench
 }
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -22,10 +22,10 @@
 use kelpworks::config::accept::Which;
 use kelpworks::config::head::digest_of;
 use kelpworks::daemon::Daemon;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
+use kelpworks_fakes::config_files;
 use kelpworks_fakes::fleet::FleetView;
 
 pub(crate) const MODEL: &str = "demo";
@@ -46,7 +46,7 @@
 /// Stand-ins and a daemon whose register may name other addresses than theirs.
 #[derive(Debug)]
 pub(crate) struct Setup {
-    pub(crate) fakes: StandIns,
+    pub(crate) fakes: FakeFleet,
     pub(crate) daemon: Daemon,
     pub(crate) model: Model,
 }
@@ -57,7 +57,7 @@
     pub(crate) async fn start(redirect: impl AsyncFnOnce(&mut FleetView), timing: &str) -> Setup {
         let model = Model::new(MODEL, "1", LAYERS);
         let cfg = FleetConfig::pipeline(&model, STAGES, 1);
-        let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
         let mut view = fakes.view();
         redirect(&mut view).await;
         put_config(&view, &model).await;
@@ -89,19 +89,19 @@
 
 /// Accepts a register and rules as an operator does.
 async fn put_config(view: &FleetView, model: &Model) {
-    let team = documents::Team {
+    let team = config_files::Team {
         name: TEAM,
         class: "paying",
         weight: 1,
         token_sha256: &digest_of(TOKEN).to_string(),
     };
-    let register = documents::register(view, std::slice::from_ref(model));
-    let once = documents::NonIdempotentCall {
+    let register = config_files::register(view, std::slice::from_ref(model));
+    let once = config_files::NonIdempotentCall {
         service: SERVICE,
         method: "PUT",
         path: "/certificates",
     };
-    let rules = documents::rules(0.5, &[team], &[once]);
+    let rules = config_files::rules(0.5, &[team], &[once]);
     let api = HttpObjectApi::new(&view.object_api, Deadlines::default()).expect("a URL");
     for (which, text) in [(Which::Register, register), (Which::Rules, rules)] {
         let proposal = Proposal::new(which, "contract", text);
--- a/crates/kelpworks/tests/contract_callers.rs
+++ b/crates/kelpworks/tests/contract_callers.rs
@@ -28,7 +28,7 @@
 use contract::TOKEN;
 use contract::answer::describe;
 use contract::until;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
 use kelpworks_wire::ErrorBody;
@@ -230,8 +230,10 @@
     .await;
     for engine in &setup.fakes.engines {
         match behind {
-            Behind::Gone => engine.faults().connections(Connections::Refuse),
-            Behind::Silent => engine.faults().connections(Connections::SilenceAll),
+            Behind::Gone => engine.faults().set_connection_mode(ConnectionMode::Refuse),
+            Behind::Silent => engine
+                .faults()
+                .set_connection_mode(ConnectionMode::SilenceAll),
             Behind::Status(s) => engine
                 .faults()
                 .add(Fault::always(FaultKind::Status(s)).on(STEPS)),
--- a/crates/kelpworks/tests/executor_fence.rs
+++ b/crates/kelpworks/tests/executor_fence.rs
@@ -39,9 +39,9 @@
 use kelpworks::rules::Rules;
 use kelpworks::upstreams::Keeper;
 use kelpworks::upstreams::KeeperConfig;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::Link;
 use kelpworks_fakes::LinkState;
-use kelpworks_fakes::StandIns;
 use kelpworks_fakes::engine::OrderRecord;
 use kelpworks_wire::CancelRequest;
 use kelpworks_wire::EngineOrder;
@@ -106,7 +106,7 @@
     _register: watch::Sender<Arc<Register>>,
 }
 
-async fn paused(fakes: &StandIns, register: &str) -> Paused {
+async fn paused(fakes: &FakeFleet, register: &str) -> Paused {
     let register = Register::parse("register", register).expect("a register");
     let rules = Rules::parse("rules", &rules(), &register).expect("rules");
     let config = InForce::new(1, register.clone(), rules);
@@ -147,7 +147,7 @@
     }
 }
 
-fn stale(fakes: &StandIns) -> Vec<OrderRecord> {
+fn stale(fakes: &FakeFleet) -> Vec<OrderRecord> {
     let orders = fakes.engines.iter().flat_map(|e| e.ledger().orders());
     orders.filter(|o| o.was_stale).collect()
 }
@@ -161,7 +161,7 @@
     for engine in &mut cfg.engines {
         engine.checks_fencing = checks_fencing;
     }
-    let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
     let paused = paused(&fakes, &register(&fakes, "1")).await;
     let mut waiting = paused.orders.waiting.subscribe();
     let held = *waiting.wait_for(|n| *n > 0).await.expect("open");
--- a/crates/kelpworks/tests/executor_place.rs
+++ b/crates/kelpworks/tests/executor_place.rs
@@ -30,8 +30,8 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_fakes::ApiMode;
 use kelpworks_fakes::Engine;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
-use kelpworks_fakes::StandIns;
 use kelpworks_wire::EngineOrder;
 use kelpworks_wire::Fence;
 use kelpworks_wire::OrderAction;
@@ -40,7 +40,7 @@
 const TOKENS: u32 = 50;
 
 /// Six engines that held nothing, placed by the first daemon that came.
-async fn placed(fakes: &StandIns) {
+async fn placed(fakes: &FakeFleet) {
     accept(fakes, 1, &register(fakes, "1"));
     let holds_one = |e: &Engine| e.state().loaded.len() == 1;
     until_now("each layer stands in two failure domains", || {
@@ -50,7 +50,7 @@
 }
 
 /// The engines that hold the same layers as the first, and the others.
-fn split_by_stage(fakes: &StandIns) -> (Vec<&Engine>, Vec<&Engine>) {
+fn split_by_stage(fakes: &FakeFleet) -> (Vec<&Engine>, Vec<&Engine>) {
     let first = fakes.engines[0].state().loaded;
     fakes
         .engines
@@ -59,14 +59,14 @@
 }
 
 /// How many orders engines got so far under a fencing token.
-fn ordered_under(fakes: &StandIns, token: u64) -> usize {
+fn ordered_under(fakes: &FakeFleet, token: u64) -> usize {
     let orders = fakes.engines.iter().flat_map(|e| e.ledger().orders());
     orders.filter(|o| o.order.fence.token == token).count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn empty_engines_are_placed_and_answer() {
-    let fakes = StandIns::spawn(empty(6)).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(empty(6)).await.expect("stand-ins");
     let daemons = [daemon(&fakes, "a").await, daemon(&fakes, "b").await];
     placed(&fakes).await;
     for daemon in &daemons {
@@ -86,7 +86,7 @@
     for engine in &mut cfg.engines {
         engine.restart_after = None;
     }
-    let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
     accept(&fakes, 1, &register(&fakes, "1"));
     let first = daemon_with(&fakes, "a", "1 h").await;
     answers(&first, "1").await;
@@ -115,7 +115,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_lost_stage_stands_again() {
-    let fakes = StandIns::spawn(empty(6)).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(empty(6)).await.expect("stand-ins");
     let daemon = daemon(&fakes, "a").await;
     placed(&fakes).await;
     let (stage, others) = split_by_stage(&fakes);
@@ -130,7 +130,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_successor_orders_under_a_higher_token() {
-    let fakes = StandIns::spawn(empty(6)).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(empty(6)).await.expect("stand-ins");
     let (a, b) = (daemon(&fakes, "a").await, daemon(&fakes, "b").await);
     placed(&fakes).await;
     let owner = lease(&fakes).and_then(|l| l.owner).expect("a holder");
@@ -158,7 +158,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_gives_the_lease_up() {
-    let fakes = StandIns::spawn(empty(6)).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(empty(6)).await.expect("stand-ins");
     let daemon = daemon(&fakes, "a").await;
     placed(&fakes).await;
     daemon.stop().await;
@@ -173,7 +173,7 @@
 #[case::silent(ApiMode::Silent)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_outage_stops_orders_and_not_answers(#[case] mode: ApiMode) {
-    let fakes = StandIns::spawn(empty(6)).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(empty(6)).await.expect("stand-ins");
     let daemons = [daemon(&fakes, "a").await, daemon(&fakes, "b").await];
     placed(&fakes).await;
     answers(&daemons[0], "1").await;
@@ -226,7 +226,7 @@
     for engine in &mut cfg.engines {
         engine.iteration_base = Duration::from_millis(20);
     }
-    let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+    let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
     let daemon = daemon(&fakes, "a").await;
     accept(&fakes, 1, &register_with(&fakes, "1", memory));
     until_now("version 1 stands", || stands(&all(&fakes), "1")).await;
--- a/crates/kelpworks/tests/executor_support/mod.rs
+++ b/crates/kelpworks/tests/executor_support/mod.rs
@@ -25,12 +25,12 @@
 use kelpworks_coord::lease::Record;
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::EngineConfig;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::DaemonAddresses;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::DaemonAddresses;
+use kelpworks_fakes::config_files::Team;
 use kelpworks_wire::LoadedRange;
 
 const FREE: &str = "127.0.0.1:0";
@@ -75,13 +75,13 @@
 }
 
 /// The register of these stand-ins; weights of 8 layers fit on an engine.
-pub(crate) fn register(fakes: &StandIns, version: &str) -> String {
+pub(crate) fn register(fakes: &FakeFleet, version: &str) -> String {
     register_with(fakes, version, "10 GB")
 }
 
 /// The register of these stand-ins, with so much memory on each host; a layer takes 1 GB.
-pub(crate) fn register_with(fakes: &StandIns, version: &str, memory: &str) -> String {
-    let text = documents::register(&fakes.view(), &[model(version)]);
+pub(crate) fn register_with(fakes: &FakeFleet, version: &str, memory: &str) -> String {
+    let text = config_files::register(&fakes.view(), &[model(version)]);
     text.replace("memory = \"80 GB\"", &format!("memory = \"{memory}\""))
 }
 
@@ -94,11 +94,11 @@
         weight: 1,
         token_sha256: &digest,
     };
-    documents::rules(0.2, &[team], &[])
+    config_files::rules(0.2, &[team], &[])
 }
 
 /// Puts a register in force.
-pub(crate) fn accept(fakes: &StandIns, generation: u64, register: &str) {
+pub(crate) fn accept(fakes: &FakeFleet, generation: u64, register: &str) {
     let rules = rules();
     let part = |text: &str| Part {
         digest: digest_of(text),
@@ -119,12 +119,12 @@
 }
 
 /// Starts a daemon beside the stand-ins.
-pub(crate) async fn daemon(fakes: &StandIns, name: &str) -> Daemon {
+pub(crate) async fn daemon(fakes: &FakeFleet, name: &str) -> Daemon {
     daemon_with(fakes, name, "600 ms").await
 }
 
 /// Starts a daemon to which a host is lost after so long.
-pub(crate) async fn daemon_with(fakes: &StandIns, name: &str, lost_after: &str) -> Daemon {
+pub(crate) async fn daemon_with(fakes: &FakeFleet, name: &str, lost_after: &str) -> Daemon {
     let addresses = DaemonAddresses {
         name,
         failure_domain: "domain-0",
@@ -133,7 +133,7 @@
         peers: FREE,
     };
     let tables = format!("{TIMES}[placement]\nlost_after = \"{lost_after}\"\n{PLACEMENT}");
-    let text = documents::settings(&fakes.view(), addresses, &tables);
+    let text = config_files::settings(&fakes.view(), addresses, &tables);
     let settings = Settings::parse("settings", &text).expect("settings");
     Daemon::start(&settings, METRICS.clone())
         .await
@@ -187,7 +187,7 @@
 }
 
 /// The lease as it stands.
-pub(crate) fn lease(fakes: &StandIns) -> Option<Record> {
+pub(crate) fn lease(fakes: &FakeFleet) -> Option<Record> {
     let object = fakes.object_api.get(LEASE_KIND, LEASE_NAME)?;
     Some(serde_json::from_str(&object.body).expect("a lease record"))
 }
@@ -211,12 +211,12 @@
 }
 
 /// All engines of a set of stand-ins.
-pub(crate) fn all(fakes: &StandIns) -> Vec<&Engine> {
+pub(crate) fn all(fakes: &FakeFleet) -> Vec<&Engine> {
     fakes.engines.iter().collect()
 }
 
 /// How many orders engines got so far.
-pub(crate) fn orders(fakes: &StandIns) -> usize {
+pub(crate) fn orders(fakes: &FakeFleet) -> usize {
     fakes
         .engines
         .iter()
--- a/crates/kelpworks/tests/path/lineage.rs
+++ b/crates/kelpworks/tests/path/lineage.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use kelpworks_fakes::StandIns;
+use kelpworks_fakes::FakeFleet;
 
 /// What names a lineage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,7 @@
 /// Asserts that every lineage of a session ran its positions from 0 on, each once and in order,
 /// and that the answer's last token came from lineages that cover all `layers` once, each over
 /// all `positions`.
-pub(crate) fn assert_exactly_once(fakes: &StandIns, session: &str, layers: u32, positions: u32) {
+pub(crate) fn assert_exactly_once(fakes: &FakeFleet, session: &str, layers: u32, positions: u32) {
     let mut lineages: HashMap<Key, u32> = HashMap::new();
     for engine in &fakes.engines {
         for run in engine.ledger().runs_of(session) {
--- a/crates/kelpworks/tests/path/mod.rs
+++ b/crates/kelpworks/tests/path/mod.rs
@@ -16,9 +16,9 @@
 use crate::support::ExampleTeam;
 use kelpworks::daemon::Daemon;
 use kelpworks_fakes::Engine;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 pub(crate) const MODEL: &str = "demo";
 pub(crate) const LAYERS: u32 = 12;
@@ -48,7 +48,7 @@
 /// What runs in a test.
 #[derive(Debug)]
 pub(crate) struct Bench {
-    pub(crate) fakes: StandIns,
+    pub(crate) fakes: FakeFleet,
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) model: Model,
 }
@@ -73,7 +73,7 @@
 
     /// Starts a set of stand-ins and daemons with these timings.
     pub(crate) async fn of(cfg: FleetConfig, model: Model, daemons: usize, timing: &str) -> Bench {
-        let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
         support::put_config(&fakes, std::slice::from_ref(&model), 0.5, &[PAYING, TRIAL])
             .expect("a valid configuration");
         let daemons = support::daemons(&fakes, daemons, timing, &metrics()).await;
--- a/crates/kelpworks/tests/path_faults.rs
+++ b/crates/kelpworks/tests/path_faults.rs
@@ -13,7 +13,7 @@
 
 use caller::End;
 use caller::Streamed;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
@@ -42,7 +42,7 @@
     /// So many calls to a path fail in this way.
     Calls(&'static str, FaultKind, u32),
     /// Its connections fail, until the end of the test.
-    Connections(Connections),
+    Connections(ConnectionMode),
     /// It crashes and comes back without its memory.
     Crash,
     /// It says that it leaves.
@@ -58,7 +58,7 @@
                 let fault = Fault::always(kind.clone()).on(path).times(*count);
                 engine.faults().add(fault);
             }
-            Blow::Connections(mode) => engine.faults().connections(*mode),
+            Blow::Connections(mode) => engine.faults().set_connection_mode(*mode),
             Blow::Crash => engine.crash(),
             Blow::Drain => engine.set_draining(true),
             Blow::Version => change_version(engine).await,
@@ -147,9 +147,9 @@
         Blow::Calls(STEPS, FaultKind::OtherSession, 3),
         Blow::Calls(STEPS, FaultKind::WrongRange, 3),
         Blow::Calls(STEPS, FaultKind::Busy(20), 6),
-        Blow::Connections(Connections::Refuse),
-        Blow::Connections(Connections::SilenceExisting),
-        Blow::Connections(Connections::SilenceAll),
+        Blow::Connections(ConnectionMode::Refuse),
+        Blow::Connections(ConnectionMode::SilenceExisting),
+        Blow::Connections(ConnectionMode::SilenceAll),
         Blow::Crash,
         Blow::Drain,
         Blow::Version
@@ -205,7 +205,9 @@
     let streams = begin(&bench).await;
     let sessions: Vec<String> = streams.iter().map(|s| s.request.clone()).collect();
     let engine = bench.engine_of(&sessions[0], stage);
-    engine.faults().connections(Connections::SilenceExisting);
+    engine
+        .faults()
+        .set_connection_mode(ConnectionMode::SilenceExisting);
     check(&bench, streams).await;
     for session in &sessions {
         let mut attempts: Vec<u32> = bench
@@ -223,10 +225,10 @@
 /// Two stages fail at the same time.
 #[rstest]
 #[case::crash_and_crash(Blow::Crash, Blow::Crash)]
-#[case::silence_and_crash(Blow::Connections(Connections::SilenceAll), Blow::Crash)]
+#[case::silence_and_crash(Blow::Connections(ConnectionMode::SilenceAll), Blow::Crash)]
 #[case::silence_and_silence(
-    Blow::Connections(Connections::SilenceAll),
-    Blow::Connections(Connections::SilenceAll)
+    Blow::Connections(ConnectionMode::SilenceAll),
+    Blow::Connections(ConnectionMode::SilenceAll)
 )]
 #[case::version_and_reset(Blow::Version, Blow::Calls(STEPS, FaultKind::ResetAfter, 4))]
 #[case::drain_and_crash(Blow::Drain, Blow::Crash)]
--- a/crates/kelpworks/tests/path_storm.rs
+++ b/crates/kelpworks/tests/path_storm.rs
@@ -16,7 +16,7 @@
 
 use caller::Answer;
 use caller::End;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
 use kelpworks_fakes::Engine;
 use kelpworks_fakes::Fault;
 use kelpworks_fakes::FaultKind;
@@ -37,12 +37,20 @@
 fn strike(engine: &Engine, rng: &mut StdRng) {
     let kind = match rng.random_range(0..20) {
         0 => return engine.crash(),
-        1 => return engine.faults().connections(Connections::SilenceExisting),
+        1 => {
+            return engine
+                .faults()
+                .set_connection_mode(ConnectionMode::SilenceExisting);
+        }
         2 => return engine.set_draining(true),
         3 | 4 => return engine.set_draining(false),
-        16 => return engine.faults().connections(Connections::SilenceAll),
-        17 => return engine.faults().connections(Connections::Refuse),
-        18 | 19 => return engine.faults().connections(Connections::Pass),
+        16 => {
+            return engine
+                .faults()
+                .set_connection_mode(ConnectionMode::SilenceAll);
+        }
+        17 => return engine.faults().set_connection_mode(ConnectionMode::Refuse),
+        18 | 19 => return engine.faults().set_connection_mode(ConnectionMode::Pass),
         5 => FaultKind::ResetBefore,
         6 => FaultKind::ResetAfter,
         7 => FaultKind::SilentBefore,
--- a/crates/kelpworks/tests/peers/mod.rs
+++ b/crates/kelpworks/tests/peers/mod.rs
@@ -19,12 +19,12 @@
 use kelpworks::status::MemberState;
 use kelpworks::status::Status;
 use kelpworks::status::fetch;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
-use kelpworks_fakes::documents::DaemonAddresses;
-use kelpworks_fakes::documents::Team;
+use kelpworks_fakes::config_files;
+use kelpworks_fakes::config_files::DaemonAddresses;
+use kelpworks_fakes::config_files::Team;
 
 /// Much longer than anything here takes; reached only by a fault.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -44,7 +44,7 @@
 
 /// Stand-ins with a register and rules to put in force.
 pub(crate) struct Platform {
-    pub(crate) fakes: StandIns,
+    pub(crate) fakes: FakeFleet,
     model: Model,
 }
 
@@ -52,7 +52,7 @@
     pub(crate) async fn start() -> Platform {
         let model = Model::new("caption", "1", 4);
         let cfg = FleetConfig::pipeline(&model, 1, 1);
-        let fakes = StandIns::spawn(cfg).await.expect("free ports");
+        let fakes = FakeFleet::spawn(cfg).await.expect("free ports");
         Platform { fakes, model }
     }
 
@@ -66,7 +66,8 @@
 
     /// Stores the texts of a generation, without swapping to it.
     pub(crate) fn store(&self, generation: u64) -> Head {
-        let register = documents::register(&self.fakes.view(), std::slice::from_ref(&self.model));
+        let register =
+            config_files::register(&self.fakes.view(), std::slice::from_ref(&self.model));
         let token_sha256 = digest_of("token").to_string();
         let team = Team {
             name: &format!("team-{generation}"),
@@ -74,7 +75,7 @@
             weight: 1,
             token_sha256: &token_sha256,
         };
-        let rules = documents::rules(0.2, &[team], &[]);
+        let rules = config_files::rules(0.2, &[team], &[]);
         for text in [&register, &rules] {
             let name = digest_of(text).to_string();
             self.fakes.object_api.put(BLOB_KIND, &name, text);
@@ -105,7 +106,7 @@
             operators: FREE,
             peers: FREE,
         };
-        let text = documents::settings(&view, addresses, TIMING);
+        let text = config_files::settings(&view, addresses, TIMING);
         let settings = Settings::parse("settings", &text).expect("settings");
         let metrics = daemon::build_metrics();
         Daemon::start(&settings, metrics).await.expect("a daemon")
--- a/crates/kelpworks/tests/peers_facts.rs
+++ b/crates/kelpworks/tests/peers_facts.rs
@@ -21,17 +21,17 @@
 use kelpworks::upstreams::Report;
 use kelpworks::upstreams::Trouble;
 use kelpworks_coord::id::UpstreamId;
-use kelpworks_fakes::Connections;
+use kelpworks_fakes::ConnectionMode;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
-use kelpworks_fakes::documents;
+use kelpworks_fakes::config_files;
 use peers::until;
 
 const ENGINE: &str = "engine-0-0";
 
 struct Kept {
-    fakes: StandIns,
+    fakes: FakeFleet,
     fleet: Arc<ArcSwap<Fleet>>,
     reports: mpsc::UnboundedSender<Report>,
     observed: watch::Receiver<Vec<Observation>>,
@@ -42,10 +42,10 @@
 impl Kept {
     async fn start(state_poll: Duration) -> Kept {
         let model = Model::new("caption", "1", 4);
-        let fakes = StandIns::spawn(FleetConfig::pipeline(&model, 1, 1))
+        let fakes = FakeFleet::spawn(FleetConfig::pipeline(&model, 1, 1))
             .await
             .expect("ports");
-        let text = documents::register(&fakes.view(), &[model]);
+        let text = config_files::register(&fakes.view(), &[model]);
         let register = Register::parse("register", &text).expect("a register");
         let (register_tx, register) = watch::channel(Arc::new(register));
         let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
@@ -121,7 +121,7 @@
     // Polls but for the one that the word causes are hours apart.
     let kept = Kept::start(Duration::from_secs(36_000)).await;
     let polls = || kept.fakes.engines[0].faults().clone();
-    polls().connections(Connections::Pass);
+    polls().set_connection_mode(ConnectionMode::Pass);
     kept.peers_say(false, 2);
     kept.engine_is(Health::Live).await;
 }
@@ -131,7 +131,7 @@
     let kept = Kept::start(Duration::from_secs(36_000)).await;
     kept.fakes.engines[0]
         .faults()
-        .connections(Connections::Refuse);
+        .set_connection_mode(ConnectionMode::Refuse);
     kept.peers_say(false, 2);
     kept.engine_is(Health::Down).await;
 }
@@ -141,7 +141,7 @@
     let mut kept = Kept::start(Duration::from_millis(50)).await;
     kept.fakes.engines[0]
         .faults()
-        .connections(Connections::Refuse);
+        .set_connection_mode(ConnectionMode::Refuse);
     kept.engine_is(Health::Down).await;
     let seen = kept
         .observed
--- a/crates/kelpworks/tests/poison/mod.rs
+++ b/crates/kelpworks/tests/poison/mod.rs
@@ -22,9 +22,9 @@
 use kelpworks::quarantine::Statement;
 use kelpworks::status::MemberState;
 use kelpworks::status::fetch;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 
 const TEAM: ExampleTeam = ExampleTeam {
     name: "studio",
@@ -48,7 +48,7 @@
 /// A model's pipeline of 2 stages, and two daemons.
 pub(crate) struct Bench {
     pub(crate) model: Model,
-    pub(crate) fakes: StandIns,
+    pub(crate) fakes: FakeFleet,
     pub(crate) daemons: Vec<Daemon>,
     client: reqwest::Client,
 }
@@ -96,7 +96,7 @@
             engine.iteration_base = Duration::from_millis(10);
             engine.restart_after = Some(restart);
         }
-        let fakes = StandIns::spawn(cfg).await.expect("stand-ins");
+        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
         put_config(&fakes, std::slice::from_ref(&model), 0.5, &[TEAM]).expect("a configuration");
         let metrics = PrometheusBuilder::new().build_recorder().handle();
         let mut daemons = Vec::new();
