--- a/crates/kelpworks-fakes/src/engine/cache.rs
+++ b/crates/kelpworks-fakes/src/engine/cache.rs
@@ -10,7 +10,7 @@
 use kelpworks_wire::CacheEvents;
 
 /// Events kept; older ones are a gap to whoever asks.
-const EVENT_LIMIT: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Entry {
@@ -19,71 +19,71 @@
 }
 
 #[derive(Debug)]
-struct Published {
-    at: Instant,
+struct DelayedEvent {
+    visible_at: Instant,
     event: CacheEvent,
 }
 
 /// Cached prompt prefixes, the least recently used first.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
-    limit: usize,
+    max_entries: usize,
     delay: Duration,
     entries: VecDeque<Entry>,
-    events: VecDeque<Published>,
-    next: u64,
+    events: VecDeque<DelayedEvent>,
+    next_sequence: u64,
 }
 
 impl PrefixCache {
-    pub(crate) fn new(limit: usize, delay: Duration) -> PrefixCache {
+    pub(crate) fn new(max_entries: usize, delay: Duration) -> PrefixCache {
         PrefixCache {
-            limit,
+            max_entries,
             delay,
             entries: VecDeque::new(),
             events: VecDeque::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
     /// Uses a prefix; true when it was cached. `lost` tells whether an event gets lost.
-    pub(crate) fn touch(&mut self, model: &str, prefix: &str, lost: impl Fn() -> bool) -> bool {
-        if prefix.is_empty() || self.limit == 0 {
+    pub(crate) fn touch(&mut self, model: &str, prefix: &str, is_lost: impl Fn() -> bool) -> bool {
+        if prefix.is_empty() || self.max_entries == 0 {
             return false;
         }
         let entry = Entry {
             model: model.to_owned(),
             prefix: prefix.to_owned(),
         };
-        let at = self.entries.iter().position(|e| *e == entry);
-        if let Some(at) = at {
-            self.entries.remove(at);
+        let cached_at = self.entries.iter().position(|e| *e == entry);
+        if let Some(index) = cached_at {
+            self.entries.remove(index);
         }
-        if at.is_none() {
-            self.publish(CacheEventKind::Stored, &entry, &lost);
+        if cached_at.is_none() {
+            self.publish(CacheEventKind::Stored, &entry, &is_lost);
         }
         self.entries.push_back(entry);
-        if self.entries.len() > self.limit
+        if self.entries.len() > self.max_entries
             && let Some(oldest) = self.entries.pop_front()
         {
-            self.publish(CacheEventKind::Evicted, &oldest, &lost);
+            self.publish(CacheEventKind::Evicted, &oldest, &is_lost);
         }
-        at.is_some()
+        cached_at.is_some()
     }
 
-    fn publish(&mut self, kind: CacheEventKind, entry: &Entry, lost: impl Fn() -> bool) {
+    fn publish(&mut self, kind: CacheEventKind, entry: &Entry, is_lost: impl Fn() -> bool) {
         let event = CacheEvent {
-            sequence: self.next,
+            sequence: self.next_sequence,
             kind,
             model: entry.model.clone(),
             prefix: entry.prefix.clone(),
         };
-        self.next += 1;
-        if lost() {
+        self.next_sequence += 1;
+        if is_lost() {
             return;
         }
-        let at = Instant::now() + self.delay;
-        self.events.push_back(Published { at, event });
-        if self.events.len() > EVENT_LIMIT {
+        let visible_at = Instant::now() + self.delay;
+        self.events.push_back(DelayedEvent { visible_at, event });
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
@@ -91,9 +91,9 @@
     /// The events from this sequence number on that show by now.
     pub(crate) fn events(&self, from: u64, incarnation: u64) -> CacheEvents {
         let now = Instant::now();
-        let shown = self.events.iter().take_while(|p| p.at <= now);
-        let events: Vec<CacheEvent> = shown
-            .map(|p| p.event.clone())
+        let visible = self.events.iter().take_while(|d| d.visible_at <= now);
+        let events: Vec<CacheEvent> = visible
+            .map(|d| d.event.clone())
             .filter(|e| e.sequence >= from)
             .collect();
         let next = events.last().map_or(from, |e| e.sequence + 1);
@@ -106,6 +106,6 @@
 
     /// Forgets everything, as a restart does.
     pub(crate) fn clear(&mut self) {
-        *self = PrefixCache::new(self.limit, self.delay);
+        *self = PrefixCache::new(self.max_entries, self.delay);
     }
 }
--- a/crates/kelpworks-fakes/src/engine/core.rs
+++ b/crates/kelpworks-fakes/src/engine/core.rs
@@ -4,9 +4,9 @@
 
 use super::config::EngineConfig;
 use super::config::POISON;
-use super::orders::Fences;
-use super::sessions::Part;
+use super::orders::FencingTokens;
 use super::sessions::Sessions;
+use super::sessions::Shard;
 use super::sessions::handle;
 use crate::error::Error;
 use crate::error::Result;
@@ -55,11 +55,11 @@
 }
 
 /// A step that is not run, and the answer to it.
-pub(crate) type Refused = Box<StepOutcome>;
+pub(crate) type Rejection = Box<StepOutcome>;
 
 /// A range held.
 #[derive(Debug)]
-struct Held {
+struct LoadedModel {
     range: LoadedRange,
     model: Arc<Model>,
 }
@@ -68,11 +68,11 @@
 #[derive(Debug)]
 pub(crate) struct Core {
     models: Vec<Model>,
-    held: Vec<Held>,
+    loaded: Vec<LoadedModel>,
     /// Ranges being loaded; none is also held.
     loading: Vec<LoadedRange>,
     pub(crate) sessions: Sessions,
-    pub(crate) fences: Fences,
+    pub(crate) fencing_tokens: FencingTokens,
     draining: bool,
     kv_capacity: u64,
     retain: usize,
@@ -83,24 +83,24 @@
     pub(crate) fn new(cfg: &EngineConfig) -> Result<Core> {
         let mut core = Core {
             models: cfg.models.clone(),
-            held: Vec::new(),
+            loaded: Vec::new(),
             loading: Vec::new(),
             sessions: Sessions::default(),
-            fences: Fences::new(cfg.checks_fencing),
+            fencing_tokens: FencingTokens::new(cfg.checks_fencing),
             draining: false,
             kv_capacity: cfg.kv_capacity,
             retain: cfg.retain,
             retry_after_ms: cfg.retry_after.as_millis() as u32,
         };
         for range in &cfg.loaded {
-            core.known(range).map_err(Error::Config)?;
-            core.hold(range.clone());
+            core.validate_range(range).map_err(Error::Config)?;
+            core.insert_loaded(range.clone());
         }
         Ok(core)
     }
 
     /// Checks that a range is one of a known model; the error says why not.
-    pub(crate) fn known(&self, range: &LoadedRange) -> std::result::Result<(), String> {
+    pub(crate) fn validate_range(&self, range: &LoadedRange) -> std::result::Result<(), String> {
         let Some(model) = self.models.iter().find(|m| m.name() == range.model) else {
             return Err(format!("unknown model `{}`", range.model));
         };
@@ -113,13 +113,14 @@
     }
 
     /// Whether this exact range is held.
-    pub(crate) fn holds(&self, range: &LoadedRange) -> bool {
-        self.held.iter().any(|h| h.range == *range)
+    pub(crate) fn has_loaded(&self, range: &LoadedRange) -> bool {
+        self.loaded.iter().any(|h| h.range == *range)
     }
 
-    pub(crate) fn layers_taken(&self) -> u32 {
-        let held = self.held.iter().map(|h| &h.range);
-        held.chain(&self.loading)
+    pub(crate) fn allocated_layers(&self) -> u32 {
+        let loaded = self.loaded.iter().map(|h| &h.range);
+        loaded
+            .chain(&self.loading)
             .map(|r| r.layers.end - r.layers.first)
             .sum()
     }
@@ -134,31 +135,32 @@
     }
 
     /// Takes in a range that came from the weight store, unless it was dropped meanwhile.
-    pub(crate) fn end_load(&mut self, range: &LoadedRange, loaded: bool) {
+    pub(crate) fn end_load(&mut self, range: &LoadedRange, fetched: bool) {
         let before = self.loading.len();
         self.loading.retain(|r| r != range);
-        if loaded && self.loading.len() < before {
-            self.hold(range.clone());
+        if fetched && self.loading.len() < before {
+            self.insert_loaded(range.clone());
         }
     }
 
-    fn hold(&mut self, range: LoadedRange) {
-        let known = self.models.iter().find(|m| m.name() == range.model);
-        if let Some(model) = known {
+    fn insert_loaded(&mut self, range: LoadedRange) {
+        let configured = self.models.iter().find(|m| m.name() == range.model);
+        if let Some(model) = configured {
             let model = Arc::new(model.at_version(&range.version));
-            self.held.push(Held { range, model });
+            self.loaded.push(LoadedModel { range, model });
         }
     }
 
     /// Drops a range and the sessions on it.
     pub(crate) fn unload(&mut self, range: &LoadedRange) {
         self.loading.retain(|r| r != range);
-        self.held.retain(|h| h.range != *range);
-        let held = &self.held;
-        self.sessions.retain(|part| {
-            let (name, version) = (part.model.name(), part.model.version());
-            held.iter()
-                .any(|h| covers(&h.range, name, version, &part.layers))
+        self.loaded.retain(|h| h.range != *range);
+        let loaded = &self.loaded;
+        self.sessions.retain(|shard| {
+            let (name, version) = (shard.model.name(), shard.model.version());
+            loaded
+                .iter()
+                .any(|h| covers(&h.range, name, version, &shard.layers))
         });
     }
 
@@ -167,13 +169,13 @@
     }
 
     /// What a crash takes: all sessions, and the loads under way.
-    pub(crate) fn lose_sessions(&mut self) {
+    pub(crate) fn drop_sessions_and_loads(&mut self) {
         self.sessions = Sessions::default();
         self.loading.clear();
     }
 
     pub(crate) fn kv_free(&self) -> u64 {
-        self.kv_capacity.saturating_sub(self.sessions.used())
+        self.kv_capacity.saturating_sub(self.sessions.kv_used())
     }
 
     pub(crate) fn state(&self, name: &str, incarnation: u64, load: EngineLoad) -> EngineState {
@@ -181,8 +183,8 @@
             name: name.to_owned(),
             incarnation,
             draining: self.draining,
-            highest_fence: self.fences.highest(),
-            loaded: self.held.iter().map(|h| h.range.clone()).collect(),
+            highest_fence: self.fencing_tokens.highest(),
+            loaded: self.loaded.iter().map(|h| h.range.clone()).collect(),
             loading: self.loading.clone(),
             load,
         }
@@ -193,19 +195,19 @@
     }
 
     /// Decides whether a step may run, and on which model.
-    pub(crate) fn check(&self, step: &Step) -> std::result::Result<Arc<Model>, Refused> {
-        if self.sessions.ended(&step.session, step.attempt) {
+    pub(crate) fn check(&self, step: &Step) -> std::result::Result<Arc<Model>, Rejection> {
+        if self.sessions.is_cancelled(&step.session, step.attempt) {
             return refused(RefusalReason::Invalid, 0);
         }
         let mut have = 0;
-        for part in self.sessions.attempt(&step.session, step.attempt) {
-            if part.layers == step.layers {
-                have = part.positions;
-                let (name, version) = (part.model.name(), part.model.version());
+        for shard in self.sessions.attempt(&step.session, step.attempt) {
+            if shard.layers == step.layers {
+                have = shard.positions;
+                let (name, version) = (shard.model.name(), shard.model.version());
                 if name != step.model || version != step.version {
                     return refused(RefusalReason::WrongVersion, have);
                 }
-            } else if overlap(&part.layers, &step.layers) {
+            } else if overlap(&shard.layers, &step.layers) {
                 return refused(RefusalReason::WrongLayers, 0);
             }
         }
@@ -219,11 +221,11 @@
         Ok(model)
     }
 
-    fn model(&self, step: &Step, have: u32) -> std::result::Result<Arc<Model>, Refused> {
-        let of_model = || self.held.iter().filter(|h| h.range.model == step.model);
-        let fits = |h: &&Held| covers(&h.range, &step.model, &step.version, &step.layers);
-        if let Some(held) = of_model().find(fits) {
-            return Ok(held.model.clone());
+    fn model(&self, step: &Step, have: u32) -> std::result::Result<Arc<Model>, Rejection> {
+        let of_model = || self.loaded.iter().filter(|h| h.range.model == step.model);
+        let fits = |h: &&LoadedModel| covers(&h.range, &step.model, &step.version, &step.layers);
+        if let Some(loaded) = of_model().find(fits) {
+            return Ok(loaded.model.clone());
         }
         let other_version =
             of_model().any(|h| covers(&h.range, &step.model, &h.range.version, &step.layers));
@@ -238,7 +240,7 @@
         &mut self,
         step: &Step,
         input: &Input,
-    ) -> std::result::Result<StepOutcome, Refused> {
+    ) -> std::result::Result<StepOutcome, Rejection> {
         let model = self.check(step)?;
         let count = input.count();
         let takes_tokens = step.layers.first == 0;
@@ -248,7 +250,7 @@
         if u64::from(count) > self.kv_free() {
             return Err(Box::new(self.busy()));
         }
-        let rows = self.advance(step, input, &model);
+        let rows = self.run_positions(step, input, &model);
         if step.layers.end == model.layers() {
             let last = rows.last().copied().unwrap_or_default();
             return Ok(StepOutcome::Token(model.next_token(last)));
@@ -262,7 +264,7 @@
         })
     }
 
-    fn advance(&mut self, step: &Step, input: &Input, model: &Arc<Model>) -> Vec<u64> {
+    fn run_positions(&mut self, step: &Step, input: &Input, model: &Arc<Model>) -> Vec<u64> {
         let rows: Vec<u64> = match input {
             Input::Rows(rows) => rows.clone(),
             Input::Tokens(tokens) => (step.position..)
@@ -271,16 +273,17 @@
                 .collect(),
         };
         if step.position == 0 {
-            let part = Part::new(step.attempt, step.layers.clone(), model.clone());
-            self.sessions.insert(&step.session, part);
+            let shard = Shard::new(step.attempt, step.layers.clone(), model.clone());
+            self.sessions.insert(&step.session, shard);
         }
-        self.sessions.take_kv(rows.len() as u32);
+        self.sessions.add_kv_used(rows.len() as u32);
         let retain = self.retain;
         let found = self
             .sessions
-            .part_mut(&step.session, step.attempt, &step.layers);
-        let part = found.expect("a step at position 0 made the part, and check() found any other");
-        rows.into_iter().map(|r| part.advance(r, retain)).collect()
+            .shard_mut(&step.session, step.attempt, &step.layers);
+        let shard =
+            found.expect("a step at position 0 made the shard, and check() found any other");
+        rows.into_iter().map(|r| shard.advance(r, retain)).collect()
     }
 
     pub(crate) fn busy(&self) -> StepOutcome {
@@ -295,21 +298,21 @@
 
     /// Exports the lowest layer range of an attempt; absent when there is none.
     pub(crate) fn export(&self, req: &KvExportRequest) -> Option<KvBlob> {
-        let parts = self.sessions.attempt(&req.session, req.attempt);
-        let part = parts.min_by_key(|p| p.layers.first)?;
+        let shards = self.sessions.attempt(&req.session, req.attempt);
+        let shard = shards.min_by_key(|p| p.layers.first)?;
         Some(KvBlob {
             session: req.session.clone(),
             attempt: req.attempt,
-            model: part.model.name().to_owned(),
-            version: part.model.version().to_owned(),
-            layers: part.layers.clone(),
-            positions: part.positions,
-            state: part.kv.digests().to_vec(),
+            model: shard.model.name().to_owned(),
+            version: shard.model.version().to_owned(),
+            layers: shard.layers.clone(),
+            positions: shard.positions,
+            state: shard.kv.digests().to_vec(),
         })
     }
 
     /// Imports a KV cache; the error is the refusal that a step in its place would get.
-    pub(crate) fn import(&mut self, blob: KvBlob) -> std::result::Result<(), Refused> {
+    pub(crate) fn import(&mut self, blob: KvBlob) -> std::result::Result<(), Rejection> {
         let step = Step {
             session: blob.session,
             attempt: blob.attempt,
@@ -331,15 +334,15 @@
         if u64::from(blob.positions) > self.kv_free() {
             return Err(Box::new(self.busy()));
         }
-        let mut part = Part::new(step.attempt, step.layers.clone(), model);
-        part.kv = KvCache::from_digests(step.layers.first, blob.state);
-        part.positions = blob.positions;
-        self.sessions.insert(&step.session, part);
+        let mut shard = Shard::new(step.attempt, step.layers.clone(), model);
+        shard.kv = KvCache::from_digests(step.layers.first, blob.state);
+        shard.positions = blob.positions;
+        self.sessions.insert(&step.session, shard);
         Ok(())
     }
 }
 
-fn refused<T>(reason: RefusalReason, have: u32) -> std::result::Result<T, Refused> {
+fn refused<T>(reason: RefusalReason, have: u32) -> std::result::Result<T, Rejection> {
     Err(Box::new(StepOutcome::Refused(StepRefusal { reason, have })))
 }
 
--- a/crates/kelpworks-fakes/src/engine/http.rs
+++ b/crates/kelpworks-fakes/src/engine/http.rs
@@ -15,11 +15,11 @@
 
 use super::Shared;
 use super::core::Input;
-use super::scheduler::Ran;
-use super::scheduler::Waiting;
+use super::scheduler::QueuedStep;
+use super::scheduler::StepResult;
 use crate::fault::FaultKind;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::read_json;
 use crate::server::state;
 use kelpworks_wire::ActivationRequest;
@@ -41,7 +41,7 @@
 /// Path of steps.
 pub(super) const STEPS: &str = "/v1/steps";
 
-type Reply = std::result::Result<Answer, Answer>;
+type HandlerResult = std::result::Result<HttpResponse, HttpResponse>;
 type State = Arc<Shared>;
 
 pub(super) fn router() -> Router {
@@ -61,108 +61,108 @@
 }
 
 #[handler]
-async fn post_steps(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_steps(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let batch: StepBatch = read_json(req).await?;
     let replies = join_all(batch.steps.into_iter().map(|s| engine.step(s))).await;
-    Ok(Answer::json(&StepBatchReply { replies }))
+    Ok(HttpResponse::json(&StepBatchReply { replies }))
 }
 
 #[handler]
-async fn post_activations(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_activations(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let wanted: ActivationRequest = read_json(req).await?;
     let rows = lock(&engine.core)
         .sessions
         .rows(&wanted.handle, wanted.count);
     match rows {
-        Some(rows) => Ok(Answer::json(&Activations { rows })),
-        None => Err(Answer::empty(StatusCode::NOT_FOUND)),
+        Some(rows) => Ok(HttpResponse::json(&Activations { rows })),
+        None => Err(HttpResponse::empty(StatusCode::NOT_FOUND)),
     }
 }
 
 #[handler]
-async fn post_cancel(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_cancel(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let req: CancelRequest = read_json(req).await?;
     lock(&engine.core).cancel(&req);
     engine.ledger.count(|t| t.cancels += 1);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 #[handler]
-async fn post_kv_export(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_kv_export(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let req: KvExportRequest = read_json(req).await?;
     let blob = lock(&engine.core).export(&req);
     match blob {
-        Some(blob) => Ok(Answer::json(&blob)),
-        None => Err(Answer::empty(StatusCode::NOT_FOUND)),
+        Some(blob) => Ok(HttpResponse::json(&blob)),
+        None => Err(HttpResponse::empty(StatusCode::NOT_FOUND)),
     }
 }
 
 #[handler]
-async fn post_kv_import(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_kv_import(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let blob: KvBlob = read_json(req).await?;
     let imported = lock(&engine.core).import(blob);
     match imported {
         Ok(()) => {
             engine.ledger.count(|t| t.imports += 1);
-            Ok(Answer::empty(StatusCode::NO_CONTENT))
+            Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
         }
         Err(refused) => {
             let status = match *refused {
                 StepOutcome::Busy(_) => StatusCode::SERVICE_UNAVAILABLE,
                 _ => StatusCode::CONFLICT,
             };
-            Err(Answer::json_with(status, &*refused))
+            Err(HttpResponse::json_with(status, &*refused))
         }
     }
 }
 
 #[handler]
-async fn get_state(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<State>(depot).state())
+async fn get_state(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<State>(depot).state())
 }
 
 #[handler]
-async fn post_order(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_order(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let order: EngineOrder = read_json(req).await?;
-    Ok(Answer::json(&engine.order(order)))
+    Ok(HttpResponse::json(&engine.order(order)))
 }
 
 #[handler]
-async fn get_cache_events(req: &mut Request, depot: &mut Depot) -> Answer {
+async fn get_cache_events(req: &mut Request, depot: &mut Depot) -> HttpResponse {
     let engine = state::<State>(depot);
     let from = req.query("from").unwrap_or(0);
     let events = lock(&engine.cache).events(from, engine.incarnation());
-    Answer::json(&events)
+    HttpResponse::json(&events)
 }
 
 #[handler]
-async fn get_ledger(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<State>(depot).ledger.view())
+async fn get_ledger(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<State>(depot).ledger.view())
 }
 
 #[handler]
-async fn post_draining(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_draining(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let draining: bool = read_json(req).await?;
     lock(&engine.core).set_draining(draining);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 #[handler]
-async fn post_slowdown(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_slowdown(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let engine = state::<State>(depot);
     let factor: f64 = read_json(req).await?;
     if factor <= 0.0 {
-        return Err(Answer::empty(StatusCode::BAD_REQUEST));
+        return Err(HttpResponse::empty(StatusCode::BAD_REQUEST));
     }
     *lock(&engine.slowdown) = factor;
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 #[handler]
@@ -173,36 +173,36 @@
 impl Shared {
     /// Runs a step, or says why not.
     pub(super) async fn step(&self, mut step: Step) -> StepReply {
-        let ran = self.submit(&mut step).await;
+        let result = self.submit(&mut step).await;
         let reply = StepReply {
             session: step.session,
             attempt: step.attempt,
             position: step.position,
-            count: ran.count,
+            count: result.count,
             layers: step.layers,
             model: step.model,
             version: step.version,
             incarnation: self.incarnation(),
-            outcome: ran.outcome,
+            outcome: result.outcome,
             load: self.load(),
         };
-        self.spoil(reply)
+        self.apply_reply_faults(reply)
     }
 
     /// Queues a step and waits until it ran; takes the input out of it.
-    async fn submit(&self, step: &mut Step) -> Ran {
+    async fn submit(&self, step: &mut Step) -> StepResult {
         let busy = |k: &FaultKind| matches!(k, FaultKind::Busy(_));
-        if let Some(FaultKind::Busy(ms)) = self.faults.take_own(STEPS, busy) {
+        if let Some(FaultKind::Busy(ms)) = self.faults.take_application(STEPS, busy) {
             let reply = kelpworks_wire::BusyReply { retry_after_ms: ms };
-            return self.not_run(StepOutcome::Busy(reply));
+            return self.reject(StepOutcome::Busy(reply));
         }
         let given = std::mem::replace(&mut step.input, Vec::<u64>::new().into());
-        let input = match self.input(given, step).await {
+        let input = match self.resolve_input(given, step).await {
             Ok(input) => input,
-            Err(refused) => return self.not_run(refused),
+            Err(refused) => return self.reject(refused),
         };
         let (tx, rx) = oneshot::channel();
-        let waiting = Waiting {
+        let waiting = QueuedStep {
             step: step.clone(),
             input,
             at: Instant::now(),
@@ -210,16 +210,16 @@
         };
         if !self.queue.push(waiting, self.cfg.queue_bound) {
             let busy = lock(&self.core).busy();
-            return self.not_run(busy);
+            return self.reject(busy);
         }
         match rx.await {
-            Ok(ran) => ran,
+            Ok(result) => result,
             // The engine crashed; the connection is about to close.
             Err(_) => pending().await,
         }
     }
 
-    async fn input(
+    async fn resolve_input(
         &self,
         given: StepInput,
         step: &Step,
@@ -229,7 +229,7 @@
             StepInput::Rows(rows) => Ok(Input::Rows(rows)),
             StepInput::Handle(wanted) => {
                 let deadline = Duration::from_millis(u64::from(step.deadline_ms));
-                if let Some(rows) = self.fetch(wanted, deadline).await {
+                if let Some(rows) = self.fetch_rows(wanted, deadline).await {
                     return Ok(Input::Rows(rows));
                 }
                 // Where the step could not have run anyway, that is the better answer.
@@ -243,7 +243,7 @@
     }
 
     /// Fetches rows that another engine keeps; absent when they can't be had in time.
-    async fn fetch(&self, wanted: HandleRef, deadline: Duration) -> Option<Vec<u64>> {
+    async fn fetch_rows(&self, wanted: HandleRef, deadline: Duration) -> Option<Vec<u64>> {
         if wanted.upstream == self.url {
             return lock(&self.core).sessions.rows(&wanted.handle, wanted.count);
         }
@@ -259,19 +259,19 @@
     }
 
     /// Shows the faults of replies.
-    fn spoil(&self, reply: StepReply) -> StepReply {
+    fn apply_reply_faults(&self, reply: StepReply) -> StepReply {
         let mut shown = reply.clone();
         let previous = lock(&self.previous).replace(reply);
-        if self.struck(&FaultKind::PreviousReply)
+        if self.take_step_fault(&FaultKind::PreviousReply)
             && let Some(previous) = &previous
         {
             shown = previous.clone();
         }
-        if self.struck(&FaultKind::OtherSession) {
+        if self.take_step_fault(&FaultKind::OtherSession) {
             let other = previous.map(|p| p.session).filter(|s| *s != shown.session);
             shown.session = other.unwrap_or_else(|| format!("{}-other", shown.session));
         }
-        if self.struck(&FaultKind::WrongRange) {
+        if self.take_step_fault(&FaultKind::WrongRange) {
             shown.layers.end += 1;
         }
         shown
--- a/crates/kelpworks-fakes/src/engine/ledger.rs
+++ b/crates/kelpworks-fakes/src/engine/ledger.rs
@@ -124,7 +124,7 @@
         lock(&self.view).clone()
     }
 
-    pub(crate) fn note_run(&self, step: &Step, count: u32, incarnation: u64) {
+    pub(crate) fn record_run(&self, step: &Step, count: u32, incarnation: u64) {
         let mut view = lock(&self.view);
         let order = view.totals.runs;
         let layers = step.layers.end - step.layers.first;
@@ -146,11 +146,11 @@
         });
     }
 
-    pub(crate) fn note_order(&self, record: OrderRecord) {
+    pub(crate) fn record_order(&self, record: OrderRecord) {
         lock(&self.view).orders.push(record);
     }
 
-    pub(crate) fn note_crash(&self) {
+    pub(crate) fn record_crash(&self) {
         self.count(|t| t.crashes += 1);
     }
 
--- a/crates/kelpworks-fakes/src/engine/load.rs
+++ b/crates/kelpworks-fakes/src/engine/load.rs
@@ -8,7 +8,7 @@
 
 /// The latest load report.
 #[derive(Debug, Default)]
-pub(crate) struct LoadMeter {
+pub(crate) struct LoadReportCache {
     latest: Option<(Instant, EngineLoad)>,
 }
 
@@ -18,8 +18,8 @@
     pub(super) fn load(&self) -> EngineLoad {
         let now = Instant::now();
         let draining = lock(&self.core).draining();
-        let mut meter = lock(&self.meter);
-        if let Some((at, load)) = &meter.latest
+        let mut load_report = lock(&self.load_report);
+        if let Some((at, load)) = &load_report.latest
             && now - *at < self.cfg.load_lag
         {
             return EngineLoad {
@@ -28,16 +28,16 @@
             };
         }
         let load = self.measure(now, draining);
-        meter.latest = Some((now, load.clone()));
+        load_report.latest = Some((now, load.clone()));
         load
     }
 
     fn measure(&self, now: Instant, draining: bool) -> EngineLoad {
-        let waiting = self.queue.waiting(now);
+        let stats = self.queue.stats(now);
         EngineLoad {
-            queued: waiting.queued,
-            running: waiting.running,
-            queue_ms: waiting.oldest.as_millis() as u32,
+            queued: stats.queued,
+            running: stats.running,
+            queue_ms: stats.oldest.as_millis() as u32,
             kv_free: lock(&self.core).kv_free(),
             draining,
         }
--- a/crates/kelpworks-fakes/src/engine/mod.rs
+++ b/crates/kelpworks-fakes/src/engine/mod.rs
@@ -47,14 +47,14 @@
 
 use self::cache::PrefixCache;
 use self::core::Core;
-use self::load::LoadMeter;
+use self::load::LoadReportCache;
 use self::scheduler::Queue;
 use crate::error::Result;
 use crate::fault::FaultKind;
 use crate::fault::Faults;
 use crate::fault::lock;
+use crate::server::ListenSwitch;
 use crate::server::Port;
-use crate::server::Power;
 use crate::server::Server;
 use kelpworks_wire::EngineState;
 use kelpworks_wire::StepReply;
@@ -85,7 +85,7 @@
     core: Mutex<Core>,
     cache: Mutex<PrefixCache>,
     queue: Queue,
-    meter: Mutex<LoadMeter>,
+    load_report: Mutex<LoadReportCache>,
     ledger: Ledger,
     faults: Faults,
     /// How many times longer than configured an iteration takes; above 0.
@@ -94,7 +94,7 @@
     previous: Mutex<Option<StepReply>>,
     client: reqwest::Client,
     /// Set once the server runs.
-    power: OnceLock<Power>,
+    listen_switch: OnceLock<ListenSwitch>,
 }
 
 impl Engine {
@@ -113,17 +113,17 @@
             core: Mutex::new(Core::new(&cfg)?),
             cache: Mutex::new(PrefixCache::new(cfg.cache_entries, cfg.cache_event_delay)),
             queue: Queue::default(),
-            meter: Mutex::new(LoadMeter::default()),
+            load_report: Mutex::new(LoadReportCache::default()),
             ledger,
             faults: faults.clone(),
             slowdown: Mutex::new(1.0),
             previous: Mutex::new(None),
             client: reqwest::Client::builder().no_proxy().build()?,
-            power: OnceLock::new(),
+            listen_switch: OnceLock::new(),
             cfg,
         });
         let server = port.serve(faults, shared.clone(), http::router())?;
-        let _ = shared.power.set(server.power().clone());
+        let _ = shared.listen_switch.set(server.listen_switch().clone());
         let scheduler = tokio::spawn(scheduler::run(shared.clone()));
         Ok(Engine {
             shared,
@@ -196,7 +196,7 @@
     /// Closes its port and all connections, or opens the port again; unlike a crash it keeps its
     /// sessions and its incarnation.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
     /// Makes it run this many times slower than configured, as a degraded accelerator does.
@@ -219,8 +219,10 @@
     }
 
     /// Whether a fault of this kind strikes a step now.
-    fn struck(&self, kind: &FaultKind) -> bool {
-        self.faults.take_own(http::STEPS, |k| k == kind).is_some()
+    fn take_step_fault(&self, kind: &FaultKind) -> bool {
+        self.faults
+            .take_application(http::STEPS, |k| k == kind)
+            .is_some()
     }
 
     fn state(&self) -> EngineState {
@@ -233,19 +235,19 @@
             // Together, so that no run of the old sessions is noted under the new incarnation.
             let mut core = lock(&self.core);
             self.incarnation.store(rand::random(), Ordering::Release);
-            core.lose_sessions();
+            core.drop_sessions_and_loads();
         }
         lock(&self.cache).clear();
         self.queue.clear();
-        self.ledger.note_crash();
-        let Some(power) = self.power.get().cloned() else {
+        self.ledger.record_crash();
+        let Some(listen_switch) = self.listen_switch.get().cloned() else {
             return;
         };
-        power.set_listening(false);
+        listen_switch.set_listening(false);
         if let Some(after) = self.cfg.restart_after {
             tokio::spawn(async move {
                 tokio::time::sleep(after).await;
-                power.set_listening(true);
+                listen_switch.set_listening(true);
             });
         }
     }
--- a/crates/kelpworks-fakes/src/engine/orders.rs
+++ b/crates/kelpworks-fakes/src/engine/orders.rs
@@ -17,30 +17,33 @@
 
 /// The highest fencing token seen of each lease.
 #[derive(Debug)]
-pub(crate) struct Fences {
-    checks: bool,
-    seen: HashMap<String, u64>,
+pub(crate) struct FencingTokens {
+    enforced: bool,
+    highest_by_lease: HashMap<String, u64>,
 }
 
-impl Fences {
-    pub(crate) fn new(checks: bool) -> Fences {
-        Fences {
-            checks,
-            seen: HashMap::new(),
+impl FencingTokens {
+    pub(crate) fn new(enforced: bool) -> FencingTokens {
+        FencingTokens {
+            enforced,
+            highest_by_lease: HashMap::new(),
         }
     }
 
     pub(crate) fn highest(&self) -> u64 {
-        self.seen.values().copied().max().unwrap_or(0)
+        self.highest_by_lease.values().copied().max().unwrap_or(0)
     }
 
     /// Notes the token of an order; the higher one seen before it, if any.
-    fn note(&mut self, order: &EngineOrder) -> Option<u64> {
-        let seen = self.seen.entry(order.fence.lease.clone()).or_default();
-        if order.fence.token < *seen {
-            return Some(*seen);
+    fn record(&mut self, order: &EngineOrder) -> Option<u64> {
+        let highest = self
+            .highest_by_lease
+            .entry(order.fence.lease.clone())
+            .or_default();
+        if order.fence.token < *highest {
+            return Some(*highest);
         }
-        *seen = order.fence.token;
+        *highest = order.fence.token;
         None
     }
 }
@@ -48,26 +51,29 @@
 impl Shared {
     /// Carries out an order.
     pub(super) fn order(self: &Arc<Shared>, order: EngineOrder) -> OrderReply {
-        let (stale, checks) = {
+        let (newer, enforced) = {
             let mut core = lock(&self.core);
-            (core.fences.note(&order), core.fences.checks)
+            (
+                core.fencing_tokens.record(&order),
+                core.fencing_tokens.enforced,
+            )
         };
-        let reply = match stale {
-            Some(seen) if checks => OrderReply::Stale(seen),
-            _ => match self.carry_out(&order.action) {
+        let reply = match newer {
+            Some(highest) if enforced => OrderReply::Stale(highest),
+            _ => match self.execute(&order.action) {
                 Ok(()) => OrderReply::Accepted(order.fence.token),
-                Err(why) => OrderReply::Refused(why),
+                Err(reason) => OrderReply::Refused(reason),
             },
         };
-        self.ledger.note_order(OrderRecord {
+        self.ledger.record_order(OrderRecord {
             order,
             reply: reply.clone(),
-            was_stale: stale.is_some(),
+            was_stale: newer.is_some(),
         });
         reply
     }
 
-    fn carry_out(self: &Arc<Shared>, action: &OrderAction) -> Result<(), String> {
+    fn execute(self: &Arc<Shared>, action: &OrderAction) -> Result<(), String> {
         match action {
             OrderAction::Load(range) => self.begin_load(range),
             OrderAction::Unload(range) => {
@@ -85,12 +91,12 @@
 
     fn begin_load(self: &Arc<Shared>, range: &LoadedRange) -> Result<(), String> {
         let mut core = lock(&self.core);
-        core.known(range)?;
-        if core.holds(range) {
+        core.validate_range(range)?;
+        if core.has_loaded(range) {
             return Ok(());
         }
         let layers = range.layers.end - range.layers.first;
-        if core.layers_taken().saturating_add(layers) > self.cfg.max_layers {
+        if core.allocated_layers().saturating_add(layers) > self.cfg.max_layers {
             return Err("out of memory".to_owned());
         }
         if !core.begin_load(range) {
--- a/crates/kelpworks-fakes/src/engine/scheduler.rs
+++ b/crates/kelpworks-fakes/src/engine/scheduler.rs
@@ -22,17 +22,17 @@
 
 /// A step that waits to run.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedStep {
     pub(crate) step: Step,
     pub(crate) input: Input,
     pub(crate) at: Instant,
     /// Dropped without an answer when the engine crashes.
-    pub(crate) tx: oneshot::Sender<Ran>,
+    pub(crate) tx: oneshot::Sender<StepResult>,
 }
 
 /// What became of a step.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Ran {
+pub(crate) struct StepResult {
     /// Positions run.
     pub(crate) count: u32,
     pub(crate) outcome: StepOutcome,
@@ -41,20 +41,20 @@
 /// Steps waiting and running.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    lanes: Mutex<Lanes>,
-    arrived: Notify,
+    queues: Mutex<ClassQueues>,
+    step_queued: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Lanes {
-    paying: VecDeque<Waiting>,
-    trial: VecDeque<Waiting>,
+struct ClassQueues {
+    paying: VecDeque<QueuedStep>,
+    trial: VecDeque<QueuedStep>,
     running: u32,
 }
 
 /// Figures of a [`Queue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct QueueFigures {
+pub(crate) struct QueueStats {
     pub(crate) queued: u32,
     pub(crate) running: u32,
     /// Age of the oldest waiting step.
@@ -63,55 +63,55 @@
 
 impl Queue {
     /// Adds a step and returns true, unless `bound` steps wait already.
-    pub(crate) fn push(&self, waiting: Waiting, bound: usize) -> bool {
-        let mut lanes = lock(&self.lanes);
-        if lanes.paying.len() + lanes.trial.len() >= bound {
+    pub(crate) fn push(&self, waiting: QueuedStep, bound: usize) -> bool {
+        let mut queues = lock(&self.queues);
+        if queues.paying.len() + queues.trial.len() >= bound {
             return false;
         }
         match waiting.step.class {
-            Class::Paying => lanes.paying.push_back(waiting),
-            Class::Trial => lanes.trial.push_back(waiting),
+            Class::Paying => queues.paying.push_back(waiting),
+            Class::Trial => queues.trial.push_back(waiting),
         }
-        drop(lanes);
-        self.arrived.notify_one();
+        drop(queues);
+        self.step_queued.notify_one();
         true
     }
 
     /// Waits for steps and takes up to `max` of them.
-    async fn next_batch(&self, max: usize) -> Vec<Waiting> {
+    async fn next_batch(&self, max: usize) -> Vec<QueuedStep> {
         loop {
             let batch = self.take(max);
             if !batch.is_empty() {
                 return batch;
             }
-            self.arrived.notified().await;
+            self.step_queued.notified().await;
         }
     }
 
-    fn take(&self, max: usize) -> Vec<Waiting> {
-        let mut lanes = lock(&self.lanes);
-        let paying = lanes.paying.len().min(max);
-        let trial = lanes.trial.len().min(max - paying);
-        let mut batch: Vec<Waiting> = lanes.paying.drain(..paying).collect();
-        batch.extend(lanes.trial.drain(..trial));
-        lanes.running = batch.len() as u32;
+    fn take(&self, max: usize) -> Vec<QueuedStep> {
+        let mut queues = lock(&self.queues);
+        let paying = queues.paying.len().min(max);
+        let trial = queues.trial.len().min(max - paying);
+        let mut batch: Vec<QueuedStep> = queues.paying.drain(..paying).collect();
+        batch.extend(queues.trial.drain(..trial));
+        queues.running = batch.len() as u32;
         batch
     }
 
     /// Drops all waiting steps without an answer.
     pub(crate) fn clear(&self) {
-        let mut lanes = lock(&self.lanes);
-        lanes.paying.clear();
-        lanes.trial.clear();
+        let mut queues = lock(&self.queues);
+        queues.paying.clear();
+        queues.trial.clear();
     }
 
-    pub(crate) fn waiting(&self, now: Instant) -> QueueFigures {
-        let lanes = lock(&self.lanes);
-        let fronts = [lanes.paying.front(), lanes.trial.front()];
+    pub(crate) fn stats(&self, now: Instant) -> QueueStats {
+        let queues = lock(&self.queues);
+        let fronts = [queues.paying.front(), queues.trial.front()];
         let oldest = fronts.into_iter().flatten().map(|w| now - w.at).max();
-        QueueFigures {
-            queued: (lanes.paying.len() + lanes.trial.len()) as u32,
-            running: lanes.running,
+        QueueStats {
+            queued: (queues.paying.len() + queues.trial.len()) as u32,
+            running: queues.running,
             oldest: oldest.unwrap_or_default(),
         }
     }
@@ -125,7 +125,7 @@
     let mut last_end = Instant::now();
     loop {
         let batch = engine.queue.next_batch(engine.cfg.max_batch).await;
-        let begun = engine.incarnation();
+        let incarnation = engine.incarnation();
         let first = batch.iter().map(|w| w.at).min();
         let start = last_end.max(first.unwrap_or(last_end));
         let Some(iteration) = engine.iterate(batch) else {
@@ -138,8 +138,8 @@
         if last_end > Instant::now() {
             tokio::time::sleep_until(last_end).await;
         }
-        if engine.incarnation() == begun {
-            iteration.answer();
+        if engine.incarnation() == incarnation {
+            iteration.send_replies();
         }
     }
 }
@@ -147,68 +147,68 @@
 #[derive(Debug, Default)]
 struct Iteration {
     layer_positions: u64,
-    done: Vec<Done>,
+    completed: Vec<CompletedStep>,
 }
 
 #[derive(Debug)]
-struct Done {
-    tx: oneshot::Sender<Ran>,
-    ran: Ran,
+struct CompletedStep {
+    tx: oneshot::Sender<StepResult>,
+    result: StepResult,
 }
 
 impl Iteration {
-    fn answer(self) {
-        for done in self.done {
+    fn send_replies(self) {
+        for completed in self.completed {
             // A caller that is gone needs no answer.
-            let _ = done.tx.send(done.ran);
+            let _ = completed.tx.send(completed.result);
         }
     }
 }
 
 impl Shared {
     /// Runs a batch; absent when one of its steps crashes the engine.
-    fn iterate(&self, batch: Vec<Waiting>) -> Option<Iteration> {
+    fn iterate(&self, batch: Vec<QueuedStep>) -> Option<Iteration> {
         let mut iteration = Iteration::default();
         self.ledger.count(|t| t.iterations += 1);
         for waiting in batch {
-            let Waiting {
+            let QueuedStep {
                 step, input, tx, ..
             } = waiting;
             let poison = self.cfg.crashes_on_poison && input.is_poison();
-            let ran = self.run_step(&step, &input);
-            if ran.count > 0 {
-                iteration.layer_positions += self.cost(&step, ran.count);
-                if poison || self.struck(&FaultKind::Crash) {
+            let result = self.run_step(&step, &input);
+            if result.count > 0 {
+                iteration.layer_positions += self.cost(&step, result.count);
+                if poison || self.take_step_fault(&FaultKind::Crash) {
                     return None;
                 }
             }
-            iteration.done.push(Done { tx, ran });
+            iteration.completed.push(CompletedStep { tx, result });
         }
         Some(iteration)
     }
 
-    fn run_step(&self, step: &Step, input: &Input) -> Ran {
-        let (ran, incarnation) = {
+    fn run_step(&self, step: &Step, input: &Input) -> StepResult {
+        let (result, incarnation) = {
             let mut core = lock(&self.core);
             (core.run(step, input), self.incarnation())
         };
-        match ran {
+        match result {
             Ok(outcome) => {
                 let count = input.count();
-                self.ledger.note_run(step, count, incarnation);
-                Ran { count, outcome }
+                self.ledger.record_run(step, count, incarnation);
+                StepResult { count, outcome }
             }
-            Err(refused) => self.not_run(*refused),
+            Err(refused) => self.reject(*refused),
         }
     }
 
     /// Counts a step that is not run.
-    pub(super) fn not_run(&self, outcome: StepOutcome) -> Ran {
+    pub(super) fn reject(&self, outcome: StepOutcome) -> StepResult {
         self.ledger.count(|t| match outcome {
             StepOutcome::Busy(_) => t.busy += 1,
             _ => t.refused += 1,
         });
-        Ran { count: 0, outcome }
+        StepResult { count: 0, outcome }
     }
 
     /// Layer-positions that a step takes; a cached prompt takes those of one position.
@@ -216,7 +216,7 @@
         let layers = u64::from(step.layers.end - step.layers.first);
         let lost = || {
             let wanted = |k: &FaultKind| *k == FaultKind::LostCacheEvent;
-            self.faults.take_own(CACHE_EVENTS, wanted).is_some()
+            self.faults.take_application(CACHE_EVENTS, wanted).is_some()
         };
         let cached = step.position == 0 && lock(&self.cache).touch(&step.model, &step.prefix, lost);
         match cached {
--- a/crates/kelpworks-fakes/src/engine/sessions.rs
+++ b/crates/kelpworks-fakes/src/engine/sessions.rs
@@ -10,11 +10,11 @@
 use kelpworks_wire::LayerRange;
 
 /// Cancelled sessions remembered, so that a late step does not run again.
-const ENDED_LIMIT: usize = 65_536;
+const MAX_CANCELLED_SESSIONS: usize = 65_536;
 
-/// One session's part on this engine: an attempt over a layer range.
+/// One session's shard on this engine: an attempt over a layer range.
 #[derive(Debug)]
-pub(crate) struct Part {
+pub(crate) struct Shard {
     pub(crate) attempt: u32,
     pub(crate) layers: LayerRange,
     pub(crate) model: Arc<Model>,
@@ -25,10 +25,10 @@
     rows: VecDeque<u64>,
 }
 
-impl Part {
-    pub(crate) fn new(attempt: u32, layers: LayerRange, model: Arc<Model>) -> Part {
+impl Shard {
+    pub(crate) fn new(attempt: u32, layers: LayerRange, model: Arc<Model>) -> Shard {
         let kv = model.cache(layers.first..layers.end);
-        Part {
+        Shard {
             attempt,
             layers,
             model,
@@ -64,85 +64,88 @@
 /// All sessions of an engine.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    parts: HashMap<String, Vec<Part>>,
-    /// KV cache in use: the sum of `positions` over all parts.
-    used: u64,
+    shards: HashMap<String, Vec<Shard>>,
+    /// KV cache in use: the sum of `positions` over all shards.
+    kv_used: u64,
     /// Highest cancelled attempt of the latest cancelled sessions.
-    ended: HashMap<String, u32>,
+    cancelled: HashMap<String, u32>,
     /// Keys of `ended`, oldest first.
-    ended_order: VecDeque<String>,
+    cancelled_order: VecDeque<String>,
 }
 
 impl Sessions {
-    pub(crate) fn used(&self) -> u64 {
-        self.used
+    pub(crate) fn kv_used(&self) -> u64 {
+        self.kv_used
     }
 
-    pub(crate) fn take_kv(&mut self, positions: u32) {
-        self.used += u64::from(positions);
+    pub(crate) fn add_kv_used(&mut self, positions: u32) {
+        self.kv_used += u64::from(positions);
     }
 
     /// Whether this attempt was cancelled.
-    pub(crate) fn ended(&self, session: &str, attempt: u32) -> bool {
-        self.ended.get(session).is_some_and(|a| attempt <= *a)
+    pub(crate) fn is_cancelled(&self, session: &str, attempt: u32) -> bool {
+        self.cancelled.get(session).is_some_and(|a| attempt <= *a)
     }
 
-    /// The parts of an attempt, over all layer ranges.
-    pub(crate) fn attempt(&self, session: &str, attempt: u32) -> impl Iterator<Item = &Part> {
-        let parts = self.parts.get(session).map_or(&[][..], Vec::as_slice);
-        parts.iter().filter(move |p| p.attempt == attempt)
+    /// The shards of an attempt, over all layer ranges.
+    pub(crate) fn attempt(&self, session: &str, attempt: u32) -> impl Iterator<Item = &Shard> {
+        let shards = self.shards.get(session).map_or(&[][..], Vec::as_slice);
+        shards.iter().filter(move |p| p.attempt == attempt)
     }
 
-    /// The part of an attempt over exactly these layers.
-    pub(crate) fn part_mut(
+    /// The shard of an attempt over exactly these layers.
+    pub(crate) fn shard_mut(
         &mut self,
         session: &str,
         attempt: u32,
         layers: &LayerRange,
-    ) -> Option<&mut Part> {
-        let parts = self.parts.get_mut(session)?;
-        parts
+    ) -> Option<&mut Shard> {
+        let shards = self.shards.get_mut(session)?;
+        shards
             .iter_mut()
             .find(|p| p.attempt == attempt && p.layers == *layers)
     }
 
-    pub(crate) fn insert(&mut self, session: &str, part: Part) {
-        self.used += u64::from(part.positions);
-        match self.parts.get_mut(session) {
-            Some(parts) => parts.push(part),
+    pub(crate) fn insert(&mut self, session: &str, shard: Shard) {
+        self.kv_used += u64::from(shard.positions);
+        match self.shards.get_mut(session) {
+            Some(shards) => shards.push(shard),
             None => {
-                self.parts.insert(session.to_owned(), vec![part]);
+                self.shards.insert(session.to_owned(), vec![shard]);
             }
         }
     }
 
     /// Ends all attempts of a session up to the one given.
     pub(crate) fn cancel(&mut self, req: &CancelRequest) {
-        if let Some(parts) = self.parts.get_mut(&req.session) {
-            let ended = parts.extract_if(.., |p| p.attempt <= req.attempt);
-            self.used -= ended.map(|p| u64::from(p.positions)).sum::<u64>();
-            if parts.is_empty() {
-                self.parts.remove(&req.session);
+        if let Some(shards) = self.shards.get_mut(&req.session) {
+            let removed = shards.extract_if(.., |p| p.attempt <= req.attempt);
+            self.kv_used -= removed.map(|p| u64::from(p.positions)).sum::<u64>();
+            if shards.is_empty() {
+                self.shards.remove(&req.session);
             }
         }
-        let ended = self.ended.entry(req.session.clone()).or_insert_with(|| {
-            self.ended_order.push_back(req.session.clone());
-            req.attempt
-        });
-        *ended = req.attempt.max(*ended);
-        while self.ended_order.len() > ENDED_LIMIT {
-            if let Some(oldest) = self.ended_order.pop_front() {
-                self.ended.remove(&oldest);
+        let highest = self
+            .cancelled
+            .entry(req.session.clone())
+            .or_insert_with(|| {
+                self.cancelled_order.push_back(req.session.clone());
+                req.attempt
+            });
+        *highest = req.attempt.max(*highest);
+        while self.cancelled_order.len() > MAX_CANCELLED_SESSIONS {
+            if let Some(oldest) = self.cancelled_order.pop_front() {
+                self.cancelled.remove(&oldest);
             }
         }
     }
 
-    /// Drops the parts for which `keep` is false.
-    pub(crate) fn retain(&mut self, keep: impl Fn(&Part) -> bool) {
-        self.parts.retain(|_, parts| {
-            let dropped = parts.extract_if(.., |p| !keep(p));
-            self.used -= dropped.map(|p| u64::from(p.positions)).sum::<u64>();
-            !parts.is_empty()
+    /// Drops the shards for which `keep` is false.
+    pub(crate) fn retain(&mut self, keep: impl Fn(&Shard) -> bool) {
+        self.shards.retain(|_, shards| {
+            let dropped = shards.extract_if(.., |p| !keep(p));
+            self.kv_used -= dropped.map(|p| u64::from(p.positions)).sum::<u64>();
+            !shards.is_empty()
         });
     }
 
@@ -153,14 +156,14 @@
         let first: u32 = fields.next()?.parse().ok()?;
         let attempt = fields.next()?.parse().ok()?;
         let session = fields.next()?;
-        let part = self
+        let shard = self
             .attempt(session, attempt)
             .find(|p| p.layers.first == first)?;
-        part.rows(position, count)
+        shard.rows(position, count)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.parts.len()
+        self.shards.len()
     }
 }
 
--- a/crates/kelpworks-fakes/src/engine/tests.rs
+++ b/crates/kelpworks-fakes/src/engine/tests.rs
@@ -65,7 +65,10 @@
     &[36, 36, 18, 18]
 )]
 #[tokio::test(start_paused = true)]
-async fn iterations_take_their_time(#[case] steps: &[(Class, usize)], #[case] wanted: &[u64]) {
+async fn iteration_time_is_base_plus_layer_positions_over_rate(
+    #[case] steps: &[(Class, usize)],
+    #[case] wanted: &[u64],
+) {
     let engine = Engine::spawn(config()).await.unwrap();
     let numbered = steps.iter().enumerate();
     let steps = numbered.map(|(n, (class, tokens))| step(&n.to_string(), *class, *tokens));
@@ -74,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cached_prompt_costs_one_position() {
+async fn cached_prompt_costs_one_position() {
     let engine = Engine::spawn(config()).await.unwrap();
     for (session, wanted) in [("a", 210), ("b", 14)] {
         let mut cached = step(session, Class::Paying, 50);
@@ -84,7 +87,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_degraded_engine_is_slower() {
+async fn slowdown_factor_multiplies_iteration_time() {
     let engine = Engine::spawn(config()).await.unwrap();
     engine.set_slowdown(3.0);
     let took = times(&engine, vec![step("a", Class::Paying, 1)]).await;
@@ -92,7 +95,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_queue_is_busy() {
+async fn full_queue_answers_busy() {
     let cfg = EngineConfig {
         queue_bound: 2,
         ..config()
@@ -109,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn load_reports_lag() {
+async fn load_report_is_cached_for_load_lag() {
     let cfg = EngineConfig {
         load_lag: Duration::from_millis(100),
         ..config()
@@ -117,18 +120,18 @@
     let engine = Engine::spawn(cfg).await.unwrap();
     assert_eq!(engine.state().load.running, 0);
     let running = engine.shared.step(step("a", Class::Paying, 1000));
-    let looking = async {
+    let polling = async {
         tokio::time::sleep(Duration::from_millis(99)).await;
         let early = engine.state().load.running;
         tokio::time::sleep(Duration::from_millis(1)).await;
         (early, engine.state().load.running)
     };
-    let (_, seen) = tokio::join!(running, looking);
+    let (_, seen) = tokio::join!(running, polling);
     assert_eq!(seen, (0, 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn cache_events_come_late_and_with_gaps() {
+async fn cache_events_are_delayed_and_lost_ones_leave_sequence_gaps() {
     let cfg = EngineConfig {
         cache_entries: 1,
         cache_event_delay: Duration::from_millis(50),
@@ -136,16 +139,16 @@
     };
     let engine = Engine::spawn(cfg).await.unwrap();
     let lost = Fault::once(FaultKind::LostCacheEvent);
-    let shown = || lock(&engine.shared.cache).events(0, 0);
+    let visible = || lock(&engine.shared.cache).events(0, 0);
     for session in ["a", "b"] {
         let mut cached = step(session, Class::Paying, 1);
         cached.prefix = session.to_owned();
         engine.shared.step(cached).await;
         engine.faults().add(lost.clone());
     }
-    assert!(shown().events.is_empty());
+    assert!(visible().events.is_empty());
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let sequences: Vec<u64> = shown().events.iter().map(|e| e.sequence).collect();
+    let sequences: Vec<u64> = visible().events.iter().map(|e| e.sequence).collect();
     assert_eq!(sequences, [0, 2]);
-    assert_eq!(shown().next, 3);
+    assert_eq!(visible().next, 3);
 }
--- a/crates/kelpworks-fakes/src/fault.rs
+++ b/crates/kelpworks-fakes/src/fault.rs
@@ -115,7 +115,7 @@
         self
     }
 
-    fn strikes(&self, method: &str, path: &str) -> bool {
+    fn applies_to(&self, method: &str, path: &str) -> bool {
         match self.matches.split_once(' ') {
             Some((want, rest)) => want == method && path.starts_with(rest),
             None => path.starts_with(&self.matches),
@@ -181,7 +181,7 @@
 
 /// What the server does with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ConnectionVerdict {
+pub(crate) enum ConnectionAction {
     Pass,
     Close,
     Silent,
@@ -232,11 +232,11 @@
 
     /// Takes the first transport fault that strikes this request.
     pub(crate) fn take_transport(&self, method: &str, path: &str) -> Option<FaultKind> {
-        self.take(|f| f.kind.is_transport() && f.strikes(method, path))
+        self.take(|f| f.kind.is_transport() && f.applies_to(method, path))
     }
 
     /// Takes the first fault of a stand-in's own kinds that strikes this path.
-    pub(crate) fn take_own(
+    pub(crate) fn take_application(
         &self,
         path: &str,
         wanted: impl Fn(&FaultKind) -> bool,
@@ -273,14 +273,14 @@
     }
 
     /// What becomes of a request on the connection from this remote port.
-    pub(crate) fn verdict(&self, port: u16) -> ConnectionVerdict {
+    pub(crate) fn connection_action(&self, port: u16) -> ConnectionAction {
         let table = lock(&self.shared.connections);
         let number = table.by_port.get(&port).copied().unwrap_or(u64::MAX);
         match table.mode {
-            ConnectionMode::Refuse => ConnectionVerdict::Close,
-            ConnectionMode::SilenceAll => ConnectionVerdict::Silent,
-            _ if number < table.silent_below => ConnectionVerdict::Silent,
-            _ => ConnectionVerdict::Pass,
+            ConnectionMode::Refuse => ConnectionAction::Close,
+            ConnectionMode::SilenceAll => ConnectionAction::Silent,
+            _ if number < table.silent_below => ConnectionAction::Silent,
+            _ => ConnectionAction::Pass,
         }
     }
 }
--- a/crates/kelpworks-fakes/src/host_list.rs
+++ b/crates/kelpworks-fakes/src/host_list.rs
@@ -14,7 +14,7 @@
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use crate::server::read_json;
@@ -45,12 +45,12 @@
 struct Shared {
     lag: Duration,
     /// Lists in order of version; the last one whose time has come is shown. Never empty.
-    lists: Mutex<Vec<Dated>>,
+    lists: Mutex<Vec<ScheduledList>>,
 }
 
 #[derive(Debug)]
-struct Dated {
-    at: Instant,
+struct ScheduledList {
+    visible_at: Instant,
     list: HostList,
 }
 
@@ -62,8 +62,8 @@
     /// When the port cannot be bound.
     pub async fn spawn(cfg: HostListConfig) -> Result<FakeHostList> {
         let port = Port::bind(cfg.port)?;
-        let first = Dated {
-            at: Instant::now(),
+        let first = ScheduledList {
+            visible_at: Instant::now(),
             list: HostList {
                 version: 1,
                 hosts: cfg.hosts,
@@ -77,7 +77,7 @@
             .push(Router::with_path("hosts").get(get_hosts))
             .push(
                 Router::with_path("fake/hosts")
-                    .get(get_true_hosts)
+                    .get(get_latest_hosts)
                     .post(post_hosts),
             );
         let server = port.serve(Faults::default(), shared.clone(), router)?;
@@ -96,7 +96,7 @@
 
     /// The hosts as they are, whether or not they show yet.
     pub fn hosts(&self) -> Vec<HostEntry> {
-        self.shared.newest().hosts
+        self.shared.latest().hosts
     }
 
     /// Replaces all hosts.
@@ -128,7 +128,7 @@
 
     /// Closes its port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
     /// Stops it; the same as dropping it.
@@ -136,42 +136,45 @@
 }
 
 impl Shared {
-    fn newest(&self) -> HostList {
+    fn latest(&self) -> HostList {
         let lists = lock(&self.lists);
         lists[lists.len() - 1].list.clone()
     }
 
     fn change(&self, edit: impl FnOnce(&mut Vec<HostEntry>)) {
-        let mut list = self.newest();
+        let mut list = self.latest();
         edit(&mut list.hosts);
         list.version += 1;
-        let at = Instant::now() + self.lag;
-        lock(&self.lists).push(Dated { at, list });
+        let visible_at = Instant::now() + self.lag;
+        lock(&self.lists).push(ScheduledList { visible_at, list });
     }
 
     /// The list that shows now; forgets those before it.
-    fn shown(&self) -> HostList {
+    fn visible(&self) -> HostList {
         let now = Instant::now();
         let mut lists = lock(&self.lists);
-        let due = lists.iter().rposition(|d| d.at <= now).unwrap_or(0);
+        let due = lists.iter().rposition(|d| d.visible_at <= now).unwrap_or(0);
         lists.drain(..due);
         lists[0].list.clone()
     }
 }
 
 #[handler]
-async fn get_hosts(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<Arc<Shared>>(depot).shown())
+async fn get_hosts(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<Arc<Shared>>(depot).visible())
 }
 
 #[handler]
-async fn get_true_hosts(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<Arc<Shared>>(depot).newest())
+async fn get_latest_hosts(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<Arc<Shared>>(depot).latest())
 }
 
 #[handler]
-async fn post_hosts(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn post_hosts(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let hosts: Vec<HostEntry> = read_json(req).await?;
     state::<Arc<Shared>>(depot).change(|all| *all = hosts);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
--- a/crates/kelpworks-fakes/src/link.rs
+++ b/crates/kelpworks-fakes/src/link.rs
@@ -86,13 +86,13 @@
     /// When no port can be bound.
     pub async fn spawn(target: SocketAddr) -> Result<Link> {
         // Bound, never listening: it keeps the port while the link is cut.
-        let keeper = reusable()?;
-        keeper.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        let addr = keeper.local_addr()?;
+        let reserved_socket = reusable()?;
+        reserved_socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let addr = reserved_socket.local_addr()?;
         let listener = listen(addr)?;
         let control = Arc::new(watch::Sender::new(Control::default()));
         let relay = Relay {
-            _keeper: keeper,
+            _reserved_socket: reserved_socket,
             addr,
             target,
             control: control.clone(),
@@ -144,7 +144,7 @@
 }
 
 struct Relay {
-    _keeper: TcpSocket,
+    _reserved_socket: TcpSocket,
     addr: SocketAddr,
     target: SocketAddr,
     control: Arc<watch::Sender<Control>>,
@@ -190,16 +190,16 @@
 }
 
 async fn relay(client: TcpStream, target: SocketAddr, number: u64, rx: watch::Receiver<Control>) {
-    let mut forward = Lane {
+    let mut forward = Direction {
         number,
-        shut: LinkState::SilenceForward,
+        blocked_by: LinkState::SilenceForward,
         rx,
     };
-    let back = Lane {
-        shut: LinkState::SilenceBack,
+    let back = Direction {
+        blocked_by: LinkState::SilenceBack,
         ..forward.clone()
     };
-    forward.pass().await;
+    forward.wait_until_open().await;
     let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
@@ -207,26 +207,26 @@
     let (client_rx, client_tx) = client.into_split();
     let (upstream_rx, upstream_tx) = upstream.into_split();
     tokio::join!(
-        pump(client_rx, upstream_tx, forward),
-        pump(upstream_rx, client_tx, back)
+        copy_bytes(client_rx, upstream_tx, forward),
+        copy_bytes(upstream_rx, client_tx, back)
     );
 }
 
 /// One direction of a connection.
 #[derive(Clone, Debug)]
-struct Lane {
+struct Direction {
     number: u64,
     /// The state that stops this direction only.
-    shut: LinkState,
+    blocked_by: LinkState,
     rx: watch::Receiver<Control>,
 }
 
-impl Lane {
+impl Direction {
     /// Waits until this direction may forward.
-    async fn pass(&mut self) {
-        let (number, shut) = (self.number, self.shut);
+    async fn wait_until_open(&mut self) {
+        let (number, blocked_by) = (self.number, self.blocked_by);
         let open = |c: &Control| {
-            number >= c.silent_below && c.state != shut && c.state != LinkState::SilenceAll
+            number >= c.silent_below && c.state != blocked_by && c.state != LinkState::SilenceAll
         };
         let state = match self.rx.wait_for(open).await {
             Ok(control) => control.state,
@@ -238,11 +238,11 @@
     }
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut lane: Lane) {
+async fn copy_bytes(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut direction: Direction) {
     let mut buf = vec![0; BUFFER];
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        lane.pass().await;
+        direction.wait_until_open().await;
         if read == 0 || to.write_all(&buf[..read]).await.is_err() {
             break;
         }
--- a/crates/kelpworks-fakes/src/model.rs
+++ b/crates/kelpworks-fakes/src/model.rs
@@ -58,7 +58,7 @@
     /// assert_ne!(answer, Model::new("caption", "2", 4).answer(&tokenize(b"a red chair"), 8));
     /// ```
     pub fn new(name: &str, version: &str, layers: u32) -> Model {
-        let seed = mix([xxh3_64(name.as_bytes()), xxh3_64(version.as_bytes())]);
+        let seed = hash_words([xxh3_64(name.as_bytes()), xxh3_64(version.as_bytes())]);
         Model {
             name: name.to_owned(),
             version: version.to_owned(),
@@ -90,13 +90,15 @@
     /// An empty cache over these layers.
     pub fn cache(&self, layers: Range<u32>) -> KvCache {
         let first = layers.start;
-        let digests = layers.map(|l| mix([self.seed, u64::from(l)])).collect();
+        let digests = layers
+            .map(|l| hash_words([self.seed, u64::from(l)]))
+            .collect();
         KvCache { first, digests }
     }
 
     /// Input row of the first layer.
     pub fn embed(&self, token: u32, position: u32) -> u64 {
-        mix([self.seed, u64::from(token), u64::from(position)])
+        hash_words([self.seed, u64::from(token), u64::from(position)])
     }
 
     /// Runs the layers of `kv` over one position and returns the output row.
@@ -104,8 +106,8 @@
         let position = u64::from(position);
         let layers = u64::from(kv.first)..;
         for (layer, digest) in layers.zip(kv.digests.iter_mut()) {
-            let out = mix([row, layer, position, *digest]);
-            *digest = mix([*digest, row, layer, position]);
+            let out = hash_words([row, layer, position, *digest]);
+            *digest = hash_words([*digest, row, layer, position]);
             row = out;
         }
         row
@@ -157,7 +159,7 @@
     format!(" {token:03x}")
 }
 
-fn mix<const N: usize>(words: [u64; N]) -> u64 {
+fn hash_words<const N: usize>(words: [u64; N]) -> u64 {
     let mut buf = [0; 32];
     for (chunk, word) in buf.chunks_exact_mut(8).zip(words) {
         chunk.copy_from_slice(&word.to_le_bytes());
--- a/crates/kelpworks-fakes/src/object_api/http.rs
+++ b/crates/kelpworks-fakes/src/object_api/http.rs
@@ -22,7 +22,7 @@
 use super::unavailable;
 use crate::fault::FaultKind;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::read_json;
 use crate::server::state;
 use kelpworks_wire::ApiErrorCode;
@@ -31,11 +31,11 @@
 use kelpworks_wire::ObjectList;
 use kelpworks_wire::WatchReply;
 
-type Reply = std::result::Result<Answer, Answer>;
+type HandlerResult = std::result::Result<HttpResponse, HttpResponse>;
 type State = Arc<Shared>;
 
 /// Header field of the era.
-const ERA_FIELD: &str = "store-era";
+const ERA_HEADER: &str = "store-era";
 
 pub(super) fn router() -> Router {
     let object = Router::with_path("objects/{kind}/{name}")
@@ -43,7 +43,7 @@
         .put(put_object)
         .delete(delete_object);
     Router::new()
-        .hoop(tell_era)
+        .hoop(add_era_header)
         .push(object)
         .push(Router::with_path("objects/{kind}").get(list_objects))
         .push(Router::with_path("watch/{kind}").get(get_watch))
@@ -69,31 +69,36 @@
 
 /// Every answer tells the era that it was given in.
 #[handler]
-async fn tell_era(req: &mut Request, depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn add_era_header(
+    req: &mut Request,
+    depot: &mut Depot,
+    res: &mut Response,
+    ctrl: &mut FlowCtrl,
+) {
     ctrl.call_next(req, depot, res).await;
     let era = state::<State>(depot).era.load(Ordering::SeqCst);
-    res.headers_mut().insert(ERA_FIELD, HeaderValue::from(era));
+    res.headers_mut().insert(ERA_HEADER, HeaderValue::from(era));
 }
 
 #[handler]
-async fn get_object(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn get_object(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let api = state::<State>(depot);
     api.admit(Call::Read).await?;
     let Path { kind, name } = Path::of(req);
-    let stale = api.stale(req.uri().path());
+    let stale = api.take_stale_read(req.uri().path());
     let store = lock(&api.store);
     let object = match stale {
         true => store.get_stale(&kind, &name),
         false => store.get(&kind, &name),
     };
     match object {
-        Some(object) => Ok(Answer::json(object)),
+        Some(object) => Ok(HttpResponse::json(object)),
         None => Err(not_found()),
     }
 }
 
 #[handler]
-async fn put_object(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn put_object(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let api = state::<State>(depot);
     api.admit(Call::Write).await?;
     let Path { kind, name } = Path::of(req);
@@ -106,11 +111,11 @@
     check_version(req, store.get(&kind, &name))?;
     let object = store.put(&kind, &name, body);
     api.version.send_replace(object.version);
-    Ok(Answer::json(&object))
+    Ok(HttpResponse::json(&object))
 }
 
 #[handler]
-async fn delete_object(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn delete_object(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let api = state::<State>(depot);
     api.admit(Call::Write).await?;
     let Path { kind, name } = Path::of(req);
@@ -122,11 +127,11 @@
     check_version(req, current)?;
     store.delete(&kind, &name);
     api.version.send_replace(store.version());
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 /// Checks the condition of a write against the current object.
-fn check_version(req: &Request, current: Option<&Object>) -> std::result::Result<(), Answer> {
+fn check_version(req: &Request, current: Option<&Object>) -> std::result::Result<(), HttpResponse> {
     let Some(wanted) = req.query::<u64>("if_version") else {
         return Ok(());
     };
@@ -138,62 +143,66 @@
 }
 
 #[handler]
-async fn list_objects(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn list_objects(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let api = state::<State>(depot);
     api.admit(Call::List).await?;
     let Path { kind, .. } = Path::of(req);
     let store = lock(&api.store);
-    Ok(Answer::json(&ObjectList {
+    Ok(HttpResponse::json(&ObjectList {
         items: store.list(&kind),
         version: store.version(),
     }))
 }
 
 #[handler]
-async fn get_watch(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn get_watch(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let api = state::<State>(depot);
     api.admit(Call::Watch).await?;
     let Path { kind, .. } = Path::of(req);
     let from = req.query("from").unwrap_or(0);
     let wait = Duration::from_millis(req.query("wait_ms").unwrap_or(0));
     let expired = |k: &FaultKind| *k == FaultKind::ExpiredVersion;
-    if api.faults.take_own(req.uri().path(), expired).is_some() {
+    if api
+        .faults
+        .take_application(req.uri().path(), expired)
+        .is_some()
+    {
         return Err(error(StatusCode::GONE, ApiErrorCode::Expired, None));
     }
     api.wait_for_events(&kind, from, wait).await
 }
 
 #[handler]
-async fn get_counts(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<State>(depot).counts())
+async fn get_counts(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<State>(depot).counts())
 }
 
 #[handler]
-async fn post_mode(req: &mut Request, depot: &mut Depot) -> Reply {
+async fn post_mode(req: &mut Request, depot: &mut Depot) -> HandlerResult {
     let mode: ApiMode = read_json(req).await?;
     state::<State>(depot).mode.send_replace(mode);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
-fn not_found() -> Answer {
+fn not_found() -> HttpResponse {
     error(StatusCode::NOT_FOUND, ApiErrorCode::NotFound, None)
 }
 
 impl Shared {
-    fn stale(&self, path: &str) -> bool {
+    fn take_stale_read(&self, path: &str) -> bool {
         let wanted = |k: &FaultKind| *k == FaultKind::StaleRead;
-        self.faults.take_own(path, wanted).is_some()
+        self.faults.take_application(path, wanted).is_some()
     }
 
     /// Answers a watch once a change shows, the wait is over or the mode changes.
-    async fn wait_for_events(&self, kind: &str, from: u64, wait: Duration) -> Reply {
+    async fn wait_for_events(&self, kind: &str, from: u64, wait: Duration) -> HandlerResult {
         let deadline = Instant::now() + wait;
         let mut version = self.version.subscribe();
         let mut mode = self.mode.subscribe();
         loop {
             version.borrow_and_update();
-            let over = Instant::now() >= deadline;
-            if let Some(reply) = self.watch_reply(kind, from, over) {
+            let timed_out = Instant::now() >= deadline;
+            if let Some(reply) = self.watch_reply(kind, from, timed_out) {
                 return reply;
             }
             tokio::select! {
@@ -210,15 +219,15 @@
         }
     }
 
-    fn watch_reply(&self, kind: &str, from: u64, over: bool) -> Option<Reply> {
+    fn watch_reply(&self, kind: &str, from: u64, timed_out: bool) -> Option<HandlerResult> {
         let store = lock(&self.store);
-        let Some(events) = store.after(kind, from) else {
+        let Some(events) = store.events_after(kind, from) else {
             return Some(Err(error(StatusCode::GONE, ApiErrorCode::Expired, None)));
         };
-        if events.is_empty() && !over {
+        if events.is_empty() && !timed_out {
             return None;
         }
         let version = store.version().max(from);
-        Some(Ok(Answer::json(&WatchReply { events, version })))
+        Some(Ok(HttpResponse::json(&WatchReply { events, version })))
     }
 }
--- a/crates/kelpworks-fakes/src/object_api/mod.rs
+++ b/crates/kelpworks-fakes/src/object_api/mod.rs
@@ -1,8 +1,8 @@
 //! The stand-in object API: versions, conditional updates, watches, rates and outages.
 
 mod http;
-mod rate;
 mod store;
+mod token_bucket;
 
 use std::future::pending;
 use std::sync::Arc;
@@ -16,12 +16,12 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-use self::rate::Rate;
 use self::store::Store;
+use self::token_bucket::TokenBucket;
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use kelpworks_wire::ApiError;
@@ -132,8 +132,8 @@
 #[derive(Debug)]
 struct Calls {
     counts: CallCounts,
-    reads: Rate,
-    writes: Rate,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// A kind of call, for rates and counts.
@@ -156,8 +156,8 @@
         let faults = Faults::default();
         let calls = Calls {
             counts: CallCounts::default(),
-            reads: Rate::new(cfg.reads_per_second),
-            writes: Rate::new(cfg.writes_per_second),
+            reads: TokenBucket::new(cfg.reads_per_second),
+            writes: TokenBucket::new(cfg.writes_per_second),
         };
         let shared = Arc::new(Shared {
             faults: faults.clone(),
@@ -190,7 +190,7 @@
 
     /// Closes its port and all connections, or opens the port again; objects are kept.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
     /// Calls so far.
@@ -244,8 +244,8 @@
     }
 
     /// Lets a call through, or says why not.
-    async fn admit(&self, call: Call) -> std::result::Result<(), Answer> {
-        let within = lock(&self.calls).note(call);
+    async fn admit(&self, call: Call) -> std::result::Result<(), HttpResponse> {
+        let within = lock(&self.calls).record(call);
         let mode = *self.mode.borrow();
         match mode {
             ApiMode::Up => {}
@@ -265,7 +265,7 @@
 
 impl Calls {
     /// Counts a call; false when it is over its rate.
-    fn note(&mut self, call: Call) -> bool {
+    fn record(&mut self, call: Call) -> bool {
         let (count, rate) = match call {
             Call::Read => (&mut self.counts.reads, &mut self.reads),
             Call::List => (&mut self.counts.lists, &mut self.reads),
@@ -281,16 +281,16 @@
     }
 }
 
-fn unavailable() -> Answer {
+fn unavailable() -> HttpResponse {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     error(status, ApiErrorCode::Unavailable, None)
 }
 
-fn error(status: StatusCode, code: ApiErrorCode, current: Option<Object>) -> Answer {
+fn error(status: StatusCode, code: ApiErrorCode, current: Option<Object>) -> HttpResponse {
     let error = ApiError {
         code,
         message: code.to_string(),
         current,
     };
-    Answer::json_with(status, &error)
+    HttpResponse::json_with(status, &error)
 }
--- a/crates/kelpworks-fakes/src/object_api/store.rs
+++ b/crates/kelpworks-fakes/src/object_api/store.rs
@@ -68,7 +68,7 @@
         };
         let slot = self.slot_mut(kind, name);
         slot.previous = slot.current.replace(object.clone());
-        self.note(WatchEventKind::Put, object.clone());
+        self.record(WatchEventKind::Put, object.clone());
         object
     }
 
@@ -81,7 +81,7 @@
         slot.previous = Some(object.clone());
         self.version += 1;
         object.version = self.version;
-        self.note(WatchEventKind::Delete, object);
+        self.record(WatchEventKind::Delete, object);
         true
     }
 
@@ -90,7 +90,7 @@
         slots.entry(name.to_owned()).or_default()
     }
 
-    fn note(&mut self, kind: WatchEventKind, object: Object) {
+    fn record(&mut self, kind: WatchEventKind, object: Object) {
         self.events.push_back(WatchEvent { kind, object });
         if self.events.len() > self.history {
             self.events.pop_front();
@@ -99,7 +99,7 @@
 
     /// The changes of a kind after a version; absent when some are no longer kept, or when it was given
     /// out before the store came back from an older copy.
-    pub(super) fn after(&self, kind: &str, version: u64) -> Option<Vec<WatchEvent>> {
+    pub(super) fn events_after(&self, kind: &str, version: u64) -> Option<Vec<WatchEvent>> {
         let oldest = self.version - self.events.len() as u64;
         if version < oldest || version > self.version {
             return None;
--- a/crates/kelpworks-fakes/src/object_api/rate.rs
+++ b/crates/kelpworks-fakes/src/object_api/token_bucket.rs
@@ -4,25 +4,25 @@
 
 /// Calls a second, with a burst of one second's worth.
 #[derive(Debug)]
-pub(super) struct Rate {
+pub(super) struct TokenBucket {
     per_second: f64,
     /// Calls that may come at once; at most `per_second`.
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
     /// Start of the second that is counted now.
-    second: Instant,
+    second_start: Instant,
     in_second: u64,
     peak: u64,
 }
 
-impl Rate {
-    pub(super) fn new(per_second: u32) -> Rate {
+impl TokenBucket {
+    pub(super) fn new(per_second: u32) -> TokenBucket {
         let now = Instant::now();
-        Rate {
+        TokenBucket {
             per_second: f64::from(per_second),
-            left: f64::from(per_second),
-            at: now,
-            second: now,
+            tokens: f64::from(per_second),
+            refilled_at: now,
+            second_start: now,
             in_second: 0,
             peak: 0,
         }
@@ -32,19 +32,19 @@
     pub(super) fn take(&mut self) -> bool {
         let now = Instant::now();
         self.count(now);
-        let earned = (now - self.at).as_secs_f64() * self.per_second;
-        self.left = (self.left + earned).min(self.per_second);
-        self.at = now;
-        if self.left < 1.0 {
+        let earned = (now - self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + earned).min(self.per_second);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
     fn count(&mut self, now: Instant) {
-        if (now - self.second).as_secs() >= 1 {
-            self.second = now;
+        if (now - self.second_start).as_secs() >= 1 {
+            self.second_start = now;
             self.in_second = 0;
         }
         self.in_second += 1;
--- a/crates/kelpworks-fakes/src/plain_service.rs
+++ b/crates/kelpworks-fakes/src/plain_service.rs
@@ -19,7 +19,7 @@
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use crate::server::read_body;
@@ -105,7 +105,7 @@
             .push(Router::with_path("healthz").get(get_healthz))
             .push(Router::with_path("fake/ledger").get(get_ledger))
             .push(Router::with_path("fake/leaving").post(post_leaving))
-            .push(Router::with_path("{**rest}").goal(any_call));
+            .push(Router::with_path("{**rest}").goal(execute_call));
         let server = port.serve(Faults::default(), shared.clone(), router)?;
         Ok(PlainService { shared, server })
     }
@@ -149,7 +149,7 @@
 
     /// Closes its port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
     /// Stops it; the same as dropping it.
@@ -157,36 +157,42 @@
 }
 
 #[handler]
-async fn get_healthz(depot: &mut Depot) -> Answer {
+async fn get_healthz(depot: &mut Depot) -> HttpResponse {
     let service = state::<Arc<Shared>>(depot);
     match service.leaving.load(Ordering::Acquire) {
-        true => Answer::text(StatusCode::SERVICE_UNAVAILABLE, "leaving".to_owned()),
-        false => Answer::text(StatusCode::OK, "ok".to_owned()),
+        true => HttpResponse::text(StatusCode::SERVICE_UNAVAILABLE, "leaving".to_owned()),
+        false => HttpResponse::text(StatusCode::OK, "ok".to_owned()),
     }
 }
 
 #[handler]
-async fn get_ledger(depot: &mut Depot) -> Answer {
-    Answer::json(&*lock(&state::<Arc<Shared>>(depot).ledger))
+async fn get_ledger(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&*lock(&state::<Arc<Shared>>(depot).ledger))
 }
 
 #[handler]
-async fn post_leaving(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn post_leaving(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let leaving = read_json(req).await?;
     let service = state::<Arc<Shared>>(depot);
     service.leaving.store(leaving, Ordering::Release);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 #[handler]
-async fn any_call(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn execute_call(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let service = state::<Arc<Shared>>(depot);
     let body = read_body(req).await?;
     let execution = service.execute(req, &body);
     if !service.cfg.latency.is_zero() {
         tokio::time::sleep(service.cfg.latency).await;
     }
-    Ok(Answer::json(&execution))
+    Ok(HttpResponse::json(&execution))
 }
 
 impl Shared {
--- a/crates/kelpworks-fakes/src/server.rs
+++ b/crates/kelpworks-fakes/src/server.rs
@@ -35,7 +35,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::error::Result;
-use crate::fault::ConnectionVerdict;
+use crate::fault::ConnectionAction;
 use crate::fault::FaultKind;
 use crate::fault::FaultUpdate;
 use crate::fault::Faults;
@@ -45,22 +45,22 @@
 /// Connections that wait to be accepted, at most.
 const BACKLOG: u32 = 1024;
 /// Time between the first half of a cut body and the close.
-const CUT_PAUSE: Duration = Duration::from_millis(5);
+const CUT_DELAY: Duration = Duration::from_millis(5);
 
 /// A running server; dropping it closes its port and its connections.
 #[derive(Debug)]
 pub(crate) struct Server {
     addr: SocketAddr,
     faults: Faults,
-    power: Power,
+    listen_switch: ListenSwitch,
     _task: AbortOnDropHandle<()>,
 }
 
 /// Switch of a server; clones share it.
 #[derive(Clone, Debug)]
-pub(crate) struct Power(Arc<watch::Sender<bool>>);
+pub(crate) struct ListenSwitch(Arc<watch::Sender<bool>>);
 
-impl Power {
+impl ListenSwitch {
     /// Opens the port, or closes it and all connections.
     pub(crate) fn set_listening(&self, listening: bool) {
         self.0.send_replace(listening);
@@ -71,18 +71,21 @@
 #[derive(Debug)]
 pub(crate) struct Port {
     /// Bound, never listening: it keeps the port while the server is down.
-    keeper: TcpSocket,
+    reserved_socket: TcpSocket,
     addr: SocketAddr,
 }
 
 impl Port {
     /// Binds this loopback port; 0 takes a free one.
     pub(crate) fn bind(port: u16) -> Result<Port> {
-        let keeper = TcpSocket::new_v4()?;
-        keeper.set_reuseaddr(true)?;
-        keeper.bind(SocketAddr::from(([127, 0, 0, 1], port)))?;
-        let addr = keeper.local_addr()?;
-        Ok(Port { keeper, addr })
+        let reserved_socket = TcpSocket::new_v4()?;
+        reserved_socket.set_reuseaddr(true)?;
+        reserved_socket.bind(SocketAddr::from(([127, 0, 0, 1], port)))?;
+        let addr = reserved_socket.local_addr()?;
+        Ok(Port {
+            reserved_socket,
+            addr,
+        })
     }
 
     pub(crate) fn url(&self) -> String {
@@ -94,17 +97,17 @@
     where
         S: Send + Sync + 'static,
     {
-        let gate = Gate {
+        let injector = FaultInjector {
             faults: faults.clone(),
             state,
         };
         let common = Router::with_path("fake/faults")
             .get(get_faults)
             .post(post_faults);
-        let router = Router::new().hoop(gate).push(common).push(router);
+        let router = Router::new().hoop(injector).push(common).push(router);
         let addr = self.addr;
-        let power = Power(Arc::new(watch::Sender::new(true)));
-        let rx = power.0.subscribe();
+        let listen_switch = ListenSwitch(Arc::new(watch::Sender::new(true)));
+        let rx = listen_switch.0.subscribe();
         let acceptor = listen(addr)?;
         let runner = Runner {
             port: self,
@@ -116,7 +119,7 @@
         Ok(Server {
             addr,
             faults,
-            power,
+            listen_switch,
             _task: AbortOnDropHandle::new(task),
         })
     }
@@ -135,8 +138,8 @@
         &self.faults
     }
 
-    pub(crate) fn power(&self) -> &Power {
-        &self.power
+    pub(crate) fn listen_switch(&self) -> &ListenSwitch {
+        &self.listen_switch
     }
 }
 
@@ -165,7 +168,7 @@
                 Ok(again) => acceptor = Some(again),
                 Err(e) => {
                     log::error!("stand-in cannot listen on {} again: {e}", self.port.addr);
-                    drop(self.port.keeper);
+                    drop(self.port.reserved_socket);
                     return;
                 }
             }
@@ -195,13 +198,13 @@
 }
 
 /// The first handler of each request: puts the state in the depot and shows transport faults.
-struct Gate<S> {
+struct FaultInjector<S> {
     faults: Faults,
     state: Arc<S>,
 }
 
 #[async_trait]
-impl<S: Send + Sync + 'static> Handler for Gate<S> {
+impl<S: Send + Sync + 'static> Handler for FaultInjector<S> {
     async fn handle(
         &self,
         req: &mut Request,
@@ -215,16 +218,19 @@
             ctrl.call_next(req, depot, res).await;
             return;
         }
-        match self.faults.verdict(req.remote_addr().port().unwrap_or(0)) {
-            ConnectionVerdict::Pass => {}
-            ConnectionVerdict::Close => return close(req).await,
-            ConnectionVerdict::Silent => return pending().await,
+        match self
+            .faults
+            .connection_action(req.remote_addr().port().unwrap_or(0))
+        {
+            ConnectionAction::Pass => {}
+            ConnectionAction::Close => return close(req).await,
+            ConnectionAction::Silent => return pending().await,
         }
         let method = req.method().as_str();
         let fault = self.faults.take_transport(method, req.uri().path());
-        if before(fault.as_ref(), req, res).await {
+        if inject_before(fault.as_ref(), req, res).await {
             ctrl.call_next(req, depot, res).await;
-            after(fault, req, res).await;
+            inject_after(fault, req, res).await;
         } else {
             ctrl.skip_rest();
         }
@@ -232,7 +238,7 @@
 }
 
 /// Shows a fault that comes before the run; false when the request is not to run.
-async fn before(fault: Option<&FaultKind>, req: &mut Request, res: &mut Response) -> bool {
+async fn inject_before(fault: Option<&FaultKind>, req: &mut Request, res: &mut Response) -> bool {
     match fault {
         Some(FaultKind::ResetBefore) => close(req).await,
         Some(FaultKind::SilentBefore) => {
@@ -251,7 +257,7 @@
 }
 
 /// Shows a fault that comes after the run.
-async fn after(fault: Option<FaultKind>, req: &mut Request, res: &mut Response) {
+async fn inject_after(fault: Option<FaultKind>, req: &mut Request, res: &mut Response) {
     match fault {
         Some(FaultKind::ResetAfter) => close(req).await,
         Some(FaultKind::SilentAfter) => pending().await,
@@ -286,7 +292,7 @@
         match left {
             Some(half) => Some((Ok(half), None)),
             None => {
-                tokio::time::sleep(CUT_PAUSE).await;
+                tokio::time::sleep(CUT_DELAY).await;
                 Some((Err(io::Error::other("cut")), None))
             }
         }
@@ -295,16 +301,16 @@
 }
 
 #[handler]
-async fn get_faults(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<Faults>(depot).list())
+async fn get_faults(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<Faults>(depot).list())
 }
 
 #[handler]
-async fn post_faults(req: &mut Request, depot: &mut Depot) -> Answer {
+async fn post_faults(req: &mut Request, depot: &mut Depot) -> HttpResponse {
     match read_json::<FaultUpdate>(req).await {
         Ok(order) => {
             state::<Faults>(depot).apply(order);
-            Answer::empty(StatusCode::NO_CONTENT)
+            HttpResponse::empty(StatusCode::NO_CONTENT)
         }
         Err(bad) => bad,
     }
@@ -323,57 +329,61 @@
 /// Reads a JSON body; the error is the answer to give.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     req: &mut Request,
-) -> std::result::Result<T, Answer> {
+) -> std::result::Result<T, HttpResponse> {
     let body = read_body(req).await?;
-    serde_json::from_slice(&body).map_err(|e| Answer::text(StatusCode::BAD_REQUEST, e.to_string()))
+    serde_json::from_slice(&body)
+        .map_err(|e| HttpResponse::text(StatusCode::BAD_REQUEST, e.to_string()))
 }
 
 /// Reads a whole body; the error is the answer to give.
-pub(crate) async fn read_body(req: &mut Request) -> std::result::Result<Bytes, Answer> {
+pub(crate) async fn read_body(req: &mut Request) -> std::result::Result<Bytes, HttpResponse> {
     match req.payload_with_max_size(MAX_BODY).await {
         Ok(body) => Ok(body.clone()),
-        Err(e) => Err(Answer::text(StatusCode::PAYLOAD_TOO_LARGE, e.to_string())),
+        Err(e) => Err(HttpResponse::text(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            e.to_string(),
+        )),
     }
 }
 
 /// A whole answer of a stand-in.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct HttpResponse {
     status: StatusCode,
     content_type: &'static str,
     body: Bytes,
 }
 
-impl Answer {
-    pub(crate) fn empty(status: StatusCode) -> Answer {
-        Answer::text(status, String::new())
+impl HttpResponse {
+    pub(crate) fn empty(status: StatusCode) -> HttpResponse {
+        HttpResponse::text(status, String::new())
     }
 
-    pub(crate) fn text(status: StatusCode, text: String) -> Answer {
-        Answer {
+    pub(crate) fn text(status: StatusCode, text: String) -> HttpResponse {
+        HttpResponse {
             status,
             content_type: "text/plain",
             body: text.into(),
         }
     }
 
-    pub(crate) fn json<T: Serialize>(value: &T) -> Answer {
-        Answer::json_with(StatusCode::OK, value)
+    pub(crate) fn json<T: Serialize>(value: &T) -> HttpResponse {
+        HttpResponse::json_with(StatusCode::OK, value)
     }
 
-    pub(crate) fn json_with<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+    pub(crate) fn json_with<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
         match serde_json::to_vec(value) {
-            Ok(body) => Answer {
+            Ok(body) => HttpResponse {
                 status,
                 content_type: "application/json",
                 body: body.into(),
             },
-            Err(e) => Answer::text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
+            Err(e) => HttpResponse::text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         }
     }
 }
 
-impl Scribe for Answer {
+impl Scribe for HttpResponse {
     fn render(self, res: &mut Response) {
         res.status_code(self.status);
         let content_type = HeaderValue::from_static(self.content_type);
--- a/crates/kelpworks-fakes/src/weight_store.rs
+++ b/crates/kelpworks-fakes/src/weight_store.rs
@@ -15,7 +15,7 @@
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use crate::server::state;
@@ -52,14 +52,14 @@
 #[derive(Debug)]
 struct Shared {
     cfg: WeightStoreConfig,
-    line: Mutex<Line>,
+    read_queue: Mutex<ReadQueue>,
 }
 
 /// Reads follow one another at the store's rate.
 #[derive(Debug)]
-struct Line {
+struct ReadQueue {
     /// When the last read admitted so far ends.
-    free_at: Instant,
+    idle_at: Instant,
     bytes: u64,
 }
 
@@ -71,13 +71,13 @@
     /// When the port cannot be bound.
     pub async fn spawn(cfg: WeightStoreConfig) -> Result<WeightStore> {
         let port = Port::bind(cfg.port)?;
-        let line = Line {
-            free_at: Instant::now(),
+        let read_queue = ReadQueue {
+            idle_at: Instant::now(),
             bytes: 0,
         };
         let shared = Arc::new(Shared {
             cfg,
-            line: Mutex::new(line),
+            read_queue: Mutex::new(read_queue),
         });
         let router = Router::with_path("weights/{model}/{version}").get(get_weights);
         let server = port.serve(Faults::default(), shared.clone(), router)?;
@@ -96,7 +96,7 @@
 
     /// Bytes asked for so far.
     pub fn bytes(&self) -> u64 {
-        lock(&self.shared.line).bytes
+        lock(&self.shared.read_queue).bytes
     }
 
     /// Stops it; the same as dropping it.
@@ -107,26 +107,29 @@
     /// Queues a read; returns when it ends.
     fn reserve(&self, bytes: u64) -> Instant {
         let takes = Duration::from_secs_f64(bytes as f64 / self.cfg.bytes_per_second);
-        let mut line = lock(&self.line);
-        line.bytes += bytes;
-        line.free_at = line.free_at.max(Instant::now()) + takes;
-        line.free_at
+        let mut read_queue = lock(&self.read_queue);
+        read_queue.bytes += bytes;
+        read_queue.idle_at = read_queue.idle_at.max(Instant::now()) + takes;
+        read_queue.idle_at
     }
 }
 
 #[handler]
-async fn get_weights(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn get_weights(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let store = state::<Arc<Shared>>(depot);
     let first: u32 = req.query("first").unwrap_or(0);
     let end: u32 = req.query("end").unwrap_or(0);
     if first >= end {
         let why = format!("layers {first}..{end}");
-        return Err(Answer::text(StatusCode::BAD_REQUEST, why));
+        return Err(HttpResponse::text(StatusCode::BAD_REQUEST, why));
     }
     let bytes = u64::from(end - first) * store.cfg.layer_bytes;
     tokio::time::sleep_until(store.reserve(bytes)).await;
     let named = format!("{}?{first}..{end}", req.uri().path());
-    Ok(Answer::json(&WeightsReply {
+    Ok(HttpResponse::json(&WeightsReply {
         bytes,
         digest: format!("{:016x}", xxh3_64(named.as_bytes())),
     }))
--- a/crates/kelpworks-fakes/src/weight_store/tests.rs
+++ b/crates/kelpworks-fakes/src/weight_store/tests.rs
@@ -6,7 +6,7 @@
 use super::WeightStoreConfig;
 
 #[tokio::test(start_paused = true)]
-async fn readers_share_the_rate() {
+async fn reads_share_the_bandwidth() {
     let cfg = WeightStoreConfig {
         bytes_per_second: 1000.0,
         ..WeightStoreConfig::default()
--- a/crates/kelpworks-fakes/tests/engine.rs
+++ b/crates/kelpworks-fakes/tests/engine.rs
@@ -60,7 +60,7 @@
 #[case::handle(OutputForm::Handle, 64)]
 #[case::handle_in_chunks(OutputForm::Handle, 5)]
 #[tokio::test]
-async fn a_pipeline_answers_as_the_model(#[case] output: OutputForm, #[case] chunk: usize) {
+async fn pipeline_output_equals_model_answer(#[case] output: OutputForm, #[case] chunk: usize) {
     let cfg = FleetConfig::pipeline(&model(), 3, 1);
     let fleet = FakeFleet::spawn(cfg).await.unwrap();
     let prompt = tokenize(b"a red chair");
@@ -77,17 +77,17 @@
 #[case::next(later(3), None)]
 #[case::gap(later(4), Some((RefusalReason::PositionGap, 3)))]
 #[case::repeated(later(2), Some((RefusalReason::PositionGap, 3)))]
-#[case::begun_again(step(vec![1_u32]), Some((RefusalReason::PositionGap, 3)))]
+#[case::restarted_at_position_0(step(vec![1_u32]), Some((RefusalReason::PositionGap, 3)))]
 #[case::new_attempt(Step { attempt: 2, ..step(vec![1_u32]) }, None)]
 #[case::unknown_session(
     Step { session: "t".to_owned(), ..later(3) },
     Some((RefusalReason::PositionGap, 0))
 )]
-#[case::other_cut(
+#[case::other_layer_split(
     Step { layers: layers(0, 4), ..later(3) },
     Some((RefusalReason::WrongLayers, 0))
 )]
-#[case::not_held(
+#[case::not_loaded(
     Step { layers: layers(2, 6), ..step(vec![1_u64]) },
     Some((RefusalReason::WrongLayers, 0))
 )]
@@ -113,11 +113,11 @@
 )]
 #[case::no_input(Step { position: 3, ..step(Vec::<u32>::new()) }, Some((RefusalReason::Invalid, 3)))]
 #[case::missing_handle(
-    Step { layers: layers(2, 4), ..step(nowhere()) },
+    Step { layers: layers(2, 4), ..step(unreachable_handle()) },
     Some((RefusalReason::HandleMissing, 0))
 )]
 #[tokio::test]
-async fn steps_that_do_not_fit_are_refused(
+async fn mismatched_step_is_refused_with_reason(
     #[case] step: Step,
     #[case] refused: Option<(RefusalReason, u32)>,
 ) {
@@ -132,7 +132,7 @@
     assert_eq!(engine.ledger().totals().runs, ran);
 }
 
-fn nowhere() -> StepInput {
+fn unreachable_handle() -> StepInput {
     StepInput::Handle(HandleRef {
         upstream: "http://127.0.0.1:9".to_owned(),
         handle: "s/1/0/0".to_owned(),
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn full_kv_cache_is_busy() {
+async fn step_beyond_kv_capacity_is_answered_busy() {
     let engine = used_engine().await;
     let big = Step {
         session: "t".to_owned(),
@@ -153,23 +153,23 @@
 }
 
 #[tokio::test]
-async fn draining_refuses_new_sessions_only() {
+async fn draining_engine_refuses_only_new_sessions() {
     let engine = used_engine().await;
     let drain = post(&engine.url(), "/fake/draining", &true).await.unwrap();
     assert_eq!(drain.status(), StatusCode::NO_CONTENT);
     assert!(matches!(run(&engine, later(3)).await, StepOutcome::Rows(_)));
-    let fresh = Step {
+    let new_session = Step {
         session: "t".to_owned(),
         ..step(vec![1_u32])
     };
-    let StepOutcome::Refused(refused) = run(&engine, fresh).await else {
+    let StepOutcome::Refused(refused) = run(&engine, new_session).await else {
         panic!("a draining engine took a new session");
     };
     assert_eq!(refused.reason, RefusalReason::Draining);
 }
 
 #[tokio::test]
-async fn cancel_frees_and_late_steps_do_not_run() {
+async fn cancel_frees_kv_cache_and_refuses_late_steps() {
     let engine = used_engine().await;
     let req = CancelRequest {
         session: "s".to_owned(),
@@ -187,14 +187,18 @@
 
 #[rstest]
 #[case::whole_history("s/1/0/0", 3, true)]
-#[case::from_the_middle("s/1/0/1", 2, true)]
+#[case::partial_history("s/1/0/1", 2, true)]
 #[case::not_yet_run("s/1/0/1", 3, false)]
 #[case::other_attempt("s/2/0/0", 3, false)]
 #[case::other_session("t/1/0/0", 3, false)]
 #[case::other_layer("s/1/2/0", 3, false)]
 #[case::no_handle("s", 1, false)]
 #[tokio::test]
-async fn rows_are_kept_by_position(#[case] handle: &str, #[case] count: u32, #[case] kept: bool) {
+async fn activations_are_served_by_position(
+    #[case] handle: &str,
+    #[case] count: u32,
+    #[case] kept: bool,
+) {
     let engine = used_engine().await;
     let wanted = ActivationRequest {
         handle: handle.to_owned(),
@@ -210,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn rows_are_kept_within_a_bound() {
+async fn rows_beyond_retain_limit_are_dropped() {
     let mut cfg = EngineConfig::new("e", vec![model()]);
     cfg.load("caption", 0..4);
     cfg.retain = 2;
@@ -225,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn an_unreachable_engine_keeps_its_sessions() {
+async fn engine_keeps_sessions_while_port_is_closed() {
     let engine = used_engine().await;
     engine.set_listening(false);
     while try_steps(&engine.url(), Vec::new()).await.is_ok() {}
@@ -235,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn an_imported_cache_goes_on_where_the_export_stopped() {
+async fn imported_kv_cache_continues_exported_session() {
     let (source, target) = (used_engine().await, used_engine().await);
     let wanted = KvExportRequest {
         session: "s".to_owned(),
@@ -275,7 +279,7 @@
 #[case::checks(true, OrderReply::Stale(7), 2)]
 #[case::ignores(false, OrderReply::Accepted(6), 1)]
 #[tokio::test]
-async fn old_fencing_tokens(
+async fn stale_fencing_token_is_refused_only_when_checked(
     #[case] checks_fencing: bool,
     #[case] wanted: OrderReply,
     #[case] ranges: usize,
@@ -289,12 +293,15 @@
     let engine = Engine::spawn(cfg).await.unwrap();
     let load = OrderAction::Load(range("2", 2, 6));
     let unload = OrderAction::Unload(range("1", 0, 4));
-    assert_eq!(give(&engine, order(7, load)).await, OrderReply::Accepted(7));
+    assert_eq!(
+        send_order(&engine, order(7, load)).await,
+        OrderReply::Accepted(7)
+    );
     while !engine.state().loading.is_empty() {
         tokio::task::yield_now().await;
     }
     assert_eq!(store.bytes(), 4_000_000);
-    assert_eq!(give(&engine, order(6, unload)).await, wanted);
+    assert_eq!(send_order(&engine, order(6, unload)).await, wanted);
     assert_eq!(engine.state().loaded.len(), ranges);
     assert_eq!(engine.state().highest_fence, 7);
     let stale: Vec<bool> = engine
@@ -306,7 +313,7 @@
     assert_eq!(stale, [false, true]);
 }
 
-async fn give(engine: &Engine, order: EngineOrder) -> OrderReply {
+async fn send_order(engine: &Engine, order: EngineOrder) -> OrderReply {
     let res = post(&engine.url(), "/v1/orders", &order).await;
     res.unwrap().json().await.unwrap()
 }
@@ -317,26 +324,26 @@
 #[case::out_of_memory(OrderAction::Load(range("2", 0, 3)))]
 #[case::unknown_role(OrderAction::Role("cook".to_owned()))]
 #[tokio::test]
-async fn orders_that_cannot_be_carried_out(#[case] action: OrderAction) {
+async fn infeasible_order_is_refused(#[case] action: OrderAction) {
     let mut cfg = EngineConfig::new("e", vec![model()]);
     cfg.load("caption", 0..4);
     cfg.max_layers = 6;
     let engine = Engine::spawn(cfg).await.unwrap();
-    let reply = give(&engine, order(1, action)).await;
+    let reply = send_order(&engine, order(1, action)).await;
     assert!(matches!(reply, OrderReply::Refused(_)), "{reply:?}");
     assert_eq!(engine.state().loaded, [range("1", 0, 4)]);
 }
 
 #[tokio::test]
-async fn unloading_ends_the_sessions_on_the_range() {
+async fn unload_drops_sessions_on_the_range() {
     let engine = used_engine().await;
     let unload = OrderAction::Unload(range("1", 0, 4));
-    give(&engine, order(1, unload)).await;
+    send_order(&engine, order(1, unload)).await;
     assert_eq!((engine.sessions(), engine.kv_free()), (0, 100));
 }
 
 #[tokio::test]
-async fn an_unknown_range_does_not_start() {
+async fn spawn_fails_when_loaded_range_exceeds_model() {
     let mut cfg = EngineConfig::new("e", vec![Model::new("caption", "1", 2)]);
     cfg.load("caption", 0..4);
     assert!(Engine::spawn(cfg).await.is_err());
--- a/crates/kelpworks-fakes/tests/faults.rs
+++ b/crates/kelpworks-fakes/tests/faults.rs
@@ -17,8 +17,8 @@
 use kelpworks_wire::StepReply;
 use support::get;
 use support::model;
-use support::patience;
 use support::post;
+use support::reply_timeout;
 use support::run;
 use support::step;
 use support::try_steps;
@@ -31,12 +31,12 @@
 }
 
 /// What the caller of one step sees.
-async fn seen(engine: &Engine, step: Step, wait: Duration) -> String {
+async fn observe(engine: &Engine, step: Step, wait: Duration) -> String {
     let url = engine.url();
     let call = try_steps(&url, vec![step]);
     match tokio::time::timeout(wait, call).await {
         Err(_) => "silence".to_owned(),
-        Ok(Ok(replies)) => shape(&replies[0]),
+        Ok(Ok(replies)) => describe(&replies[0]),
         Ok(Err(e)) => match e.status() {
             Some(status) => status.as_u16().to_string(),
             None => "connection lost".to_owned(),
@@ -44,7 +44,7 @@
     }
 }
 
-fn shape(reply: &StepReply) -> String {
+fn describe(reply: &StepReply) -> String {
     let StepReply {
         session,
         position,
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn each_fault_as_the_caller_sees_it() {
+async fn fault_kind_determines_reply_and_execution() {
     let kinds = [
         FaultKind::ResetBefore,
         FaultKind::ResetAfter,
@@ -90,7 +90,7 @@
             .faults()
             .add(Fault::once(kind.clone()).on("/v1/steps"));
         let silent = matches!(kind, FaultKind::SilentBefore | FaultKind::SilentAfter);
-        let seen = seen(&engine, step(vec![1, 2_u32]), patience(!silent)).await;
+        let seen = observe(&engine, step(vec![1, 2_u32]), reply_timeout(!silent)).await;
         let ran = !engine.ledger().runs_of("s").is_empty();
         assert_eq!(engine.faults().list(), []);
         table += &format!(
@@ -107,7 +107,11 @@
 #[case::existing_are_silent(ConnectionMode::SilenceExisting, false, true)]
 #[case::all_are_silent(ConnectionMode::SilenceAll, false, false)]
 #[tokio::test]
-async fn connections(#[case] mode: ConnectionMode, #[case] old: bool, #[case] new: bool) {
+async fn connection_mode_applies_to_existing_and_new_connections(
+    #[case] mode: ConnectionMode,
+    #[case] old: bool,
+    #[case] new: bool,
+) {
     let engine = engine().await;
     let url = format!("{}/v1/state", engine.url());
     let kept = support::client();
@@ -119,7 +123,7 @@
     let res = post(&engine.url(), "/fake/faults", &order).await.unwrap();
     assert_eq!(res.status(), StatusCode::NO_CONTENT);
     for (client, wanted) in [(kept, old), (support::client(), new)] {
-        let call = tokio::time::timeout(patience(wanted), client.get(&url).send());
+        let call = tokio::time::timeout(reply_timeout(wanted), client.get(&url).send());
         assert_eq!(matches!(call.await, Ok(Ok(_))), wanted);
     }
 }
@@ -127,9 +131,9 @@
 #[rstest]
 #[case::other_path("/v1/state", None, "rows")]
 #[case::other_method("GET /v1/steps", None, "rows")]
-#[case::right_method("POST /v1/steps", Some(2), "503")]
+#[case::matching_method("POST /v1/steps", Some(2), "503")]
 #[tokio::test]
-async fn faults_strike_where_told(
+async fn fault_applies_only_to_matching_method_and_path(
     #[case] matches: &str,
     #[case] left: Option<u32>,
     #[case] wanted: &str,
@@ -141,14 +145,14 @@
         ..FaultUpdate::default()
     };
     post(&engine.url(), "/fake/faults", &order).await.unwrap();
-    let seen = seen(&engine, step(vec![1_u32]), patience(true)).await;
+    let seen = observe(&engine, step(vec![1_u32]), reply_timeout(true)).await;
     assert!(seen.starts_with(wanted), "{seen}");
     let listed: Vec<Fault> = get(&engine.url(), "/fake/faults").await;
     assert_eq!(listed, [fault.clone().times(left.unwrap_or(3))]);
 }
 
 #[tokio::test]
-async fn poison_crashes_and_the_engine_comes_back_empty() {
+async fn poison_prompt_crashes_engine_and_restart_loses_sessions() {
     let engine = engine().await;
     run(&engine, step(vec![1_u32])).await;
     let before = engine.state().incarnation;
@@ -157,7 +161,7 @@
         ..step(kelpworks_fakes::tokenize(b"a poison pill"))
     };
     assert_eq!(
-        seen(&engine, poison, patience(true)).await,
+        observe(&engine, poison, reply_timeout(true)).await,
         "connection lost"
     );
     assert_eq!(engine.sessions(), 0);
--- a/crates/kelpworks-fakes/tests/model.rs
+++ b/crates/kelpworks-fakes/tests/model.rs
@@ -34,13 +34,13 @@
 
 proptest! {
     #[test]
-    fn every_cut_gives_the_same_row(prompt in proptest::collection::vec(1_u32..257, 1..20), cut in 1..LAYERS) {
+    fn row_is_independent_of_layer_split(prompt in proptest::collection::vec(1_u32..257, 1..20), cut in 1..LAYERS) {
         let whole = row_through(WHOLE, &prompt);
         prop_assert_eq!(row_through(&[0..cut, cut..LAYERS], &prompt), whole);
     }
 
     #[test]
-    fn a_wrong_lineage_changes_the_row(bytes in any::<[u8; 4]>(), at in 0..3_u32) {
+    fn wrong_layer_sequence_or_prompt_changes_the_row(bytes in any::<[u8; 4]>(), at in 0..3_u32) {
         let prompt = tokenize(&bytes);
         let whole = row_through(WHOLE, &prompt);
         prop_assert_ne!(row_through(&[0..at, at + 1..LAYERS], &prompt), whole);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_answer_is_fixed() {
+fn answer_is_deterministic() {
     let answer = Model::new("caption", "1", LAYERS).answer_text("a red chair", 6);
     insta::assert_snapshot!(answer);
     assert_eq!(token_text(0x0a1), " 0a1");
--- a/crates/kelpworks-fakes/tests/object_api.rs
+++ b/crates/kelpworks-fakes/tests/object_api.rs
@@ -18,7 +18,7 @@
 use kelpworks_wire::WatchReply;
 use support::client;
 use support::get;
-use support::patience;
+use support::reply_timeout;
 
 async fn api() -> ObjectApi {
     ObjectApi::spawn(ObjectApiConfig::default()).await.unwrap()
@@ -26,7 +26,7 @@
 
 /// The status and body of a call that is answered or loses its connection.
 async fn call(api: &ObjectApi, method: Method, path: &str, body: &str) -> String {
-    call_for(api, method, path, body, patience(true)).await
+    call_for(api, method, path, body, reply_timeout(true)).await
 }
 
 async fn call_for(
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn reads_writes_and_watches() {
+async fn conditional_writes_and_watches_follow_versions() {
     let calls = [
         (Method::GET, "/objects/head/current", ""),
         (Method::PUT, "/objects/head/current?if_version=1", "a"),
@@ -93,7 +93,7 @@
 #[case::silent_after(FaultKind::SilentAfter, "silence", "new")]
 #[case::unavailable(FaultKind::Status(503), "503", "old")]
 #[tokio::test]
-async fn a_write_and_its_reply_fail_apart(
+async fn write_takes_effect_independently_of_its_reply(
     #[case] kind: FaultKind,
     #[case] seen: &str,
     #[case] left: &str,
@@ -101,7 +101,7 @@
     let api = api().await;
     api.put("head", "current", "old");
     api.faults().add(Fault::once(kind).on("PUT /objects/head"));
-    let wait = patience(seen != "silence");
+    let wait = reply_timeout(seen != "silence");
     let got = call_for(&api, Method::PUT, "/objects/head/current", "new", wait).await;
     assert!(got.starts_with(seen), "{got}");
     assert_eq!(api.get("head", "current").unwrap().body, left);
@@ -111,9 +111,9 @@
 #[case::unavailable(ApiMode::Unavailable, "503")]
 #[case::silent(ApiMode::Silent, "silence")]
 #[tokio::test]
-async fn outages_reach_calls_and_waiting_watches(#[case] mode: ApiMode, #[case] seen: &str) {
+async fn outage_affects_calls_and_pending_watches(#[case] mode: ApiMode, #[case] seen: &str) {
     let api = api().await;
-    let wait = patience(mode != ApiMode::Silent);
+    let wait = reply_timeout(mode != ApiMode::Silent);
     let path = "/watch/head?from=0&wait_ms=600000";
     let mut watching = pin!(call(&api, Method::GET, path, ""));
     let outage = async {
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_closed_port_opens_again_with_its_objects() {
+async fn objects_survive_closing_and_reopening_the_port() {
     let api = api().await;
     api.put("head", "current", "a");
     api.set_listening(false);
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn a_waiting_watch_sees_the_next_change() {
+async fn pending_watch_returns_next_change_of_its_kind() {
     let api = api().await;
     api.put("lease", "x", "a");
     let url = api.url();
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn stale_reads_and_expired_versions() {
+async fn stale_read_and_expired_version_faults_apply_once() {
     let cfg = ObjectApiConfig {
         history: 1,
         ..ObjectApiConfig::default()
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn rates_and_sizes_are_bounded() {
+async fn calls_over_rate_and_oversized_bodies_are_refused() {
     let cfg = ObjectApiConfig {
         reads_per_second: 1,
         max_body: 10,
--- a/crates/kelpworks-fakes/tests/platform.rs
+++ b/crates/kelpworks-fakes/tests/platform.rs
@@ -22,8 +22,8 @@
 use kelpworks_wire::HostState;
 use support::client;
 use support::get;
-use support::patience;
 use support::post;
+use support::reply_timeout;
 
 fn host(name: &str) -> HostEntry {
     HostEntry {
@@ -38,7 +38,7 @@
 #[case::at_once(Duration::ZERO, true)]
 #[case::late(Duration::from_secs(3600), false)]
 #[tokio::test]
-async fn host_lists_lag(#[case] lag: Duration, #[case] shown: bool) {
+async fn host_list_change_is_visible_after_lag(#[case] lag: Duration, #[case] shown: bool) {
     let cfg = HostListConfig {
         lag,
         hosts: vec![host("a"), host("b")],
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn services_note_each_execution() {
+async fn plain_service_ledger_records_each_execution() {
     let service = service().await;
     let first = issue(&service, "k").await.unwrap();
     let _: Execution = get(&service.url(), "/jobs/7").await;
@@ -89,7 +89,7 @@
 #[case::status(FaultKind::Status(500), 0)]
 #[case::status_after(FaultKind::StatusAfter(500), 1)]
 #[tokio::test]
-async fn failed_calls_may_have_run(#[case] kind: FaultKind, #[case] runs: usize) {
+async fn ledger_shows_whether_failed_call_ran(#[case] kind: FaultKind, #[case] runs: usize) {
     let service = service().await;
     service.faults().add(Fault::once(kind).on("/certificates"));
     assert!(issue(&service, "k").await.is_err());
@@ -100,7 +100,7 @@
 #[case::staying(false, StatusCode::OK)]
 #[case::leaving(true, StatusCode::SERVICE_UNAVAILABLE)]
 #[tokio::test]
-async fn healthz_tells_of_leaving(#[case] leaving: bool, #[case] wanted: StatusCode) {
+async fn healthz_is_unavailable_while_leaving(#[case] leaving: bool, #[case] wanted: StatusCode) {
     let service = service().await;
     post(&service.url(), "/fake/leaving", &leaving)
         .await
@@ -113,7 +113,7 @@
 async fn answered(client: &Client, url: &str, wanted: bool) -> bool {
     let call = async { client.get(url).send().await?.bytes().await };
     matches!(
-        tokio::time::timeout(patience(wanted), call).await,
+        tokio::time::timeout(reply_timeout(wanted), call).await,
         Ok(Ok(_))
     )
 }
@@ -127,7 +127,11 @@
 #[case::silence_back(LinkState::SilenceBack, false, false)]
 #[case::delay(LinkState::Delay(Duration::from_millis(1)), true, true)]
 #[tokio::test]
-async fn links(#[case] state: LinkState, #[case] old: bool, #[case] new: bool) {
+async fn link_state_applies_to_existing_and_new_connections(
+    #[case] state: LinkState,
+    #[case] old: bool,
+    #[case] new: bool,
+) {
     let service = service().await;
     let link = Link::spawn(service.addr()).await.unwrap();
     let url = format!("{}/jobs/1", link.url());
@@ -147,7 +151,7 @@
 #[case::forward(LinkState::SilenceForward, 0)]
 #[case::back(LinkState::SilenceBack, 1)]
 #[tokio::test]
-async fn a_link_can_fail_one_way(#[case] state: LinkState, #[case] runs: usize) {
+async fn link_silences_one_direction(#[case] state: LinkState, #[case] runs: usize) {
     let service = service().await;
     let link = Link::spawn(service.addr()).await.unwrap();
     link.set(state);
--- a/crates/kelpworks-fakes/tests/support/mod.rs
+++ b/crates/kelpworks-fakes/tests/support/mod.rs
@@ -25,8 +25,8 @@
 use kelpworks_wire::StepReply;
 
 /// Longest wait for an answer that is to come; for one that is not to come, long enough to tell.
-pub(crate) fn patience(comes: bool) -> Duration {
-    match comes {
+pub(crate) fn reply_timeout(expected: bool) -> Duration {
+    match expected {
         true => Duration::from_secs(60),
         false => Duration::from_millis(300),
     }
--- a/crates/kelpworks-wire/tests/wire_types.rs
+++ b/crates/kelpworks-wire/tests/wire_types.rs
@@ -34,14 +34,14 @@
     read: fn(&[u8]) -> serde_json::Result<Value>,
 }
 
-fn through<T: DeserializeOwned + Serialize>(json: &[u8]) -> serde_json::Result<Value> {
+fn round_trip<T: DeserializeOwned + Serialize>(json: &[u8]) -> serde_json::Result<Value> {
     let value: T = serde_json::from_slice(json)?;
     serde_json::to_value(&value)
 }
 
 macro_rules! wire_types {
     ($($name:ident),+ $(,)?) => {
-        &[$(WireType { name: stringify!($name), read: through::<wire::$name> }),+]
+        &[$(WireType { name: stringify!($name), read: round_trip::<wire::$name> }),+]
     };
 }
 
@@ -238,7 +238,7 @@
     #![proptest_config(ProptestConfig { cases: CASES, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn each_allowed_value_comes_back_unchanged((t, value) in typed(any_schema)) {
+    fn schema_values_round_trip_unchanged((t, value) in typed(any_schema)) {
         let back = (t.read)(value.to_string().as_bytes());
         prop_assert_eq!(back.expect(t.name), value);
     }
@@ -246,7 +246,7 @@
     /// By design: a later release of the other side may say more. What kelpworks does not know it
     /// neither keeps nor passes on.
     #[test]
-    fn an_unknown_field_is_passed_over((t, value) in typed(is_object), extra: String) {
+    fn unknown_field_is_ignored((t, value) in typed(is_object), extra: String) {
         let mut more = value.clone();
         more["x-later"] = json!({ "deep": [extra] });
         let back = (t.read)(more.to_string().as_bytes());
@@ -255,7 +255,7 @@
 
     /// A missing field is never made up.
     #[test]
-    fn a_missing_field_is_an_error((t, value) in typed(has_required), at: prop::sample::Index) {
+    fn missing_required_field_is_an_error((t, value) in typed(has_required), at: prop::sample::Index) {
         let schema = &definitions()[t.name];
         let required = schema["required"].as_array().cloned().unwrap_or_default();
         let name = at.get(&required).as_str().expect("a name");
@@ -265,7 +265,7 @@
     }
 
     #[test]
-    fn no_bytes_make_reading_panic(bytes in vec(any::<u8>(), 0..MAX_BYTES)) {
+    fn arbitrary_bytes_do_not_panic(bytes in vec(any::<u8>(), 0..MAX_BYTES)) {
         for t in TYPES {
             let _read = (t.read)(&bytes);
         }
@@ -273,7 +273,7 @@
 
     /// As above, from bytes that are almost right.
     #[test]
-    fn no_damage_makes_reading_panic(
+    fn corrupted_json_does_not_panic(
         (t, value) in typed(any_schema),
         damage in vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
         end: prop::sample::Index,
@@ -290,7 +290,7 @@
 
 /// Numbers that do not fit, floats and nesting beyond any use are errors.
 #[test]
-fn hostile_json_is_an_error() {
+fn malformed_layer_range_is_an_error() {
     let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
     for body in [
         r#"{"first": -1, "end": 8}"#,
