--- a/crates/kelpworks-fakes/src/config_files.rs
+++ b/crates/kelpworks-fakes/src/config_files.rs
@@ -1,53 +1,55 @@
-//! The register, rules and settings that fit a set of stand-ins, as TOML text.
+//! Register, rules and settings files for a [`FakeFleet`](crate::FakeFleet), as TOML text.
 
 use std::fmt::Write;
 
 use crate::fleet::FleetView;
 use crate::model::Model;
 
-/// Rate written for an engine whose speed has no limit.
+/// Layers a second written for an engine without a configured rate limit.
 const FAST_LAYER_RATE: f64 = 1e6;
 
-/// A team for a rules file.
+/// A team of a rules file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Team<'a> {
-    /// Name.
+    /// Unique name.
     pub name: &'a str,
     /// `paying` or `trial`.
     pub class: &'a str,
-    /// Weight within the class.
+    /// Share of the class relative to its other teams.
     pub weight: u32,
     /// SHA-256 of its bearer token, in hex.
     pub token_sha256: &'a str,
 }
 
-/// A call of a plain service that must run at most once.
+/// Calls to a plain service that must run at most once, as an entry of a rules file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NonIdempotentCall<'a> {
-    /// Name of the service.
+    /// Service that the calls go to.
     pub service: &'a str,
     /// HTTP method.
     pub method: &'a str,
-    /// Path prefix.
+    /// Prefix of the request path.
     pub path: &'a str,
 }
 
-/// Addresses of one daemon for a settings file; port 0 takes a free one.
+/// Name, failure domain and listen addresses of one daemon, for a settings file.
+///
+/// Addresses are `IP:port`; port 0 takes a free port.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DaemonAddresses<'a> {
-    /// Name of the daemon.
+    /// Unique name of the daemon.
     pub name: &'a str,
-    /// Failure domain.
+    /// Failure domain of the daemon's host.
     pub failure_domain: &'a str,
-    /// For callers, as `IP:port`.
+    /// Listen address for callers.
     pub callers: &'a str,
-    /// For operators.
+    /// Listen address for operators.
     pub operators: &'a str,
-    /// For other daemons.
+    /// Listen address for other daemons.
     pub peers: &'a str,
 }
 
-/// A register that lists the engines and services of a set of stand-ins.
+/// Returns a register that lists the models, engines and services of a fake fleet.
 pub fn register(view: &FleetView, models: &[Model]) -> String {
     let mut text = String::new();
     kinds(&mut text, view);
@@ -113,7 +115,7 @@
     domains
 }
 
-/// Rules with these teams.
+/// Returns rules with these teams and non-idempotent calls.
 pub fn rules(trial_share: f64, teams: &[Team<'_>], calls: &[NonIdempotentCall<'_>]) -> String {
     let mut text = format!("[trial]\nshare = {trial_share:?}\n\n");
     for team in teams {
@@ -133,8 +135,10 @@
     text
 }
 
-/// Settings of a daemon beside a set of stand-ins. `timing` is the body of the table of that
-/// name, with other tables after it where needed, and may be empty.
+/// Returns settings of a daemon that works with a fake fleet.
+///
+/// `timing` is the body of the `[timing]` table, optionally followed by further tables. It may be
+/// empty.
 pub fn settings(view: &FleetView, daemon: DaemonAddresses<'_>, timing: &str) -> String {
     format!(
         "name = \"{}\"\nfailure_domain = \"{}\"\n\n[listen]\ncallers = \"{}\"\noperators = \"{}\"\n\
--- a/crates/kelpworks-fakes/src/engine/cache.rs
+++ b/crates/kelpworks-fakes/src/engine/cache.rs
@@ -1,4 +1,6 @@
-//! The prefix cache of an engine, and the events it publishes late and with gaps.
+//! The prefix cache of an engine and its event log.
+//!
+//! Events become visible after a delay. Lost events leave gaps in the sequence numbers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,7 +11,7 @@
 use kelpworks_wire::CacheEventKind;
 use kelpworks_wire::CacheEvents;
 
-/// Events kept; older ones are a gap to whoever asks.
+/// Events retained; to a reader that asks for older ones they are a gap.
 const MAX_EVENTS: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,7 +26,7 @@
     event: CacheEvent,
 }
 
-/// Cached prompt prefixes, the least recently used first.
+/// Cached prompt prefixes in LRU order, the least recently used first.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     max_entries: usize,
@@ -45,7 +47,9 @@
         }
     }
 
-    /// Uses a prefix; true when it was cached. `lost` tells whether an event gets lost.
+    /// Marks a prefix as used, inserting it if absent. Returns true when it was cached.
+    ///
+    /// `is_lost` is called for each event and returns whether to drop it.
     pub(crate) fn touch(&mut self, model: &str, prefix: &str, is_lost: impl Fn() -> bool) -> bool {
         if prefix.is_empty() || self.max_entries == 0 {
             return false;
@@ -88,7 +92,7 @@
         }
     }
 
-    /// The events from this sequence number on that show by now.
+    /// Returns the visible events with sequence number `from` or above.
     pub(crate) fn events(&self, from: u64, incarnation: u64) -> CacheEvents {
         let now = Instant::now();
         let visible = self.events.iter().take_while(|d| d.visible_at <= now);
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Forgets everything, as a restart does.
+    /// Removes all entries and events and restarts sequence numbers at 0, as a crash does.
     pub(crate) fn clear(&mut self) {
         *self = PrefixCache::new(self.max_entries, self.delay);
     }
--- a/crates/kelpworks-fakes/src/engine/config.rs
+++ b/crates/kelpworks-fakes/src/engine/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of a stand-in engine.
+//! Configuration of a fake engine.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,61 +7,61 @@
 use kelpworks_wire::LayerRange;
 use kelpworks_wire::LoadedRange;
 
-/// A prompt that holds these bytes crashes the engine that runs its layer 0, unless
-/// [`EngineConfig::crashes_on_poison`] is off.
+/// A prompt that contains these bytes crashes the engine that runs its layer 0, unless
+/// [`EngineConfig::crashes_on_poison`] is false.
 pub const POISON: &[u8] = b"poison";
 
-/// Configuration of a stand-in engine.
+/// Configuration of a fake engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineConfig {
     /// Host name.
     pub name: String,
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
     /// Failure domain, for the register. Default `domain-0`.
     pub failure_domain: String,
     /// Kind of accelerator, for the register. Default `standard`.
     pub accelerator: String,
-    /// Models it knows; the versions are those loaded at the start.
+    /// Models that it can load; the versions are those loaded at start.
     pub models: Vec<Model>,
-    /// Ranges held at the start. Default none.
+    /// Layer ranges loaded at start. Default none.
     pub loaded: Vec<LoadedRange>,
-    /// Most layers held at once, over all models and versions. Default unlimited.
+    /// Maximum number of layers loaded at once, over all models and versions. Default unlimited.
     pub max_layers: u32,
-    /// Fixed time of an iteration. Default 0.
+    /// Fixed part of the duration of an iteration. Default 0.
     pub iteration_base: Duration,
-    /// Layers of one position that it runs a second. Default infinite.
+    /// Layer-positions run a second; one is one layer over one position. Default infinite.
     pub layer_rate: f64,
-    /// Steps of one iteration, at most. Default 64.
+    /// Maximum number of steps in one iteration. Default 64.
     pub max_batch: usize,
-    /// Steps that wait, at most; the next is answered busy. Default 1024.
+    /// Maximum number of queued steps; further ones are answered busy. Default 1024.
     pub queue_bound: usize,
-    /// What a busy reply names as the time to come back. Default 50 ms.
+    /// Retry delay that a busy reply names. Default 50 ms.
     pub retry_after: Duration,
-    /// KV cache, in positions, over all sessions. Default 1,000,000.
+    /// Capacity of the KV cache over all sessions, in positions. Default 1,000,000.
     pub kv_capacity: u64,
-    /// Output rows kept for each session and range, in positions. Default 4096.
+    /// Output rows retained for each attempt and layer range, one a position. Default 4096.
     pub retain: usize,
-    /// Prompt prefixes cached. Default 256.
+    /// Maximum number of cached prompt prefixes. Default 256.
     pub cache_entries: usize,
-    /// Time until a cache event shows. Default 0.
+    /// Delay until a cache event is visible to readers. Default 0.
     pub cache_event_delay: Duration,
-    /// Least age of a load report before it is taken anew. Default 0.
+    /// Time for which a load report is reused before it is measured again. Default 0.
     pub load_lag: Duration,
-    /// Whether an order with a lower fencing token is refused. Default true.
+    /// Whether an order whose fencing token is lower than one seen before is refused. Default true.
     pub checks_fencing: bool,
-    /// Base URL of the weight store; absent: ranges load at once. Default absent.
+    /// Base URL of the weight store; if absent, ranges load at once. Default absent.
     pub weight_store: Option<String>,
-    /// Whether a prompt with [`POISON`] crashes it. Default true.
+    /// Whether a prompt that contains [`POISON`] crashes the engine. Default true.
     pub crashes_on_poison: bool,
-    /// Time from a crash to the restart; absent: it stays down. Default 500 ms.
+    /// Time from a crash to the restart; if absent, the engine stays down. Default 500 ms.
     pub restart_after: Option<Duration>,
-    /// Runs that the ledger keeps; later ones only count. Default 250,000.
+    /// Maximum number of runs in the ledger; later ones only count in its totals. Default 250,000.
     pub ledger_limit: usize,
 }
 
 impl EngineConfig {
-    /// An engine with the defaults, that holds nothing yet.
+    /// Returns a configuration with the defaults and no loaded range.
     pub fn new(name: &str, models: Vec<Model>) -> EngineConfig {
         EngineConfig {
             name: name.to_owned(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Adds a range to those held at the start, at the version of the configured model.
+    /// Adds a range to those loaded at start, at the version of the configured model.
     pub fn load(&mut self, model: &str, layers: Range<u32>) -> &mut EngineConfig {
         let known = self.models.iter().find(|m| m.name() == model);
         self.loaded.push(LoadedRange {
@@ -103,7 +103,7 @@
         self
     }
 
-    /// Time of an iteration over this many layer-positions.
+    /// Returns the duration of an iteration over this many layer-positions, without slowdown.
     pub(crate) fn iteration(&self, layer_positions: u64) -> Duration {
         self.iteration_base + Duration::from_secs_f64(layer_positions as f64 / self.layer_rate)
     }
--- a/crates/kelpworks-fakes/src/engine/core.rs
+++ b/crates/kelpworks-fakes/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! What an engine holds and decides, free of I/O and time.
+//! State and decisions of an engine, without I/O or timing.
 
 use std::sync::Arc;
 
@@ -27,12 +27,12 @@
 use kelpworks_wire::StepOutcome;
 use kelpworks_wire::StepRefusal;
 
-/// Input of a step, at hand.
+/// Input of a step; rows named by a handle have been fetched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Input {
-    /// Token ids, for layer 0.
+    /// Token ids, one a position; input of layer 0.
     Tokens(Vec<u32>),
-    /// Rows, for any other layer.
+    /// Activation rows, one a position; input of any other layer.
     Rows(Vec<u64>),
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether it is a prompt with [`POISON`].
+    /// Returns whether the tokens contain [`POISON`].
     pub(crate) fn is_poison(&self) -> bool {
         let Input::Tokens(tokens) = self else {
             return false;
@@ -54,22 +54,22 @@
     }
 }
 
-/// A step that is not run, and the answer to it.
+/// Outcome of a step that does not run: refused or busy.
 pub(crate) type Rejection = Box<StepOutcome>;
 
-/// A range held.
+/// A loaded layer range and its model at the loaded version.
 #[derive(Debug)]
 struct LoadedModel {
     range: LoadedRange,
     model: Arc<Model>,
 }
 
-/// What an engine holds.
+/// Loaded ranges, sessions and fencing tokens of an engine.
 #[derive(Debug)]
 pub(crate) struct Core {
     models: Vec<Model>,
     loaded: Vec<LoadedModel>,
-    /// Ranges being loaded; none is also held.
+    /// Ranges being loaded; none of them is also in `loaded`.
     loading: Vec<LoadedRange>,
     pub(crate) sessions: Sessions,
     pub(crate) fencing_tokens: FencingTokens,
@@ -99,7 +99,7 @@
         Ok(core)
     }
 
-    /// Checks that a range is one of a known model; the error says why not.
+    /// Checks that a range lies within a configured model; the error is the reason if not.
     pub(crate) fn validate_range(&self, range: &LoadedRange) -> std::result::Result<(), String> {
         let Some(model) = self.models.iter().find(|m| m.name() == range.model) else {
             return Err(format!("unknown model `{}`", range.model));
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// Whether this exact range is held.
+    /// Returns whether exactly this range is loaded.
     pub(crate) fn has_loaded(&self, range: &LoadedRange) -> bool {
         self.loaded.iter().any(|h| h.range == *range)
     }
@@ -125,7 +125,7 @@
             .sum()
     }
 
-    /// Notes that a range is being loaded; false when it already is.
+    /// Marks a range as being loaded; returns false when it already was.
     pub(crate) fn begin_load(&mut self, range: &LoadedRange) -> bool {
         let new = !self.loading.contains(range);
         if new {
@@ -134,7 +134,7 @@
         new
     }
 
-    /// Takes in a range that came from the weight store, unless it was dropped meanwhile.
+    /// Ends the load of a range. A fetched range becomes loaded unless it was unloaded meanwhile.
     pub(crate) fn end_load(&mut self, range: &LoadedRange, fetched: bool) {
         let before = self.loading.len();
         self.loading.retain(|r| r != range);
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Drops a range and the sessions on it.
+    /// Removes a range and all shards that no remaining range covers.
     pub(crate) fn unload(&mut self, range: &LoadedRange) {
         self.loading.retain(|r| r != range);
         self.loaded.retain(|h| h.range != *range);
@@ -168,7 +168,7 @@
         self.draining = draining;
     }
 
-    /// What a crash takes: all sessions, and the loads under way.
+    /// Drops all sessions and the loads in progress, as a crash does.
     pub(crate) fn drop_sessions_and_loads(&mut self) {
         self.sessions = Sessions::default();
         self.loading.clear();
@@ -194,7 +194,7 @@
         self.draining
     }
 
-    /// Decides whether a step may run, and on which model.
+    /// Returns the model to run a step on, or the refusal if the step may not run.
     pub(crate) fn check(&self, step: &Step) -> std::result::Result<Arc<Model>, Rejection> {
         if self.sessions.is_cancelled(&step.session, step.attempt) {
             return refused(RefusalReason::Invalid, 0);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Runs a step.
+    /// Checks and runs a step.
     pub(crate) fn run(
         &mut self,
         step: &Step,
@@ -282,7 +282,7 @@
             .sessions
             .shard_mut(&step.session, step.attempt, &step.layers);
         let shard =
-            found.expect("a step at position 0 made the shard, and check() found any other");
+            found.expect("a step at position 0 created the shard, and check() found any other");
         rows.into_iter().map(|r| shard.advance(r, retain)).collect()
     }
 
@@ -296,7 +296,7 @@
         self.sessions.cancel(req);
     }
 
-    /// Exports the lowest layer range of an attempt; absent when there is none.
+    /// Exports the KV cache of an attempt's lowest layer range; `None` when it has no range here.
     pub(crate) fn export(&self, req: &KvExportRequest) -> Option<KvBlob> {
         let shards = self.sessions.attempt(&req.session, req.attempt);
         let shard = shards.min_by_key(|p| p.layers.first)?;
@@ -311,7 +311,10 @@
         })
     }
 
-    /// Imports a KV cache; the error is the refusal that a step in its place would get.
+    /// Imports a KV cache.
+    ///
+    /// The error is the outcome of a step at position 0 of the same attempt and range, `Invalid` if
+    /// the number of digests differs from the number of layers, or busy if the KV cache is full.
     pub(crate) fn import(&mut self, blob: KvBlob) -> std::result::Result<(), Rejection> {
         let step = Step {
             session: blob.session,
--- a/crates/kelpworks-fakes/src/engine/http.rs
+++ b/crates/kelpworks-fakes/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP border of an engine.
+//! HTTP interface of an engine.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 use kelpworks_wire::StepRefusal;
 use kelpworks_wire::StepReply;
 
-/// Path of steps.
+/// Request path of step batches; faults of steps match against it.
 pub(super) const STEPS: &str = "/v1/steps";
 
 type HandlerResult = std::result::Result<HttpResponse, HttpResponse>;
@@ -171,7 +171,7 @@
 }
 
 impl Shared {
-    /// Runs a step, or says why not.
+    /// Queues a step, waits for it and returns its reply, with any reply faults applied.
     pub(super) async fn step(&self, mut step: Step) -> StepReply {
         let result = self.submit(&mut step).await;
         let reply = StepReply {
@@ -189,7 +189,7 @@
         self.apply_reply_faults(reply)
     }
 
-    /// Queues a step and waits until it ran; takes the input out of it.
+    /// Queues a step and waits for its result; moves the input out of `step`.
     async fn submit(&self, step: &mut Step) -> StepResult {
         let busy = |k: &FaultKind| matches!(k, FaultKind::Busy(_));
         if let Some(FaultKind::Busy(ms)) = self.faults.take_application(STEPS, busy) {
@@ -214,7 +214,7 @@
         }
         match rx.await {
             Ok(result) => result,
-            // The engine crashed; the connection is about to close.
+            // The engine crashed, which closes the connection.
             Err(_) => pending().await,
         }
     }
@@ -232,7 +232,7 @@
                 if let Some(rows) = self.fetch_rows(wanted, deadline).await {
                     return Ok(Input::Rows(rows));
                 }
-                // Where the step could not have run anyway, that is the better answer.
+                // A refusal of the step itself takes precedence over the missing handle.
                 lock(&self.core).check(step).map_err(|refused| *refused)?;
                 Err(StepOutcome::Refused(StepRefusal {
                     reason: RefusalReason::HandleMissing,
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Fetches rows that another engine keeps; absent when they can't be had in time.
+    /// Fetches rows that another engine retains; `None` on failure or after `deadline`.
     async fn fetch_rows(&self, wanted: HandleRef, deadline: Duration) -> Option<Vec<u64>> {
         if wanted.upstream == self.url {
             return lock(&self.core).sessions.rows(&wanted.handle, wanted.count);
@@ -258,7 +258,7 @@
         Some(activations.rows)
     }
 
-    /// Shows the faults of replies.
+    /// Applies the faults that falsify a reply.
     fn apply_reply_faults(&self, reply: StepReply) -> StepReply {
         let mut shown = reply.clone();
         let previous = lock(&self.previous).replace(reply);
--- a/crates/kelpworks-fakes/src/engine/ledger.rs
+++ b/crates/kelpworks-fakes/src/engine/ledger.rs
@@ -1,4 +1,4 @@
-//! What an engine ran, for tests to check.
+//! Record of what an engine ran, for tests to check.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,73 +16,74 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Run {
-    /// Place in the order of this engine's runs, from 0.
+    /// Sequence number among this engine's runs, from 0.
     pub order: u64,
-    /// Incarnation of the engine that ran it.
+    /// Incarnation of the engine at the time of the run.
     pub incarnation: u64,
-    /// Session.
+    /// Session that the step belongs to.
     pub session: String,
-    /// Attempt.
+    /// Attempt of the session, as the step names it.
     pub attempt: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the model.
     pub version: String,
-    /// Layers.
+    /// Layer range that ran.
     pub layers: LayerRange,
-    /// First position.
+    /// First position of the run.
     pub position: u32,
-    /// Positions.
+    /// Number of positions.
     pub count: u32,
 }
 
-/// An order and what became of it.
+/// An order and the engine's reply.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct OrderRecord {
-    /// The order.
+    /// Order as received.
     pub order: EngineOrder,
-    /// The reply.
+    /// Reply as sent.
     pub reply: OrderReply,
-    /// Whether a higher fencing token of the lease had been seen before.
+    /// Whether the engine had seen a higher fencing token of the same lease before.
     pub was_stale: bool,
 }
 
-/// Sums over all runs, also those that the ledger no longer had room for.
+/// Totals since the start, including runs beyond
+/// [`ledger_limit`](super::EngineConfig::ledger_limit).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Totals {
-    /// Runs.
+    /// Steps that ran.
     pub runs: u64,
-    /// Layers times positions.
+    /// Sum over all runs of layers times positions.
     pub layer_positions: u64,
-    /// Iterations.
+    /// Scheduler iterations.
     pub iterations: u64,
     /// Steps answered busy.
     pub busy: u64,
     /// Steps refused.
     pub refused: u64,
-    /// Sessions cancelled.
+    /// Cancel requests.
     pub cancels: u64,
     /// KV caches imported.
     pub imports: u64,
-    /// Crashes.
+    /// Crashes from any cause.
     pub crashes: u64,
 }
 
-/// A copy of a ledger.
+/// Snapshot of a ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct LedgerView {
-    /// Runs, in order; at most the configured number.
+    /// Runs in execution order, at most [`ledger_limit`](super::EngineConfig::ledger_limit).
     pub runs: Vec<Run>,
-    /// Orders, in order.
+    /// Orders in the order of their replies.
     pub orders: Vec<OrderRecord>,
-    /// Sums.
+    /// Totals since the start.
     pub totals: Totals,
 }
 
-/// A ledger; clones share it.
+/// Ledger of an engine; clones share the same records.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     limit: usize,
@@ -97,29 +98,29 @@
         }
     }
 
-    /// All runs kept.
+    /// Returns all recorded runs.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.view).runs.clone()
     }
 
-    /// The runs of one session.
+    /// Returns the recorded runs of one session.
     pub fn runs_of(&self, session: &str) -> Vec<Run> {
         let view = lock(&self.view);
         let runs = view.runs.iter().filter(|r| r.session == session);
         runs.cloned().collect()
     }
 
-    /// All orders.
+    /// Returns all orders with their replies.
     pub fn orders(&self) -> Vec<OrderRecord> {
         lock(&self.view).orders.clone()
     }
 
-    /// Sums.
+    /// Returns the totals since the start.
     pub fn totals(&self) -> Totals {
         lock(&self.view).totals
     }
 
-    /// A copy of the whole ledger.
+    /// Returns a snapshot of the whole ledger.
     pub fn view(&self) -> LedgerView {
         lock(&self.view).clone()
     }
--- a/crates/kelpworks-fakes/src/engine/load.rs
+++ b/crates/kelpworks-fakes/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! The load report of an engine, which lags.
+//! Load report of an engine, reused for a while so that readers see stale load.
 
 use tokio::time::Instant;
 
@@ -6,15 +6,15 @@
 use crate::fault::lock;
 use kelpworks_wire::EngineLoad;
 
-/// The latest load report.
+/// The latest load report and the time it was measured.
 #[derive(Debug, Default)]
 pub(crate) struct LoadReportCache {
     latest: Option<(Instant, EngineLoad)>,
 }
 
 impl Shared {
-    /// The load, as of at most [`EngineConfig::load_lag`](super::EngineConfig::load_lag) ago;
-    /// whether the engine is draining is as of now.
+    /// Returns a load report not older than
+    /// [`EngineConfig::load_lag`](super::EngineConfig::load_lag), with the current draining state.
     pub(super) fn load(&self) -> EngineLoad {
         let now = Instant::now();
         let draining = lock(&self.core).draining();
--- a/crates/kelpworks-fakes/src/engine/mod.rs
+++ b/crates/kelpworks-fakes/src/engine/mod.rs
@@ -1,8 +1,11 @@
-//! The stand-in engine: serves the engine border over a layer range of stand-in models.
+//! The fake engine: serves the HTTP interface of an engine over layer ranges of a fake [`Model`].
 //!
-//! A scheduler runs waiting steps in iterations, paying work first, as an engine with continuous
-//! batching does. Time is one line: `iteration_base + layers * positions / layer_rate`, on the
-//! clock of tokio. With the defaults an iteration takes no time at all.
+//! [`Model`]: crate::Model
+//!
+//! A scheduler runs queued steps in iterations, those of class paying first, as an engine with
+//! continuous batching does. An iteration takes `iteration_base + layer_positions / layer_rate`
+//! on tokio's clock, where `layer_positions` sums layers times positions over its steps. With the
+//! defaults an iteration takes no time.
 //!
 //! ```
 //! use kelpworks_fakes::Engine;
@@ -21,10 +24,10 @@
 //! # }
 //! ```
 //!
-//! Limits: timers of tokio round up to a millisecond. A busy engine makes up for it, and keeps its
-//! modelled rate; one with few steps at a time does not, so choose iterations of 10 ms and more
-//! where time is measured. A prompt that crashes an engine ([`POISON`]) is seen only where tokens come in, so by
-//! engines that run layer 0.
+//! Limits: tokio's timers round up to a millisecond. An engine whose queue is never empty
+//! compensates for this and keeps its modelled rate; one with few steps at a time does not, so
+//! choose iterations of 10 ms or more where time is measured. Only an engine that runs layer 0
+//! receives tokens, so only such an engine detects a prompt with [`POISON`].
 
 mod cache;
 mod config;
@@ -67,7 +70,7 @@
 pub use self::ledger::Run;
 pub use self::ledger::Totals;
 
-/// A running stand-in engine; dropping it stops it.
+/// A running fake engine; dropping it stops it.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -75,12 +78,12 @@
     _scheduler: AbortOnDropHandle<()>,
 }
 
-/// What the handlers, the scheduler and the handle share.
+/// State shared by the HTTP handlers, the scheduler and [`Engine`].
 #[derive(Debug)]
 struct Shared {
     cfg: EngineConfig,
     url: String,
-    /// Changes at each crash; steps begun under an older one are never answered.
+    /// Random; changes at each crash. Steps started under an earlier one are never answered.
     incarnation: AtomicU64,
     core: Mutex<Core>,
     cache: Mutex<PrefixCache>,
@@ -88,17 +91,17 @@
     load_report: Mutex<LoadReportCache>,
     ledger: Ledger,
     faults: Faults,
-    /// How many times longer than configured an iteration takes; above 0.
+    /// Factor on the configured duration of an iteration; above 0.
     slowdown: Mutex<f64>,
-    /// The latest true reply to a step, for [`FaultKind::PreviousReply`].
+    /// The latest reply to a step before any fault was applied, for [`FaultKind::PreviousReply`].
     previous: Mutex<Option<StepReply>>,
     client: reqwest::Client,
-    /// Set once the server runs.
+    /// Set once the server has started.
     listen_switch: OnceLock<ListenSwitch>,
 }
 
 impl Engine {
-    /// Starts an engine on the port of its configuration.
+    /// Starts an engine on the configured port.
     ///
     /// # Errors
     ///
@@ -132,84 +135,87 @@
         })
     }
 
-    /// Host name.
+    /// Returns the host name.
     pub fn name(&self) -> &str {
         &self.shared.cfg.name
     }
 
-    /// The configuration it started with.
+    /// Returns the configuration at start.
     pub fn config(&self) -> &EngineConfig {
         &self.shared.cfg
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// What it ran; outlives crashes.
+    /// Returns the ledger of runs and orders, which survives crashes.
     pub fn ledger(&self) -> &Ledger {
         &self.shared.ledger
     }
 
-    /// What it reports of itself.
+    /// Returns the state that `GET /v1/state` reports.
     pub fn state(&self) -> EngineState {
         self.shared.state()
     }
 
-    /// Sessions that hold memory now.
+    /// Returns the number of sessions that occupy the KV cache.
     pub fn sessions(&self) -> usize {
         lock(&self.shared.core).sessions.len()
     }
 
-    /// Free KV cache, in positions.
+    /// Returns the free capacity of the KV cache, in positions.
     pub fn kv_free(&self) -> u64 {
         lock(&self.shared.core).kv_free()
     }
 
-    /// Sets whether it refuses new sessions.
+    /// Sets whether the engine refuses new sessions.
     pub fn set_draining(&self, draining: bool) {
         lock(&self.shared.core).set_draining(draining);
     }
 
-    /// Crashes it: connections close, sessions are lost, and it restarts after
-    /// [`EngineConfig::restart_after`], or not before [`Engine::restart`].
+    /// Crashes the engine: its connections close and its sessions are lost.
+    ///
+    /// It restarts after [`EngineConfig::restart_after`], or by [`Engine::restart`] if that is
+    /// absent.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Brings it up again after a crash.
+    /// Opens the port again after a crash.
     pub fn restart(&self) {
         self.set_listening(true);
     }
 
-    /// Closes its port and all connections, or opens the port again; unlike a crash it keeps its
-    /// sessions and its incarnation.
+    /// Closes the port and all connections, or opens the port again.
+    ///
+    /// Unlike a crash this keeps the sessions and the incarnation.
     pub fn set_listening(&self, listening: bool) {
         self.server.listen_switch().set_listening(listening);
     }
 
-    /// Makes it run this many times slower than configured, as a degraded accelerator does.
+    /// Multiplies the duration of iterations by `factor`, as a degraded accelerator does.
     ///
     /// # Panics
     ///
     /// When the factor is not above 0.
     pub fn set_slowdown(&self, factor: f64) {
-        assert!(factor > 0.0, "a slowdown is above 0");
+        assert!(factor > 0.0, "the slowdown factor must be above 0");
         *lock(&self.shared.slowdown) = factor;
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the engine, as dropping it does.
     pub fn stop(self) {}
 }
 
@@ -218,7 +224,7 @@
         self.incarnation.load(Ordering::Acquire)
     }
 
-    /// Whether a fault of this kind strikes a step now.
+    /// Takes a fault of this kind that applies to steps; returns whether there was one.
     fn take_step_fault(&self, kind: &FaultKind) -> bool {
         self.faults
             .take_application(http::STEPS, |k| k == kind)
@@ -232,7 +238,8 @@
 
     fn crash(&self) {
         {
-            // Together, so that no run of the old sessions is noted under the new incarnation.
+            // Under one lock, so that no run of an old session is recorded under the new
+            // incarnation.
             let mut core = lock(&self.core);
             self.incarnation.store(rand::random(), Ordering::Release);
             core.drop_sessions_and_loads();
--- a/crates/kelpworks-fakes/src/engine/orders.rs
+++ b/crates/kelpworks-fakes/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and the fencing tokens that guard them.
+//! Orders to an engine and the fencing tokens that reject stale ones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,11 +11,12 @@
 use kelpworks_wire::OrderAction;
 use kelpworks_wire::OrderReply;
 
-/// Roles that an engine can be given; [`ROLE_DRAIN`] refuses new sessions, the others take them.
+/// Roles that an order can set. In [`ROLE_DRAIN`] an engine refuses new sessions, in the others
+/// it accepts them.
 const ROLES: [&str; 4] = [ROLE_DRAIN, "serve", "prefill", "decode"];
 const ROLE_DRAIN: &str = "drain";
 
-/// The highest fencing token seen of each lease.
+/// The highest fencing token seen for each lease.
 #[derive(Debug)]
 pub(crate) struct FencingTokens {
     enforced: bool,
@@ -34,7 +35,7 @@
         self.highest_by_lease.values().copied().max().unwrap_or(0)
     }
 
-    /// Notes the token of an order; the higher one seen before it, if any.
+    /// Records the token of an order; returns the highest one seen if it exceeds the order's.
     fn record(&mut self, order: &EngineOrder) -> Option<u64> {
         let highest = self
             .highest_by_lease
@@ -49,7 +50,7 @@
 }
 
 impl Shared {
-    /// Carries out an order.
+    /// Executes an order unless its fencing token is stale, and records it in the ledger.
     pub(super) fn order(self: &Arc<Shared>, order: EngineOrder) -> OrderReply {
         let (newer, enforced) = {
             let mut core = lock(&self.core);
--- a/crates/kelpworks-fakes/src/engine/scheduler.rs
+++ b/crates/kelpworks-fakes/src/engine/scheduler.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: waiting steps run in iterations, paying ones first.
+//! Continuous batching: queued steps run in iterations, those of class paying first.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,28 +17,28 @@
 use kelpworks_wire::Step;
 use kelpworks_wire::StepOutcome;
 
-/// Path that lost cache events are injected on.
+/// Request path that [`FaultKind::LostCacheEvent`] matches against.
 const CACHE_EVENTS: &str = "/v1/cache-events";
 
-/// A step that waits to run.
+/// A step in the queue.
 #[derive(Debug)]
 pub(crate) struct QueuedStep {
     pub(crate) step: Step,
     pub(crate) input: Input,
     pub(crate) at: Instant,
-    /// Dropped without an answer when the engine crashes.
+    /// Dropped without a result when the engine crashes.
     pub(crate) tx: oneshot::Sender<StepResult>,
 }
 
-/// What became of a step.
+/// Result of a step that ran or was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct StepResult {
-    /// Positions run.
+    /// Number of positions run; 0 if the step was rejected.
     pub(crate) count: u32,
     pub(crate) outcome: StepOutcome,
 }
 
-/// Steps waiting and running.
+/// Queued steps by class, and the number of running ones.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     queues: Mutex<ClassQueues>,
@@ -52,17 +52,17 @@
     running: u32,
 }
 
-/// Figures of a [`Queue`].
+/// Statistics of a [`Queue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueueStats {
     pub(crate) queued: u32,
     pub(crate) running: u32,
-    /// Age of the oldest waiting step.
+    /// Age of the oldest queued step.
     pub(crate) oldest: Duration,
 }
 
 impl Queue {
-    /// Adds a step and returns true, unless `bound` steps wait already.
+    /// Adds a step; returns false, without adding it, when `bound` steps are queued already.
     pub(crate) fn push(&self, waiting: QueuedStep, bound: usize) -> bool {
         let mut queues = lock(&self.queues);
         if queues.paying.len() + queues.trial.len() >= bound {
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Waits for steps and takes up to `max` of them.
+    /// Waits until a step is queued, then takes up to `max` steps.
     async fn next_batch(&self, max: usize) -> Vec<QueuedStep> {
         loop {
             let batch = self.take(max);
@@ -98,7 +98,7 @@
         batch
     }
 
-    /// Drops all waiting steps without an answer.
+    /// Drops all queued steps without a result.
     pub(crate) fn clear(&self) {
         let mut queues = lock(&self.queues);
         queues.paying.clear();
@@ -117,10 +117,10 @@
     }
 }
 
-/// Runs iterations for ever.
+/// Runs iterations until dropped.
 ///
-/// An iteration starts where the last one should have ended if steps were waiting by then, so that
-/// late timers do not slow the modelled rate.
+/// If steps were queued before the scheduled end of the last iteration, the next one is counted
+/// from that end, so that late timers do not lower the modelled rate.
 pub(crate) async fn run(engine: Arc<Shared>) {
     let mut last_end = Instant::now();
     loop {
@@ -159,14 +159,14 @@
 impl Iteration {
     fn send_replies(self) {
         for completed in self.completed {
-            // A caller that is gone needs no answer.
+            // The caller may have dropped its receiver.
             let _ = completed.tx.send(completed.result);
         }
     }
 }
 
 impl Shared {
-    /// Runs a batch; absent when one of its steps crashes the engine.
+    /// Runs a batch; returns `None` when one of its steps crashes the engine.
     fn iterate(&self, batch: Vec<QueuedStep>) -> Option<Iteration> {
         let mut iteration = Iteration::default();
         self.ledger.count(|t| t.iterations += 1);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Counts a step that is not run.
+    /// Counts a step that does not run and returns its result.
     pub(super) fn reject(&self, outcome: StepOutcome) -> StepResult {
         self.ledger.count(|t| match outcome {
             StepOutcome::Busy(_) => t.busy += 1,
@@ -211,7 +211,7 @@
         StepResult { count: 0, outcome }
     }
 
-    /// Layer-positions that a step takes; a cached prompt takes those of one position.
+    /// Returns the layer-positions that a step costs; a cached prompt costs one position.
     fn cost(&self, step: &Step, count: u32) -> u64 {
         let layers = u64::from(step.layers.end - step.layers.first);
         let lost = || {
--- a/crates/kelpworks-fakes/src/engine/sessions.rs
+++ b/crates/kelpworks-fakes/src/engine/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of an engine: for each attempt and layer range, the KV cache and the rows kept.
+//! Sessions of an engine: the KV cache and retained rows of each attempt and layer range.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,19 +9,19 @@
 use kelpworks_wire::CancelRequest;
 use kelpworks_wire::LayerRange;
 
-/// Cancelled sessions remembered, so that a late step does not run again.
+/// Cancelled sessions remembered so that a late step of them is refused.
 const MAX_CANCELLED_SESSIONS: usize = 65_536;
 
-/// One session's shard on this engine: an attempt over a layer range.
+/// State of one attempt of a session over one layer range.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) attempt: u32,
     pub(crate) layers: LayerRange,
     pub(crate) model: Arc<Model>,
     pub(crate) kv: KvCache,
-    /// Positions run, from 0 on without a gap.
+    /// Number of positions run: 0 to `positions - 1`, without a gap.
     pub(crate) positions: u32,
-    /// Output rows of the last positions; the newest is of `positions - 1`.
+    /// Output rows of the latest positions; the last is of position `positions - 1`.
     rows: VecDeque<u64>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Runs the next position and keeps its row, and `retain` rows in all.
+    /// Runs the next position and returns its output row; retains the last `retain` rows.
     pub(crate) fn advance(&mut self, row: u64, retain: usize) -> u64 {
         let out = self.model.run(&mut self.kv, row, self.positions);
         self.positions += 1;
@@ -49,7 +49,7 @@
         out
     }
 
-    /// The rows of `count` positions from `first` on; absent when not all are kept.
+    /// Returns the rows of `count` positions from `first` on; `None` unless all are retained.
     fn rows(&self, first: u32, count: u32) -> Option<Vec<u64>> {
         let oldest = self.positions - self.rows.len() as u32;
         let start = first.checked_sub(oldest)? as usize;
@@ -61,15 +61,15 @@
     }
 }
 
-/// All sessions of an engine.
+/// All sessions of an engine, and the latest cancellations.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
     shards: HashMap<String, Vec<Shard>>,
-    /// KV cache in use: the sum of `positions` over all shards.
+    /// KV cache in use, in positions: the sum over all shards.
     kv_used: u64,
-    /// Highest cancelled attempt of the latest cancelled sessions.
+    /// Highest cancelled attempt of each of the latest cancelled sessions.
     cancelled: HashMap<String, u32>,
-    /// Keys of `ended`, oldest first.
+    /// Keys of `cancelled`, oldest first.
     cancelled_order: VecDeque<String>,
 }
 
@@ -82,18 +82,18 @@
         self.kv_used += u64::from(positions);
     }
 
-    /// Whether this attempt was cancelled.
+    /// Returns whether this attempt or a later one of the session was cancelled.
     pub(crate) fn is_cancelled(&self, session: &str, attempt: u32) -> bool {
         self.cancelled.get(session).is_some_and(|a| attempt <= *a)
     }
 
-    /// The shards of an attempt, over all layer ranges.
+    /// Returns the shards of an attempt, one for each layer range.
     pub(crate) fn attempt(&self, session: &str, attempt: u32) -> impl Iterator<Item = &Shard> {
         let shards = self.shards.get(session).map_or(&[][..], Vec::as_slice);
         shards.iter().filter(move |p| p.attempt == attempt)
     }
 
-    /// The shard of an attempt over exactly these layers.
+    /// Returns the shard of an attempt over exactly these layers.
     pub(crate) fn shard_mut(
         &mut self,
         session: &str,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Ends all attempts of a session up to the one given.
+    /// Cancels all attempts of a session up to the one given and frees their KV cache.
     pub(crate) fn cancel(&mut self, req: &CancelRequest) {
         if let Some(shards) = self.shards.get_mut(&req.session) {
             let removed = shards.extract_if(.., |p| p.attempt <= req.attempt);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Drops the shards for which `keep` is false.
+    /// Removes the shards for which `keep` returns false and frees their KV cache.
     pub(crate) fn retain(&mut self, keep: impl Fn(&Shard) -> bool) {
         self.shards.retain(|_, shards| {
             let dropped = shards.extract_if(.., |p| !keep(p));
@@ -149,7 +149,7 @@
         });
     }
 
-    /// The rows that a handle names; see [`handle`].
+    /// Returns the rows that a [`handle`] names; `None` if it is malformed or they aren't retained.
     pub(crate) fn rows(&self, handle: &str, count: u32) -> Option<Vec<u64>> {
         let mut fields = handle.rsplitn(4, '/');
         let position = fields.next()?.parse().ok()?;
@@ -167,7 +167,7 @@
     }
 }
 
-/// Names the rows of an attempt from a position on.
+/// Returns the handle of an attempt's rows over `layers` from `position` on.
 pub(crate) fn handle(session: &str, attempt: u32, layers: &LayerRange, position: u32) -> String {
     format!("{session}/{attempt}/{}/{position}", layers.first)
 }
--- a/crates/kelpworks-fakes/src/engine/tests.rs
+++ b/crates/kelpworks-fakes/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Time in the engine, on a paused clock and without sockets.
+//! Timing of the engine, on a paused clock and without sockets.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// The time from now on that each of these steps takes, in milliseconds.
+/// Submits these steps at once; returns the time that each took, in milliseconds.
 async fn times(engine: &Engine, steps: Vec<Step>) -> Vec<u64> {
     let start = Instant::now();
     let timed = steps.into_iter().map(|s| async move {
--- a/crates/kelpworks-fakes/src/error.rs
+++ b/crates/kelpworks-fakes/src/error.rs
@@ -1,24 +1,24 @@
-//! Errors of starting a stand-in.
+//! Errors of starting a fake.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Result of the fallible calls of this crate.
+/// Result type of this crate, with [`enum@Error`] as its error.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a stand-in could not start.
+/// Error of starting or looking up a fake.
 #[derive(Debug)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// No port could be bound.
+    /// A port could not be bound.
     #[error("cannot bind a port: {0}")]
     Bind(#[from] io::Error),
     /// The HTTP client could not be built.
     #[error("cannot build an HTTP client: {0}")]
     Client(#[from] reqwest::Error),
-    /// The configuration names a model, a range or a host that does not fit.
+    /// The configuration or a lookup names a model, a layer range or an engine that does not exist.
     #[error("bad configuration: {0}")]
     Config(String),
 }
--- a/crates/kelpworks-fakes/src/fault.rs
+++ b/crates/kelpworks-fakes/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in shows on demand.
+//! Faults that a test injects into a fake.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes wrong with one request.
+/// Fault of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -30,30 +30,30 @@
     Delay(u64),
     /// The request runs at once; the reply waits this many milliseconds.
     DelayReply(u64),
-    /// This status is the answer; nothing runs.
+    /// The reply has this status; nothing runs.
     Status(u16),
-    /// The request runs; this status is the answer.
+    /// The request runs; the reply has this status and no body.
     StatusAfter(u16),
-    /// Engine: steps are answered busy, to be asked again after this many milliseconds.
+    /// Engine: steps are answered busy, with this many milliseconds as the retry delay.
     Busy(u32),
-    /// Engine: a step runs, and is answered with the reply to the step before it.
+    /// Engine: a step runs and is answered with the reply to the previous step.
     PreviousReply,
-    /// Engine: a step runs, and its reply echoes another session.
+    /// Engine: a step runs, and its reply names another session.
     OtherSession,
-    /// Engine: a step runs, and its reply echoes another layer range.
+    /// Engine: a step runs, and its reply names another layer range.
     WrongRange,
     /// Engine: the next step crashes it.
     Crash,
-    /// Engine: a cache event is lost; its sequence number stays a gap.
+    /// Engine: a cache event is lost, leaving a gap in the sequence numbers.
     LostCacheEvent,
-    /// Object API: a read answers the version before the current one.
+    /// Object API: a read returns the version before the current one.
     StaleRead,
-    /// Object API: the version that a watch starts from is no longer kept.
+    /// Object API: a watch is refused as if its start version were no longer retained.
     ExpiredVersion,
 }
 
 impl FaultKind {
-    /// Whether the server itself shows the fault, in place of the stand-in behind it.
+    /// Returns whether the HTTP server injects the fault, rather than the fake's own handlers.
     fn is_transport(&self) -> bool {
         !matches!(
             self,
@@ -69,23 +69,23 @@
     }
 }
 
-/// A fault, where it strikes and how often.
+/// A fault, the requests it applies to and how often.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Start of the paths that it strikes; empty strikes all. `GET /objects` with a method in
-    /// front strikes only that method.
+    /// Prefix of the request paths that the fault applies to; empty matches all. With a method in
+    /// front, as in `GET /objects`, a transport fault applies to that method only.
     #[serde(default)]
     pub matches: String,
-    /// How often it strikes; absent: until cleared.
+    /// Number of requests that it still applies to; if absent, it applies until cleared.
     #[serde(default)]
     pub count: Option<u32>,
 }
 
 impl Fault {
-    /// A fault that strikes once, on any path.
+    /// Returns a fault that applies once, on any path.
     pub fn once(kind: FaultKind) -> Fault {
         Fault {
             kind,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A fault that strikes until cleared, on any path.
+    /// Returns a fault that applies until cleared, on any path.
     pub fn always(kind: FaultKind) -> Fault {
         Fault {
             kind,
@@ -103,13 +103,13 @@
         }
     }
 
-    /// The same fault, only on paths that start so.
+    /// Limits the fault to requests that match, as [`Fault::matches`] describes.
     pub fn on(mut self, matches: &str) -> Fault {
         self.matches = matches.to_owned();
         self
     }
 
-    /// The same fault, striking this often.
+    /// Limits the fault to this many requests.
     pub fn times(mut self, count: u32) -> Fault {
         self.count = Some(count);
         self
@@ -123,19 +123,19 @@
     }
 }
 
-/// What becomes of whole connections.
+/// Treatment of whole connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionMode {
-    /// All work.
+    /// All connections work.
     #[default]
     Pass,
-    /// Each new one closes at once, and each request on an open one closes it.
+    /// Each new connection closes at once, and a request on an open one closes it.
     Refuse,
-    /// Those open now never answer again; new ones work.
+    /// Connections open at the time of the change never answer again; new ones work.
     SilenceExisting,
-    /// None answers.
+    /// No connection answers.
     SilenceAll,
 }
 
@@ -143,18 +143,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct FaultUpdate {
-    /// Forget all faults before adding new ones.
+    /// Whether to remove all faults before adding new ones.
     #[serde(default)]
     pub clear: bool,
-    /// Faults to add.
+    /// Faults to add, in order of precedence.
     #[serde(default)]
     pub add: Vec<Fault>,
-    /// What becomes of connections; absent: no change.
+    /// New treatment of connections; unchanged if absent.
     #[serde(default)]
     pub connections: Option<ConnectionMode>,
 }
 
-/// The faults of one stand-in; clones share them.
+/// Faults to inject into one fake; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     shared: Arc<Shared>,
@@ -162,7 +162,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    /// False only when `table` holds no fault; spares the lock on the hot path.
+    /// False only when `table` is empty; avoids the lock on the hot path.
     armed: AtomicBool,
     table: Mutex<Vec<Fault>>,
     connections: Mutex<ConnectionTable>,
@@ -171,7 +171,7 @@
 #[derive(Debug, Default)]
 struct ConnectionTable {
     mode: ConnectionMode,
-    /// Rises by one an accepted connection.
+    /// Number of connections accepted so far.
     accepted: u64,
     /// Connections with a number below this one never answer.
     silent_below: u64,
@@ -179,7 +179,7 @@
     by_port: HashMap<u16, u64>,
 }
 
-/// What the server does with a connection.
+/// What the server does with a request because of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionAction {
     Pass,
@@ -188,22 +188,22 @@
 }
 
 impl Faults {
-    /// Adds a fault after those already there; the first that matches strikes.
+    /// Adds a fault after the existing ones; of several that match, the first applies.
     pub fn add(&self, fault: Fault) {
         lock(&self.shared.table).push(fault);
         self.shared.armed.store(true, Ordering::Release);
     }
 
-    /// Forgets all faults and lets new connections pass.
+    /// Removes all faults and resets the mode to [`ConnectionMode::Pass`].
     ///
-    /// Connections that went silent stay silent.
+    /// Connections silenced by [`ConnectionMode::SilenceExisting`] stay silent.
     pub fn clear(&self) {
         lock(&self.shared.table).clear();
         self.shared.armed.store(false, Ordering::Release);
         self.set_connection_mode(ConnectionMode::Pass);
     }
 
-    /// Sets what becomes of connections.
+    /// Sets the treatment of connections.
     pub fn set_connection_mode(&self, mode: ConnectionMode) {
         let mut table = lock(&self.shared.connections);
         if mode == ConnectionMode::SilenceExisting {
@@ -212,7 +212,7 @@
         table.mode = mode;
     }
 
-    /// Carries out an order of `POST /fake/faults`.
+    /// Applies the body of a `POST /fake/faults`.
     pub fn apply(&self, order: FaultUpdate) {
         if order.clear {
             self.clear();
@@ -225,17 +225,18 @@
         }
     }
 
-    /// The faults that have not yet struck as often as they shall.
+    /// Returns the faults that still apply.
     pub fn list(&self) -> Vec<Fault> {
         lock(&self.shared.table).clone()
     }
 
-    /// Takes the first transport fault that strikes this request.
+    /// Takes the first transport fault that applies to this request.
     pub(crate) fn take_transport(&self, method: &str, path: &str) -> Option<FaultKind> {
         self.take(|f| f.kind.is_transport() && f.applies_to(method, path))
     }
 
-    /// Takes the first fault of a stand-in's own kinds that strikes this path.
+    /// Takes the first fault of the wanted kinds whose path prefix matches; for faults that a
+    /// fake's own handlers inject.
     pub(crate) fn take_application(
         &self,
         path: &str,
@@ -263,7 +264,7 @@
         Some(kind)
     }
 
-    /// Notes a new connection; false when it is to close at once.
+    /// Records a new connection; returns false when it must close at once.
     pub(crate) fn accept(&self, port: u16) -> bool {
         let mut table = lock(&self.shared.connections);
         let number = table.accepted;
@@ -272,7 +273,7 @@
         table.mode != ConnectionMode::Refuse
     }
 
-    /// What becomes of a request on the connection from this remote port.
+    /// Returns what to do with a request on the connection from this remote port.
     pub(crate) fn connection_action(&self, port: u16) -> ConnectionAction {
         let table = lock(&self.shared.connections);
         let number = table.by_port.get(&port).copied().unwrap_or(u64::MAX);
@@ -285,7 +286,8 @@
     }
 }
 
-/// Locks, also after a panic of another holder: a stand-in's state is only ever replaced whole.
+/// Locks a mutex and ignores poisoning: updates of a fake's state leave it consistent if a holder
+/// panics.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/kelpworks-fakes/src/fleet.rs
+++ b/crates/kelpworks-fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole set of stand-ins at once.
+//! A fleet of fakes: engines, plain services, object API, host list and weight store.
 //!
 //! ```
 //! use kelpworks_fakes::FleetConfig;
@@ -37,24 +37,24 @@
 use kelpworks_wire::HostState;
 use kelpworks_wire::LoadedRange;
 
-/// Configuration of a set of stand-ins.
+/// Configuration of a [`FakeFleet`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Engines. Default none.
+    /// Engines to start. Default none.
     pub engines: Vec<EngineConfig>,
-    /// Plain services. Default none.
+    /// Plain services to start. Default none.
     pub services: Vec<PlainServiceConfig>,
-    /// Hosts of the list beside the engines and services, which it always shows. Default none.
+    /// The host list. Hosts of the engines and services are added to its own. Default none.
     pub hosts: HostListConfig,
     /// The object API.
     pub object_api: ObjectApiConfig,
-    /// The weight store; engines that name none use it.
+    /// The weight store, used by engines that name none.
     pub weight_store: WeightStoreConfig,
 }
 
 impl FleetConfig {
-    /// A pipeline over `model`: stages of about equal length, each with this many replicas in
-    /// failure domains of their own, and one plain service `jobs` on two hosts.
+    /// Returns a pipeline over `model`: `stages` layer ranges of about equal length, each with
+    /// `replicas` engines in different failure domains, and a plain service `jobs` on two hosts.
     ///
     /// # Panics
     ///
@@ -62,9 +62,12 @@
     pub fn pipeline(model: &Model, stages: u32, replicas: u32) -> FleetConfig {
         assert!(
             stages > 0 && replicas > 0,
-            "a pipeline has stages and replicas"
+            "a pipeline needs at least one stage and one replica"
+        );
+        assert!(
+            stages <= model.layers(),
+            "each stage needs at least one layer"
         );
-        assert!(stages <= model.layers(), "a stage has a layer");
         let mut fleet = FleetConfig::default();
         for stage in 0..stages {
             let first = stage * model.layers() / stages;
@@ -86,7 +89,7 @@
     }
 }
 
-/// A running set of stand-ins; dropping it stops all.
+/// A running fleet of fakes; dropping it stops all of them.
 #[derive(Debug)]
 pub struct FakeFleet {
     /// The object API.
@@ -101,7 +104,7 @@
     pub services: Vec<PlainService>,
 }
 
-/// Where everything is; what a register and settings need to know.
+/// Addresses and properties of a fleet, as registers and settings need them.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct FleetView {
@@ -111,9 +114,9 @@
     pub host_list: String,
     /// Base URL of the weight store.
     pub weight_store: String,
-    /// Engines.
+    /// Engines, in the order of the configuration.
     pub engines: Vec<EngineView>,
-    /// Plain services.
+    /// Plain services, in the order of the configuration.
     pub services: Vec<ServiceView>,
 }
 
@@ -125,19 +128,19 @@
     pub name: String,
     /// Base URL.
     pub url: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     /// Failure domain.
     pub failure_domain: String,
     /// Kind of accelerator.
     pub accelerator: String,
-    /// Layers of one position that it runs a second; absent: without limit.
+    /// Layer-positions run a second; unlimited if absent.
     pub layer_rate: Option<f64>,
-    /// Whether it refuses an old fencing token.
+    /// Whether orders with a stale fencing token are refused.
     pub checks_fencing: bool,
-    /// Names of the models it may carry.
+    /// Names of the models that it can load.
     pub models: Vec<String>,
-    /// Ranges held.
+    /// Layer ranges loaded at the time of the view.
     pub loaded: Vec<LoadedRange>,
 }
 
@@ -151,18 +154,18 @@
     pub service: String,
     /// Base URL.
     pub url: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     /// Failure domain.
     pub failure_domain: String,
 }
 
 impl FakeFleet {
-    /// Starts all stand-ins.
+    /// Starts all fakes of a fleet.
     ///
     /// # Errors
     ///
-    /// When a port cannot be bound, or an engine is to hold a range that no model has.
+    /// When a port cannot be bound, or an engine is configured with a range outside its models.
     pub async fn spawn(cfg: FleetConfig) -> Result<FakeFleet> {
         let weight_store = WeightStore::spawn(cfg.weight_store).await?;
         let mut engines = Vec::new();
@@ -198,7 +201,7 @@
         })
     }
 
-    /// Where everything is.
+    /// Returns the addresses and properties of the running fakes.
     pub fn view(&self) -> FleetView {
         FleetView {
             object_api: self.object_api.url(),
@@ -209,7 +212,7 @@
         }
     }
 
-    /// The engine of this name.
+    /// Returns the engine of this name.
     ///
     /// # Errors
     ///
@@ -219,7 +222,7 @@
         found.ok_or_else(|| Error::Config(format!("no engine `{name}`")))
     }
 
-    /// All runs of a session on all engines, engine by engine.
+    /// Returns all recorded runs of a session, engine by engine.
     pub fn runs_of(&self, session: &str) -> Vec<Run> {
         let ledgers = self.engines.iter().map(Engine::ledger);
         ledgers.flat_map(|l| l.runs_of(session)).collect()
@@ -227,7 +230,7 @@
 }
 
 impl EngineView {
-    /// Describes an engine.
+    /// Returns the view of a running engine.
     pub fn of(engine: &Engine) -> EngineView {
         let cfg = engine.config();
         EngineView {
@@ -245,7 +248,7 @@
 }
 
 impl ServiceView {
-    /// Describes a plain service.
+    /// Returns the view of a running plain service.
     pub fn of(service: &PlainService) -> ServiceView {
         let cfg = service.config();
         ServiceView {
--- a/crates/kelpworks-fakes/src/host_list.rs
+++ b/crates/kelpworks-fakes/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in host list, which lags.
+//! The fake host list, whose changes become visible after a delay.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,18 +23,18 @@
 use kelpworks_wire::HostList;
 use kelpworks_wire::HostState;
 
-/// Configuration of a stand-in host list.
+/// Configuration of a fake host list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostListConfig {
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
-    /// Time until a change shows. Default 0.
+    /// Delay until a change is visible in `GET /hosts`. Default 0.
     pub lag: Duration,
-    /// Hosts at the start; they show at once. Default none.
+    /// Hosts at start, visible at once. Default none.
     pub hosts: Vec<HostEntry>,
 }
 
-/// A running host list; dropping it stops it.
+/// A running fake host list; dropping it stops it.
 #[derive(Debug)]
 pub struct FakeHostList {
     shared: Arc<Shared>,
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct Shared {
     lag: Duration,
-    /// Lists in order of version; the last one whose time has come is shown. Never empty.
+    /// Lists in order of version; the last whose `visible_at` has passed is served. Never empty.
     lists: Mutex<Vec<ScheduledList>>,
 }
 
@@ -84,17 +84,17 @@
         Ok(FakeHostList { shared, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// The hosts as they are, whether or not they show yet.
+    /// Returns the latest hosts, including changes that are not visible yet.
     pub fn hosts(&self) -> Vec<HostEntry> {
         self.shared.latest().hosts
     }
@@ -104,7 +104,7 @@
         self.shared.change(|all| *all = hosts);
     }
 
-    /// Adds a host, or replaces the one of that name.
+    /// Adds a host, or replaces the one of the same name.
     pub fn set_host(&self, host: HostEntry) {
         self.shared.change(|all| {
             all.retain(|h| h.name != host.name);
@@ -112,7 +112,7 @@
         });
     }
 
-    /// Sets the state of a host.
+    /// Sets the state of a host; without effect if there is none of this name.
     pub fn set_state(&self, name: &str, state: HostState) {
         self.shared.change(|all| {
             for host in all.iter_mut().filter(|h| h.name == name) {
@@ -121,17 +121,17 @@
         });
     }
 
-    /// Removes a host.
+    /// Removes a host, if there is one of this name.
     pub fn remove(&self, name: &str) {
         self.shared.change(|all| all.retain(|h| h.name != name));
     }
 
-    /// Closes its port and all connections, or opens the port again.
+    /// Closes the port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
         self.server.listen_switch().set_listening(listening);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the host list, as dropping it does.
     pub fn stop(self) {}
 }
 
@@ -149,7 +149,7 @@
         lock(&self.lists).push(ScheduledList { visible_at, list });
     }
 
-    /// The list that shows now; forgets those before it.
+    /// Returns the list that is visible now and drops those before it.
     fn visible(&self) -> HostList {
         let now = Instant::now();
         let mut lists = lock(&self.lists);
--- a/crates/kelpworks-fakes/src/lib.rs
+++ b/crates/kelpworks-fakes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins of the systems around kelpworks, for tests, examples and measurements only.
+//! Fakes of the outside systems that kelpworks calls, for tests, examples and benchmarks only.
 //!
-//! Each stand-in serves the same HTTP border as the real system on a loopback port, keeps a ledger
-//! of what it ran, and misbehaves on demand: see [`Fault`] for single requests, [`ConnectionMode`]
-//! for whole connections and [`Link`] for what lies between two ends. The answer that a pipeline
-//! of stand-in engines must give is computed directly by [`Model::answer`].
+//! Each fake serves the HTTP interface of the real system on a loopback port. Engines and plain
+//! services record what they ran in a ledger. Faults are injected into single requests by
+//! [`Fault`], into whole connections by [`ConnectionMode`], and into the network path between two
+//! processes by [`Link`]. [`Model::answer`] computes the answer that a pipeline of fake engines
+//! must give.
 //!
 //! ```
 //! use kelpworks_fakes::Engine;
@@ -22,8 +23,8 @@
 //! # }
 //! ```
 //!
-//! Limits: a stand-in keeps no state over the end of its process, and time in an engine is a model
-//! (one line per iteration), not a measurement of an accelerator.
+//! Limits: a fake keeps its state in memory only, and the time that an engine takes comes from a
+//! linear model of its iterations, not from an accelerator.
 
 mod error;
 mod fault;
--- a/crates/kelpworks-fakes/src/link.rs
+++ b/crates/kelpworks-fakes/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that stands for the link in front of an address.
+//! A TCP relay that simulates a faulty network link to an address.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,11 +18,12 @@
 
 use crate::error::Result;
 
-/// Connections that wait to be accepted, at most.
+/// Limit of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
+/// Bytes read at a time in each direction.
 const BUFFER: usize = 64 << 10;
 
-/// What a link does.
+/// Behavior of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
     /// Forwards both ways.
@@ -30,16 +31,16 @@
     Pass,
     /// Closes all connections and refuses new ones.
     Cut,
-    /// Connections open now never forward again, in any later state but [`LinkState::Cut`]; new
-    /// ones work.
+    /// Connections open at the time of the change never forward again in any later state, until
+    /// [`LinkState::Cut`] closes them; new ones work.
     SilenceExisting,
-    /// Forwards nothing; what was sent meanwhile arrives after the next [`LinkState::Pass`].
+    /// Forwards nothing; data sent meanwhile arrives after the next [`LinkState::Pass`].
     SilenceAll,
-    /// Forwards only what the target answers.
+    /// Forwards only data from the target.
     SilenceForward,
-    /// Forwards only what goes to the target.
+    /// Forwards only data to the target.
     SilenceBack,
-    /// Forwards each piece after this time.
+    /// Forwards each chunk of data after this delay.
     Delay(Duration),
 }
 
@@ -72,7 +73,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Control {
     state: LinkState,
-    /// Rises by one a connection.
+    /// Number of connections accepted so far.
     accepted: u64,
     /// Connections with a number below this one never forward again.
     silent_below: u64,
@@ -85,7 +86,7 @@
     ///
     /// When no port can be bound.
     pub async fn spawn(target: SocketAddr) -> Result<Link> {
-        // Bound, never listening: it keeps the port while the link is cut.
+        // Bound but never listening: reserves the port while the link is cut.
         let reserved_socket = reusable()?;
         reserved_socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let addr = reserved_socket.local_addr()?;
@@ -105,17 +106,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Base URL of an HTTP server behind it.
+    /// Returns the base URL of an HTTP server at the target, through the link.
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
-    /// Sets what it does from now on.
+    /// Sets the behavior of the link from now on.
     pub fn set(&self, state: LinkState) {
         self.control.send_modify(|c| {
             c.state = state;
@@ -125,7 +126,7 @@
         });
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.control.borrow().accepted
     }
@@ -216,13 +217,13 @@
 #[derive(Clone, Debug)]
 struct Direction {
     number: u64,
-    /// The state that stops this direction only.
+    /// The state that blocks this direction only.
     blocked_by: LinkState,
     rx: watch::Receiver<Control>,
 }
 
 impl Direction {
-    /// Waits until this direction may forward.
+    /// Waits until this direction may forward, then for the delay of [`LinkState::Delay`].
     async fn wait_until_open(&mut self) {
         let (number, blocked_by) = (self.number, self.blocked_by);
         let open = |c: &Control| {
--- a/crates/kelpworks-fakes/src/model.rs
+++ b/crates/kelpworks-fakes/src/model.rs
@@ -1,43 +1,43 @@
-//! The stand-in model: a hash chain in place of arithmetic.
+//! The fake model: a hash chain in place of matrix arithmetic.
 //!
-//! Every next token depends on every layer, every earlier position and the prompt, so a layer that
-//! is missed, run twice, run out of order or fed another session's rows changes the answer.
+//! Each next token depends on every layer, every earlier position and the prompt. A layer that is
+//! skipped, run twice, run out of order or given another session's rows changes the answer.
 
 use std::ops::Range;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of tokens; token 0 ends an answer.
+/// Number of distinct tokens; token 0 ends an answer.
 pub const VOCABULARY_SIZE: u32 = 4096;
 
 const END_TOKEN: u32 = 0;
 
-/// A stand-in model.
+/// A fake model of a name, a version and a number of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
     name: String,
     version: String,
     layers: u32,
-    /// Digest of name and version; the seed of every chain.
+    /// Hash of name and version; the start value of every hash chain.
     seed: u64,
 }
 
-/// Running digests of consecutive layers for one session: the stand-in's KV cache.
+/// KV cache of consecutive layers for one session: a running digest for each layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvCache {
-    /// The first layer.
+    /// Index of the first layer.
     first: u32,
-    /// One digest a layer, from `first` on.
+    /// One digest for each layer, from `first` on.
     digests: Vec<u64>,
 }
 
 impl KvCache {
-    /// Restores a cache from exported digests, one a layer.
+    /// Restores a cache from exported digests, one for each layer from `first` on.
     pub fn from_digests(first: u32, digests: Vec<u64>) -> KvCache {
         KvCache { first, digests }
     }
 
-    /// The digests, one a layer.
+    /// Returns the digests, one for each layer.
     pub fn digests(&self) -> &[u64] {
         &self.digests
     }
@@ -67,27 +67,27 @@
         }
     }
 
-    /// The same model at another version.
+    /// Returns the same model at another version.
     pub fn at_version(&self, version: &str) -> Model {
         Model::new(&self.name, version, self.layers)
     }
 
-    /// Name.
+    /// Returns the name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Version.
+    /// Returns the version.
     pub fn version(&self) -> &str {
         &self.version
     }
 
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn layers(&self) -> u32 {
         self.layers
     }
 
-    /// An empty cache over these layers.
+    /// Returns an empty KV cache over these layers.
     pub fn cache(&self, layers: Range<u32>) -> KvCache {
         let first = layers.start;
         let digests = layers
@@ -96,7 +96,7 @@
         KvCache { first, digests }
     }
 
-    /// Input row of the first layer.
+    /// Returns the input row of layer 0 for a token at a position.
     pub fn embed(&self, token: u32, position: u32) -> u64 {
         hash_words([self.seed, u64::from(token), u64::from(position)])
     }
@@ -113,12 +113,12 @@
         row
     }
 
-    /// Next token, from the output row of the last layer.
+    /// Returns the next token, given the output row of the last layer.
     pub fn next_token(&self, row: u64) -> u32 {
         (row % u64::from(VOCABULARY_SIZE)) as u32
     }
 
-    /// The whole answer to a prompt, computed directly; ends before token 0.
+    /// Computes the whole answer to a prompt without engines; token 0, which ends it, is left out.
     ///
     /// An empty prompt has an empty answer.
     pub fn answer(&self, prompt: &[u32], max_tokens: u32) -> Vec<u32> {
@@ -142,19 +142,19 @@
         answer
     }
 
-    /// The text of the whole answer to a prompt.
+    /// Returns the text of the whole answer to a prompt.
     pub fn answer_text(&self, prompt: &str, max_tokens: u32) -> String {
         let answer = self.answer(&tokenize(prompt.as_bytes()), max_tokens);
         answer.into_iter().map(token_text).collect()
     }
 }
 
-/// Tokens of a prompt: one a byte, its value plus one.
+/// Returns the tokens of a prompt: for each byte its value plus one.
 pub fn tokenize(prompt: &[u8]) -> Vec<u32> {
     prompt.iter().map(|b| u32::from(*b) + 1).collect()
 }
 
-/// Text of a generated token: a space and three hex digits.
+/// Returns the text of a generated token: a space and three hex digits.
 pub fn token_text(token: u32) -> String {
     format!(" {token:03x}")
 }
--- a/crates/kelpworks-fakes/src/object_api/http.rs
+++ b/crates/kelpworks-fakes/src/object_api/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP border of the object API.
+//! HTTP interface of the object API.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 type HandlerResult = std::result::Result<HttpResponse, HttpResponse>;
 type State = Arc<Shared>;
 
-/// Header field of the era.
+/// Response header that carries the era of the store.
 const ERA_HEADER: &str = "store-era";
 
 pub(super) fn router() -> Router {
@@ -51,7 +51,7 @@
         .push(Router::with_path("fake/mode").post(post_mode))
 }
 
-/// Kind and name of the object in a request's path.
+/// Kind and name of the object in a request's path; the name is empty if the path has none.
 #[derive(Clone, Debug)]
 struct Path {
     kind: String,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Every answer tells the era that it was given in.
+/// Adds the store's era to each response.
 #[handler]
 async fn add_era_header(
     req: &mut Request,
@@ -130,7 +130,7 @@
     Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
-/// Checks the condition of a write against the current object.
+/// Checks the `if_version` condition of a write against the current object.
 fn check_version(req: &Request, current: Option<&Object>) -> std::result::Result<(), HttpResponse> {
     let Some(wanted) = req.query::<u64>("if_version") else {
         return Ok(());
@@ -194,7 +194,8 @@
         self.faults.take_application(path, wanted).is_some()
     }
 
-    /// Answers a watch once a change shows, the wait is over or the mode changes.
+    /// Answers a watch once there is a change after `from`, the wait has timed out or the mode
+    /// changes.
     async fn wait_for_events(&self, kind: &str, from: u64, wait: Duration) -> HandlerResult {
         let deadline = Instant::now() + wait;
         let mut version = self.version.subscribe();
--- a/crates/kelpworks-fakes/src/object_api/mod.rs
+++ b/crates/kelpworks-fakes/src/object_api/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in object API: versions, conditional updates, watches, rates and outages.
+//! The fake object API: versions, conditional updates, watches, rate limits and outages.
 
 mod http;
 mod store;
@@ -28,20 +28,20 @@
 use kelpworks_wire::ApiErrorCode;
 use kelpworks_wire::Object;
 
-/// Configuration of a stand-in object API.
+/// Configuration of a fake object API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectApiConfig {
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
-    /// Reads a second, watches included. Default 2000.
+    /// Limit of reads a second, including lists and watches. Default 2000.
     pub reads_per_second: u32,
-    /// Writes a second. Default 400.
+    /// Limit of writes and deletes a second. Default 400.
     pub writes_per_second: u32,
-    /// Largest body, in bytes. Default 1,000,000.
+    /// Maximum size of an object's body, in bytes. Default 1,000,000.
     pub max_body: usize,
-    /// Changes kept for watches. Default 10,000.
+    /// Number of changes retained for watches. Default 10,000.
     pub history: usize,
-    /// Time that each call takes. Default 0.
+    /// Duration of each call. Default 0.
     pub latency: Duration,
 }
 
@@ -58,21 +58,21 @@
     }
 }
 
-/// Whether the object API works.
+/// Availability of the object API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ApiMode {
-    /// It works.
+    /// Calls are answered.
     #[default]
     Up,
-    /// It answers 503, also to waiting watches.
+    /// Calls and pending watches are answered with status 503.
     Unavailable,
-    /// It takes calls and never answers; nothing takes effect.
+    /// Calls are accepted and never answered, and have no effect.
     Silent,
 }
 
-/// Calls since the start, those refused included.
+/// Number of calls since the start, including refused ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct CallCounts {
@@ -80,17 +80,17 @@
     pub reads: u64,
     /// Reads of all objects of a kind.
     pub lists: u64,
-    /// Watches, each counted once however long it waits.
+    /// Watches, each counted once regardless of its duration.
     pub watches: u64,
     /// Writes and deletes.
     pub writes: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by a rate limit.
     pub limited: u64,
-    /// Writes in the busiest second.
+    /// Writes and deletes in the busiest second.
     pub peak_writes: u64,
 }
 
-/// A running object API; dropping it stops it and loses its objects.
+/// A running fake object API; dropping it stops it and discards its objects.
 ///
 /// # Examples
 ///
@@ -120,12 +120,12 @@
     faults: Faults,
     store: Mutex<Store>,
     calls: Mutex<Calls>,
-    /// The store's version, for watches that wait.
+    /// The store's version, observed by pending watches.
     version: watch::Sender<u64>,
     mode: watch::Sender<ApiMode>,
-    /// How often it came back from an older copy.
+    /// Number of restores from a copy.
     era: AtomicU64,
-    /// The copy that it comes back from.
+    /// The copy that a restore uses.
     copy: Mutex<Store>,
 }
 
@@ -136,7 +136,7 @@
     writes: TokenBucket,
 }
 
-/// A kind of call, for rates and counts.
+/// Kind of call, for rate limits and counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Read,
@@ -173,55 +173,56 @@
         Ok(ObjectApi { shared, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// Sets whether it works.
+    /// Sets the availability; a pending watch is answered on a change to `Unavailable`.
     pub fn set_mode(&self, mode: ApiMode) {
         self.shared.mode.send_replace(mode);
     }
 
-    /// Closes its port and all connections, or opens the port again; objects are kept.
+    /// Closes the port and all connections, or opens the port again; objects are kept.
     pub fn set_listening(&self, listening: bool) {
         self.server.listen_switch().set_listening(listening);
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn counts(&self) -> CallCounts {
         self.shared.counts()
     }
 
-    /// Reads an object past all rates and faults.
+    /// Returns an object, bypassing rate limits and faults.
     pub fn get(&self, kind: &str, name: &str) -> Option<Object> {
         lock(&self.shared.store).get(kind, name).cloned()
     }
 
-    /// All objects of a kind, past all rates and faults.
+    /// Returns all objects of a kind, bypassing rate limits and faults.
     pub fn list(&self, kind: &str) -> Vec<Object> {
         lock(&self.shared.store).list(kind)
     }
 
-    /// Writes an object past all rates, conditions and faults; returns it.
+    /// Writes and returns an object, bypassing rate limits, conditions and faults.
     pub fn put(&self, kind: &str, name: &str, body: &str) -> Object {
         let object = lock(&self.shared.store).put(kind, name, body.to_owned());
         self.shared.version.send_replace(object.version);
         object
     }
 
-    /// Takes a copy of all objects, in place of the one before. The first is empty.
+    /// Copies all objects for a later restore, replacing the previous copy. The initial copy is
+    /// empty.
     pub fn take_copy(&self) {
         *lock(&self.shared.copy) = lock(&self.shared.store).clone();
     }
 
-    /// Comes back from the copy, in a new era: what was written since is gone, and revisions after it
-    /// are given out again.
+    /// Restores the copy and starts a new era. Changes since the copy are lost, and later changes
+    /// reuse their version numbers.
     pub fn restore(&self) {
         let copy = lock(&self.shared.copy).clone();
         let version = copy.version();
@@ -230,7 +231,7 @@
         self.shared.version.send_replace(version);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the object API, as dropping it does.
     pub fn stop(self) {}
 }
 
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Lets a call through, or says why not.
+    /// Counts a call and applies mode, rate limit and latency; the error is the refusal.
     async fn admit(&self, call: Call) -> std::result::Result<(), HttpResponse> {
         let within = lock(&self.calls).record(call);
         let mode = *self.mode.borrow();
@@ -264,7 +265,7 @@
 }
 
 impl Calls {
-    /// Counts a call; false when it is over its rate.
+    /// Counts a call; returns false when it exceeds its rate limit.
     fn record(&mut self, call: Call) -> bool {
         let (count, rate) = match call {
             Call::Read => (&mut self.counts.reads, &mut self.reads),
--- a/crates/kelpworks-fakes/src/object_api/store.rs
+++ b/crates/kelpworks-fakes/src/object_api/store.rs
@@ -1,4 +1,4 @@
-//! The objects, and the changes kept for watches.
+//! The objects, and the changes retained for watches.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -7,17 +7,17 @@
 use kelpworks_wire::WatchEvent;
 use kelpworks_wire::WatchEventKind;
 
-/// An object and the version before it, for stale reads.
+/// An object's current version, and the previous one for stale reads.
 #[derive(Clone, Debug, Default)]
 struct Slot {
     current: Option<Object>,
     previous: Option<Object>,
 }
 
-/// All objects.
+/// All objects and the latest changes.
 #[derive(Clone, Debug)]
 pub(super) struct Store {
-    /// Rises by one a change.
+    /// Increases by one with each change.
     version: u64,
     /// Slots by kind, then name.
     kinds: BTreeMap<String, BTreeMap<String, Slot>>,
@@ -44,7 +44,7 @@
         self.slot(kind, name)?.current.as_ref()
     }
 
-    /// The version before the current one.
+    /// Returns the version before the current one.
     pub(super) fn get_stale(&self, kind: &str, name: &str) -> Option<&Object> {
         self.slot(kind, name)?.previous.as_ref()
     }
@@ -72,7 +72,7 @@
         object
     }
 
-    /// Deletes an object; false when there is none.
+    /// Deletes an object; returns false when there is none.
     pub(super) fn delete(&mut self, kind: &str, name: &str) -> bool {
         let slot = self.slot_mut(kind, name);
         let Some(mut object) = slot.current.take() else {
@@ -97,8 +97,8 @@
         }
     }
 
-    /// The changes of a kind after a version; absent when some are no longer kept, or when it was given
-    /// out before the store came back from an older copy.
+    /// Returns the changes of a kind after `version`; `None` when some are no longer retained, or
+    /// when `version` is above the store's own, as after a restore of an older copy.
     pub(super) fn events_after(&self, kind: &str, version: u64) -> Option<Vec<WatchEvent>> {
         let oldest = self.version - self.events.len() as u64;
         if version < oldest || version > self.version {
--- a/crates/kelpworks-fakes/src/object_api/token_bucket.rs
+++ b/crates/kelpworks-fakes/src/object_api/token_bucket.rs
@@ -1,15 +1,15 @@
-//! A token bucket that holds one second's calls.
+//! A token bucket whose capacity is one second's calls.
 
 use tokio::time::Instant;
 
-/// Calls a second, with a burst of one second's worth.
+/// Limits calls to a rate, with bursts of up to one second's calls, and records the peak.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     per_second: f64,
-    /// Calls that may come at once; at most `per_second`.
+    /// Calls that may be made at once; at most `per_second`.
     tokens: f64,
     refilled_at: Instant,
-    /// Start of the second that is counted now.
+    /// Start of the second that `in_second` counts.
     second_start: Instant,
     in_second: u64,
     peak: u64,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Counts a call; false when it is over the rate.
+    /// Counts a call; returns false when it exceeds the rate.
     pub(super) fn take(&mut self) -> bool {
         let now = Instant::now();
         self.count(now);
@@ -51,7 +51,7 @@
         self.peak = self.peak.max(self.in_second);
     }
 
-    /// Calls in the busiest second so far.
+    /// Returns the number of calls in the busiest second so far, including refused ones.
     pub(super) fn peak(&self) -> u64 {
         self.peak
     }
--- a/crates/kelpworks-fakes/src/plain_service.rs
+++ b/crates/kelpworks-fakes/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: idempotent reads beside calls that may not be repeated.
+//! The fake plain service, which records each execution of a call, idempotent or not.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,23 +28,23 @@
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Configuration of a stand-in plain service.
+/// Configuration of a fake plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlainServiceConfig {
     /// Host name.
     pub name: String,
-    /// Name of the service it runs.
+    /// Name of the service that the host runs.
     pub service: String,
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
     /// Failure domain, for the register. Default `domain-0`.
     pub failure_domain: String,
-    /// Time that each call takes. Default 0.
+    /// Duration of each call. Default 0.
     pub latency: Duration,
 }
 
 impl PlainServiceConfig {
-    /// A host of this name that runs this service, with the defaults.
+    /// Returns a host of this name that runs this service, with the defaults.
     pub fn new(name: &str, service: &str) -> PlainServiceConfig {
         PlainServiceConfig {
             name: name.to_owned(),
@@ -56,25 +56,25 @@
     }
 }
 
-/// A call that ran; it is also the answer to the call.
+/// Record of a call that ran; also the body of the reply to the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Execution {
     /// Host that ran it.
     pub host: String,
-    /// Place in the order of this host's calls, from 0.
+    /// Sequence number among this host's calls, from 0.
     pub order: u64,
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// The caller's `idempotency-key`.
     pub key: Option<String>,
-    /// Digest of the body.
+    /// XXH3 hash of the request body, in hex.
     pub body: String,
 }
 
-/// A running plain service; dropping it stops it.
+/// A running fake plain service; dropping it stops it.
 #[derive(Debug)]
 pub struct PlainService {
     shared: Arc<Shared>,
@@ -110,49 +110,49 @@
         Ok(PlainService { shared, server })
     }
 
-    /// The configuration it started with.
+    /// Returns the configuration at start.
     pub fn config(&self) -> &PlainServiceConfig {
         &self.shared.cfg
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// All calls that ran, in order.
+    /// Returns all calls that ran, in order.
     pub fn ledger(&self) -> Vec<Execution> {
         lock(&self.shared.ledger).clone()
     }
 
-    /// Calls with this `idempotency-key` that ran.
+    /// Returns how often a call with this `idempotency-key` ran.
     pub fn runs_of(&self, key: &str) -> usize {
         let ledger = lock(&self.shared.ledger);
         let same = ledger.iter().filter(|e| e.key.as_deref() == Some(key));
         same.count()
     }
 
-    /// Sets whether it says that it is leaving.
+    /// Sets whether `GET /healthz` reports that the host is leaving, with status 503.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Closes its port and all connections, or opens the port again.
+    /// Closes the port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
         self.server.listen_switch().set_listening(listening);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the plain service, as dropping it does.
     pub fn stop(self) {}
 }
 
--- a/crates/kelpworks-fakes/src/server.rs
+++ b/crates/kelpworks-fakes/src/server.rs
@@ -1,5 +1,6 @@
-//! The HTTP server that every stand-in shares: it gates requests by the stand-in's faults, and can
-//! go down and come up again on the same port.
+//! The HTTP server that all fakes share.
+//!
+//! It injects transport faults into requests, and its port can be closed and opened again.
 
 use std::future::pending;
 use std::io;
@@ -40,11 +41,11 @@
 use crate::fault::FaultUpdate;
 use crate::fault::Faults;
 
-/// Largest request body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 16 << 20;
-/// Connections that wait to be accepted, at most.
+/// Limit of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
-/// Time between the first half of a cut body and the close.
+/// Delay between the first half of a cut body and the close.
 const CUT_DELAY: Duration = Duration::from_millis(5);
 
 /// A running server; dropping it closes its port and its connections.
@@ -56,27 +57,27 @@
     _task: AbortOnDropHandle<()>,
 }
 
-/// Switch of a server; clones share it.
+/// Opens and closes the port of a server; clones share it.
 #[derive(Clone, Debug)]
 pub(crate) struct ListenSwitch(Arc<watch::Sender<bool>>);
 
 impl ListenSwitch {
-    /// Opens the port, or closes it and all connections.
+    /// Opens the port, or closes it together with all connections.
     pub(crate) fn set_listening(&self, listening: bool) {
         self.0.send_replace(listening);
     }
 }
 
-/// A port that is bound but not yet served, so that a stand-in can know its URL beforehand.
+/// A port that is bound but not yet served, so that a fake knows its URL before it starts.
 #[derive(Debug)]
 pub(crate) struct Port {
-    /// Bound, never listening: it keeps the port while the server is down.
+    /// Bound but never listening: reserves the port while the server doesn't listen.
     reserved_socket: TcpSocket,
     addr: SocketAddr,
 }
 
 impl Port {
-    /// Binds this loopback port; 0 takes a free one.
+    /// Binds a loopback port; 0 takes a free one.
     pub(crate) fn bind(port: u16) -> Result<Port> {
         let reserved_socket = TcpSocket::new_v4()?;
         reserved_socket.set_reuseaddr(true)?;
@@ -92,7 +93,7 @@
         format!("http://{}", self.addr)
     }
 
-    /// Serves `router` on the port; handlers find `state` in the depot.
+    /// Serves `router` on the port; handlers get `state` from the depot by [`state`].
     pub(crate) fn serve<S>(self, faults: Faults, state: Arc<S>, router: Router) -> Result<Server>
     where
         S: Send + Sync + 'static,
@@ -167,7 +168,7 @@
             match listen(self.port.addr) {
                 Ok(again) => acceptor = Some(again),
                 Err(e) => {
-                    log::error!("stand-in cannot listen on {} again: {e}", self.port.addr);
+                    log::error!("fake server cannot listen on {} again: {e}", self.port.addr);
                     drop(self.port.reserved_socket);
                     return;
                 }
@@ -186,7 +187,7 @@
         .try_serve(Service::new(router))
         .await;
     if let Err(e) = served {
-        log::error!("stand-in stopped serving: {e}");
+        log::error!("fake server stopped serving: {e}");
     }
 }
 
@@ -197,7 +198,7 @@
     Ok(TcpAcceptor::try_from(socket.listen(BACKLOG)?)?)
 }
 
-/// The first handler of each request: puts the state in the depot and shows transport faults.
+/// The first handler of each request: puts the state into the depot and injects transport faults.
 struct FaultInjector<S> {
     faults: Faults,
     state: Arc<S>,
@@ -237,12 +238,12 @@
     }
 }
 
-/// Shows a fault that comes before the run; false when the request is not to run.
+/// Injects a fault before the request runs; returns false when it must not run.
 async fn inject_before(fault: Option<&FaultKind>, req: &mut Request, res: &mut Response) -> bool {
     match fault {
         Some(FaultKind::ResetBefore) => close(req).await,
         Some(FaultKind::SilentBefore) => {
-            // The body is read, so that the caller sees its request taken.
+            // Reads the body, so that the caller can send its whole request.
             let _ = req.payload_with_max_size(MAX_BODY).await;
             pending().await
         }
@@ -256,7 +257,7 @@
     true
 }
 
-/// Shows a fault that comes after the run.
+/// Injects a fault after the request has run.
 async fn inject_after(fault: Option<FaultKind>, req: &mut Request, res: &mut Response) {
     match fault {
         Some(FaultKind::ResetAfter) => close(req).await,
@@ -271,7 +272,7 @@
     }
 }
 
-/// Closes the connection of a request without a reply.
+/// Closes the connection of a request without a reply; never returns.
 async fn close(req: &Request) {
     if let Some(conn) = req.extensions().get::<ConnCtrl>() {
         conn.abort();
@@ -316,17 +317,17 @@
     }
 }
 
-/// The value that the gate put into the depot.
+/// Returns the value of this type that [`FaultInjector`] put into the depot.
 ///
 /// # Panics
 ///
-/// When the gate put no value of this type.
+/// When it put no value of this type.
 pub(crate) fn state<T: Clone + Send + Sync + 'static>(depot: &Depot) -> T {
     let found = depot.get_typed::<T>().ok().cloned();
-    found.expect("the gate injects the state of its own server")
+    found.expect("the fault injector adds the state of its own server")
 }
 
-/// Reads a JSON body; the error is the answer to give.
+/// Reads a JSON body; the error is the response to return.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     req: &mut Request,
 ) -> std::result::Result<T, HttpResponse> {
@@ -335,7 +336,7 @@
         .map_err(|e| HttpResponse::text(StatusCode::BAD_REQUEST, e.to_string()))
 }
 
-/// Reads a whole body; the error is the answer to give.
+/// Reads a whole body; the error is the response to return.
 pub(crate) async fn read_body(req: &mut Request) -> std::result::Result<Bytes, HttpResponse> {
     match req.payload_with_max_size(MAX_BODY).await {
         Ok(body) => Ok(body.clone()),
@@ -346,7 +347,7 @@
     }
 }
 
-/// A whole answer of a stand-in.
+/// Complete HTTP response of a fake.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpResponse {
     status: StatusCode,
--- a/crates/kelpworks-fakes/src/weight_store.rs
+++ b/crates/kelpworks-fakes/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The stand-in weight store, whose rate all readers share.
+//! The fake weight store, whose bandwidth all readers share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,14 +21,14 @@
 use crate::server::state;
 use kelpworks_wire::WeightsReply;
 
-/// Configuration of a stand-in weight store.
+/// Configuration of a fake weight store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightStoreConfig {
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
-    /// Bytes a second, over all readers. Default infinite.
+    /// Bandwidth over all readers, in bytes a second. Default infinite.
     pub bytes_per_second: f64,
-    /// Weights of one layer, in bytes. Default 1,000,000.
+    /// Size of one layer's weights, in bytes. Default 1,000,000.
     pub layer_bytes: u64,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A running weight store; dropping it stops it.
+/// A running fake weight store; dropping it stops it.
 #[derive(Debug)]
 pub struct WeightStore {
     shared: Arc<Shared>,
@@ -55,10 +55,10 @@
     read_queue: Mutex<ReadQueue>,
 }
 
-/// Reads follow one another at the store's rate.
+/// Schedule of reads, which run one after another at the store's bandwidth.
 #[derive(Debug)]
 struct ReadQueue {
-    /// When the last read admitted so far ends.
+    /// Time at which the last queued read ends.
     idle_at: Instant,
     bytes: u64,
 }
@@ -84,27 +84,27 @@
         Ok(WeightStore { shared, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// Bytes asked for so far.
+    /// Returns the number of bytes requested so far.
     pub fn bytes(&self) -> u64 {
         lock(&self.shared.read_queue).bytes
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the weight store, as dropping it does.
     pub fn stop(self) {}
 }
 
 impl Shared {
-    /// Queues a read; returns when it ends.
+    /// Queues a read and returns the time at which it ends.
     fn reserve(&self, bytes: u64) -> Instant {
         let takes = Duration::from_secs_f64(bytes as f64 / self.cfg.bytes_per_second);
         let mut read_queue = lock(&self.read_queue);
--- a/crates/kelpworks-fakes/tests/engine.rs
+++ b/crates/kelpworks-fakes/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine border.
+//! The HTTP interface of the fake engine.
 
 mod support;
 
@@ -37,7 +37,7 @@
 use support::step;
 use support::try_steps;
 
-/// An engine that holds layers 0..4, and ran positions 0..3 of layers 0..2 of session `s`.
+/// An engine with layers 0..4 loaded that ran positions 0..3 of session `s` over layers 0..2.
 async fn used_engine() -> Engine {
     let mut cfg = EngineConfig::new("e", vec![model()]);
     cfg.load("caption", 0..4);
--- a/crates/kelpworks-fakes/tests/faults.rs
+++ b/crates/kelpworks-fakes/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What a caller sees of each fault, and what the ledger shows of it.
+//! Faults of the fake engine, as the caller and the ledger see them.
 
 mod support;
 
@@ -30,7 +30,7 @@
     Engine::spawn(cfg).await.unwrap()
 }
 
-/// What the caller of one step sees.
+/// Runs one step and describes what its caller observes.
 async fn observe(engine: &Engine, step: Step, wait: Duration) -> String {
     let url = engine.url();
     let call = try_steps(&url, vec![step]);
--- a/crates/kelpworks-fakes/tests/model.rs
+++ b/crates/kelpworks-fakes/tests/model.rs
@@ -1,4 +1,4 @@
-//! The stand-in model.
+//! The fake model.
 
 use std::ops::Range;
 use std::slice;
@@ -17,7 +17,7 @@
 /// All layers in one range.
 const WHOLE: &[Range<u32>] = slice::from_ref(&(0..LAYERS));
 
-/// The final row of a prompt, run as these layer ranges, the way a pipeline does.
+/// Returns the final row of a prompt that is run through these layer ranges, as a pipeline does.
 fn row_through(ranges: &[Range<u32>], prompt: &[u32]) -> u64 {
     let model = Model::new("caption", "1", LAYERS);
     let mut row = 0;
--- a/crates/kelpworks-fakes/tests/object_api.rs
+++ b/crates/kelpworks-fakes/tests/object_api.rs
@@ -1,4 +1,4 @@
-//! Contract of the object API.
+//! The HTTP interface of the fake object API.
 
 mod support;
 
@@ -24,7 +24,7 @@
     ObjectApi::spawn(ObjectApiConfig::default()).await.unwrap()
 }
 
-/// The status and body of a call that is answered or loses its connection.
+/// Returns the status and body of a call, or `connection lost`.
 async fn call(api: &ObjectApi, method: Method, path: &str, body: &str) -> String {
     call_for(api, method, path, body, reply_timeout(true)).await
 }
@@ -79,7 +79,7 @@
         log += &format!("{method} {path} {body}\n  {seen}\n");
     }
     let counts = CallCounts {
-        // Depends on the second in which a call fell.
+        // Depends on which calls fall into the same second.
         peak_writes: 0,
         ..api.counts()
     };
--- a/crates/kelpworks-fakes/tests/platform.rs
+++ b/crates/kelpworks-fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Contract of the host list, the plain service and the link.
+//! The fake host list, the fake plain service and the link.
 
 mod support;
 
@@ -109,7 +109,7 @@
     assert_eq!(client().get(url).send().await.unwrap().status(), wanted);
 }
 
-/// Whether a call is answered; `wanted` only bounds the wait.
+/// Returns whether a call is answered; `wanted` only selects the timeout.
 async fn answered(client: &Client, url: &str, wanted: bool) -> bool {
     let call = async { client.get(url).send().await?.bytes().await };
     matches!(
--- a/crates/kelpworks-fakes/tests/support/mod.rs
+++ b/crates/kelpworks-fakes/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the contract tests share: a client of the borders, and a driver of a whole pipeline.
+//! Helpers of the interface tests: an HTTP client, and a driver of a whole pipeline.
 
-// Each test file is a crate of its own and uses a part of this.
+// Each test file is a separate crate and uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -24,7 +24,7 @@
 use kelpworks_wire::StepOutcome;
 use kelpworks_wire::StepReply;
 
-/// Longest wait for an answer that is to come; for one that is not to come, long enough to tell.
+/// Returns the timeout for a reply: generous if one is expected, short if none is.
 pub(crate) fn reply_timeout(expected: bool) -> Duration {
     match expected {
         true => Duration::from_secs(60),
@@ -133,5 +133,5 @@
             other => panic!("{other:?}"),
         };
     }
-    panic!("the last stage gave no token");
+    panic!("the last stage returned no token");
 }
--- a/crates/kelpworks-wire/src/lib.rs
+++ b/crates/kelpworks-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire types of the borders of kelpworks: callers, engines, the object API,
-//! the host list and the weight store.
+//! Wire types of the interfaces of kelpworks: callers, peer daemons, engines, the object API, the
+//! host list and the weight store.
 //!
-//! One module, generated from `schemas/wire.json` and committed. Another format
-//! on a border is another adapter that turns its own types into these.
+//! The types are generated from `schemas/wire.json` and committed. To support another wire format,
+//! an adapter converts its own types to and from these.
 //!
 //! ```
 //! use kelpworks_wire::LayerRange;
--- a/crates/kelpworks-wiregen/src/generate.rs
+++ b/crates/kelpworks-wiregen/src/generate.rs
@@ -1,4 +1,4 @@
-//! From the JSON schema of the borders to Rust source text.
+//! Generates Rust source text from the JSON schema of the wire types.
 
 use std::error::Error;
 use std::fs;
@@ -8,12 +8,12 @@
 use typify::TypeSpace;
 use typify::TypeSpaceSettings;
 
-/// The result of this module: any failure ends the generator.
+/// Result of the generator; any error ends the program.
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// Where the schema stands, below the wire crate.
+/// Path of the schema, relative to the wire crate.
 pub(crate) const SCHEMA: &str = "schemas/wire.json";
-/// Where the generated types go, below the wire crate.
+/// Path of the generated types, relative to the wire crate.
 pub(crate) const OUTPUT: &str = "src/types.rs";
 
 const HEADER: &str = "// Generated from `schemas/wire.json` by `kelpworks-wiregen`; change the schema, not this.\n\n";
--- a/crates/kelpworks-wiregen/src/main.rs
+++ b/crates/kelpworks-wiregen/src/main.rs
@@ -1,6 +1,8 @@
 //! Generator of the wire types, run by hand after a change of the schema:
-//! `cargo run -p kelpworks-wiregen`. The result is committed, so that a build
-//! of the product needs no generator; a test here tells when it is out of date.
+//! `cargo run -p kelpworks-wiregen`.
+//!
+//! The result is committed, so that a build of kelpworks doesn't need the generator. A test of this
+//! crate fails when the committed file is out of date.
 
 use std::fs;
 use std::path::PathBuf;
