--- a/crates/kelpworks-fakes/src/config_files.rs
+++ b/crates/kelpworks-fakes/src/config_files.rs
@@ -52,8 +52,8 @@
 /// Returns a register that lists the models, engines and services of a fake fleet.
 pub fn register(view: &FleetView, models: &[Model]) -> String {
     let mut text = String::new();
-    kinds(&mut text, view);
-    for domain in domains(view) {
+    write_accelerators(&mut text, view);
+    for domain in failure_domains(view) {
         let _ = writeln!(
             text,
             "[[failure_domain]]\nname = \"{domain}\"\nregion = \"local\"\n"
@@ -90,7 +90,7 @@
     text
 }
 
-fn kinds(text: &mut String, view: &FleetView) {
+fn write_accelerators(text: &mut String, view: &FleetView) {
     let mut seen: Vec<&str> = Vec::new();
     for engine in &view.engines {
         if seen.contains(&engine.accelerator.as_str()) {
@@ -106,7 +106,7 @@
     }
 }
 
-fn domains(view: &FleetView) -> Vec<&str> {
+fn failure_domains(view: &FleetView) -> Vec<&str> {
     let engines = view.engines.iter().map(|e| e.failure_domain.as_str());
     let services = view.services.iter().map(|s| s.failure_domain.as_str());
     let mut domains: Vec<&str> = engines.chain(services).collect();
--- a/crates/kelpworks-fakes/src/engine/config.rs
+++ b/crates/kelpworks-fakes/src/engine/config.rs
@@ -22,7 +22,7 @@
     pub failure_domain: String,
     /// Kind of accelerator, for the register. Default `standard`.
     pub accelerator: String,
-    /// Models that it can load; the versions are those loaded at start.
+    /// Models that the engine can load; the versions are those loaded at start.
     pub models: Vec<Model>,
     /// Layer ranges loaded at start. Default none.
     pub loaded: Vec<LoadedRange>,
@@ -41,14 +41,14 @@
     /// Capacity of the KV cache over all sessions, in positions. Default 1,000,000.
     pub kv_capacity: u64,
     /// Output rows retained for each attempt and layer range, one a position. Default 4096.
-    pub retain: usize,
+    pub retained_rows: usize,
     /// Maximum number of cached prompt prefixes. Default 256.
     pub cache_entries: usize,
     /// Delay until a cache event is visible to readers. Default 0.
     pub cache_event_delay: Duration,
     /// Time for which a load report is reused before it is measured again. Default 0.
     pub load_lag: Duration,
-    /// Whether an order whose fencing token is lower than one seen before is refused. Default true.
+    /// Whether an order is refused if its lease had a higher fencing token before. Default true.
     pub checks_fencing: bool,
     /// Base URL of the weight store; if absent, ranges load at once. Default absent.
     pub weight_store: Option<String>,
@@ -77,7 +77,7 @@
             queue_bound: 1024,
             retry_after: Duration::from_millis(50),
             kv_capacity: 1_000_000,
-            retain: 4096,
+            retained_rows: 4096,
             cache_entries: 256,
             cache_event_delay: Duration::ZERO,
             load_lag: Duration::ZERO,
--- a/crates/kelpworks-fakes/src/engine/core.rs
+++ b/crates/kelpworks-fakes/src/engine/core.rs
@@ -75,7 +75,7 @@
     pub(crate) fencing_tokens: FencingTokens,
     draining: bool,
     kv_capacity: u64,
-    retain: usize,
+    retained_rows: usize,
     retry_after_ms: u32,
 }
 
@@ -89,7 +89,7 @@
             fencing_tokens: FencingTokens::new(cfg.checks_fencing),
             draining: false,
             kv_capacity: cfg.kv_capacity,
-            retain: cfg.retain,
+            retained_rows: cfg.retained_rows,
             retry_after_ms: cfg.retry_after.as_millis() as u32,
         };
         for range in &cfg.loaded {
@@ -277,13 +277,15 @@
             self.sessions.insert(&step.session, shard);
         }
         self.sessions.add_kv_used(rows.len() as u32);
-        let retain = self.retain;
+        let retained_rows = self.retained_rows;
         let found = self
             .sessions
             .shard_mut(&step.session, step.attempt, &step.layers);
         let shard =
             found.expect("a step at position 0 created the shard, and check() found any other");
-        rows.into_iter().map(|r| shard.advance(r, retain)).collect()
+        rows.into_iter()
+            .map(|r| shard.advance(r, retained_rows))
+            .collect()
     }
 
     pub(crate) fn busy(&self) -> StepOutcome {
--- a/crates/kelpworks-fakes/src/engine/sessions.rs
+++ b/crates/kelpworks-fakes/src/engine/sessions.rs
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Runs the next position and returns its output row; retains the last `retain` rows.
-    pub(crate) fn advance(&mut self, row: u64, retain: usize) -> u64 {
+    /// Runs the next position and returns its output row; keeps the last `retained_rows`.
+    pub(crate) fn advance(&mut self, row: u64, retained_rows: usize) -> u64 {
         let out = self.model.run(&mut self.kv, row, self.positions);
         self.positions += 1;
         self.rows.push_back(out);
-        while self.rows.len() > retain {
+        while self.rows.len() > retained_rows {
             self.rows.pop_front();
         }
         out
--- a/crates/kelpworks-fakes/src/fault.rs
+++ b/crates/kelpworks-fakes/src/fault.rs
@@ -42,7 +42,7 @@
     OtherSession,
     /// Engine: a step runs, and its reply names another layer range.
     WrongRange,
-    /// Engine: the next step crashes it.
+    /// Engine: the next step crashes the engine.
     Crash,
     /// Engine: a cache event is lost, leaving a gap in the sequence numbers.
     LostCacheEvent,
@@ -79,7 +79,7 @@
     /// front, as in `GET /objects`, a transport fault applies to that method only.
     #[serde(default)]
     pub matches: String,
-    /// Number of requests that it still applies to; if absent, it applies until cleared.
+    /// Number of requests that the fault still applies to; if absent, it applies until cleared.
     #[serde(default)]
     pub count: Option<u32>,
 }
@@ -286,8 +286,8 @@
     }
 }
 
-/// Locks a mutex and ignores poisoning: updates of a fake's state leave it consistent if a holder
-/// panics.
+/// Locks a mutex, also after a panic of another holder: a fake's state is only replaced as a whole,
+/// so a panic leaves it consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/kelpworks-fakes/src/fleet.rs
+++ b/crates/kelpworks-fakes/src/fleet.rs
@@ -44,7 +44,7 @@
     pub engines: Vec<EngineConfig>,
     /// Plain services to start. Default none.
     pub services: Vec<PlainServiceConfig>,
-    /// The host list. Hosts of the engines and services are added to its own. Default none.
+    /// The host list. Hosts of the engines and services are added to its own. Default: no own hosts.
     pub hosts: HostListConfig,
     /// The object API.
     pub object_api: ObjectApiConfig,
@@ -138,7 +138,7 @@
     pub layer_rate: Option<f64>,
     /// Whether orders with a stale fencing token are refused.
     pub checks_fencing: bool,
-    /// Names of the models that it can load.
+    /// Names of the models that the engine can load.
     pub models: Vec<String>,
     /// Layer ranges loaded at the time of the view.
     pub loaded: Vec<LoadedRange>,
--- a/crates/kelpworks-fakes/tests/engine.rs
+++ b/crates/kelpworks-fakes/tests/engine.rs
@@ -47,7 +47,7 @@
     engine
 }
 
-fn later(position: u32) -> Step {
+fn next_step(position: u32) -> Step {
     Step {
         position,
         ..step(vec![4_u32])
@@ -74,17 +74,17 @@
 }
 
 #[rstest]
-#[case::next(later(3), None)]
-#[case::gap(later(4), Some((RefusalReason::PositionGap, 3)))]
-#[case::repeated(later(2), Some((RefusalReason::PositionGap, 3)))]
+#[case::next(next_step(3), None)]
+#[case::gap(next_step(4), Some((RefusalReason::PositionGap, 3)))]
+#[case::repeated(next_step(2), Some((RefusalReason::PositionGap, 3)))]
 #[case::restarted_at_position_0(step(vec![1_u32]), Some((RefusalReason::PositionGap, 3)))]
 #[case::new_attempt(Step { attempt: 2, ..step(vec![1_u32]) }, None)]
 #[case::unknown_session(
-    Step { session: "t".to_owned(), ..later(3) },
+    Step { session: "t".to_owned(), ..next_step(3) },
     Some((RefusalReason::PositionGap, 0))
 )]
 #[case::other_layer_split(
-    Step { layers: layers(0, 4), ..later(3) },
+    Step { layers: layers(0, 4), ..next_step(3) },
     Some((RefusalReason::WrongLayers, 0))
 )]
 #[case::not_loaded(
@@ -104,7 +104,7 @@
     Some((RefusalReason::WrongVersion, 0))
 )]
 #[case::version_changed(
-    Step { version: "2".to_owned(), ..later(3) },
+    Step { version: "2".to_owned(), ..next_step(3) },
     Some((RefusalReason::WrongVersion, 3))
 )]
 #[case::rows_for_layer_0(
@@ -157,7 +157,10 @@
     let engine = used_engine().await;
     let drain = post(&engine.url(), "/fake/draining", &true).await.unwrap();
     assert_eq!(drain.status(), StatusCode::NO_CONTENT);
-    assert!(matches!(run(&engine, later(3)).await, StepOutcome::Rows(_)));
+    assert!(matches!(
+        run(&engine, next_step(3)).await,
+        StepOutcome::Rows(_)
+    ));
     let new_session = Step {
         session: "t".to_owned(),
         ..step(vec![1_u32])
@@ -178,7 +181,7 @@
     let res = post(&engine.url(), "/v1/cancel", &req).await.unwrap();
     assert_eq!(res.status(), StatusCode::NO_CONTENT);
     assert_eq!((engine.sessions(), engine.kv_free()), (0, 100));
-    for late in [later(3), step(vec![1_u32])] {
+    for late in [next_step(3), step(vec![1_u32])] {
         let outcome = run(&engine, late).await;
         assert!(matches!(outcome, StepOutcome::Refused(_)), "{outcome:?}");
     }
@@ -214,10 +217,10 @@
 }
 
 #[tokio::test]
-async fn rows_beyond_retain_limit_are_dropped() {
+async fn rows_beyond_retention_limit_are_dropped() {
     let mut cfg = EngineConfig::new("e", vec![model()]);
     cfg.load("caption", 0..4);
-    cfg.retain = 2;
+    cfg.retained_rows = 2;
     let engine = Engine::spawn(cfg).await.unwrap();
     run(&engine, step(vec![1, 2, 3_u32])).await;
     for (handle, count, status) in [("s/1/0/0", 1, 404), ("s/1/0/1", 2, 200)] {
@@ -235,7 +238,10 @@
     while try_steps(&engine.url(), Vec::new()).await.is_ok() {}
     engine.set_listening(true);
     while try_steps(&engine.url(), Vec::new()).await.is_err() {}
-    assert!(matches!(run(&engine, later(3)).await, StepOutcome::Rows(_)));
+    assert!(matches!(
+        run(&engine, next_step(3)).await,
+        StepOutcome::Rows(_)
+    ));
 }
 
 #[tokio::test]
@@ -254,9 +260,9 @@
     assert_eq!(res.status(), StatusCode::NO_CONTENT);
     let moved = Step {
         attempt: 2,
-        ..later(3)
+        ..next_step(3)
     };
-    assert_eq!(run(&target, moved).await, run(&source, later(3)).await);
+    assert_eq!(run(&target, moved).await, run(&source, next_step(3)).await);
 }
 
 fn order(token: u64, action: OrderAction) -> EngineOrder {
--- a/crates/kelpworks-wire/tests/wire_types.rs
+++ b/crates/kelpworks-wire/tests/wire_types.rs
@@ -148,8 +148,8 @@
         let forms: Vec<_> = forms.iter().map(|f| values(f, all)).collect();
         return proptest::strategy::Union::new(forms).boxed();
     }
-    if let Some(words) = schema["enum"].as_array() {
-        return prop::sample::select(words.clone()).boxed();
+    if let Some(variants) = schema["enum"].as_array() {
+        return prop::sample::select(variants.clone()).boxed();
     }
     match schema["type"].as_str() {
         Some("string") => any::<String>().prop_map(Value::from).boxed(),
@@ -205,12 +205,12 @@
 /// Generates a type whose schema passes `filter`, and a value that the schema allows.
 fn typed(filter: fn(&Value) -> bool) -> impl Strategy<Value = (WireType, Value)> {
     let all = definitions();
-    let fit: Vec<WireType> = TYPES
+    let matching: Vec<WireType> = TYPES
         .iter()
         .copied()
         .filter(|t| filter(&all[t.name]))
         .collect();
-    prop::sample::select(fit)
+    prop::sample::select(matching)
         .prop_flat_map(move |t| values(&all[t.name], &all).prop_map(move |value| (t, value)))
 }
 
@@ -239,18 +239,18 @@
 
     #[test]
     fn schema_values_round_trip_unchanged((t, value) in typed(any_schema)) {
-        let back = (t.read)(value.to_string().as_bytes());
-        prop_assert_eq!(back.expect(t.name), value);
+        let parsed = (t.read)(value.to_string().as_bytes());
+        prop_assert_eq!(parsed.expect(t.name), value);
     }
 
     /// A later release of the other side may send fields that are unknown here. They are neither
     /// kept nor forwarded.
     #[test]
     fn unknown_field_is_ignored((t, value) in typed(is_object), extra: String) {
-        let mut more = value.clone();
-        more["x-later"] = json!({ "deep": [extra] });
-        let back = (t.read)(more.to_string().as_bytes());
-        prop_assert_eq!(back.expect(t.name), value);
+        let mut extended = value.clone();
+        extended["x-later"] = json!({ "deep": [extra] });
+        let parsed = (t.read)(extended.to_string().as_bytes());
+        prop_assert_eq!(parsed.expect(t.name), value);
     }
 
     /// A missing required field is not replaced by a default.
@@ -259,9 +259,9 @@
         let schema = &definitions()[t.name];
         let required = schema["required"].as_array().cloned().unwrap_or_default();
         let name = at.get(&required).as_str().expect("a name");
-        let mut less = value;
-        less.as_object_mut().expect("an object").remove(name);
-        prop_assert!((t.read)(less.to_string().as_bytes()).is_err());
+        let mut incomplete = value;
+        incomplete.as_object_mut().expect("an object").remove(name);
+        prop_assert!((t.read)(incomplete.to_string().as_bytes()).is_err());
     }
 
     #[test]
