--- a/crates/kelpworks-fakes/src/engine/sessions.rs
+++ b/crates/kelpworks-fakes/src/engine/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of an engine: for each attempt and layer range, the KV cache and the rows kept.
+//! Sessions of an engine: the KV cache and retained rows of each attempt and layer range.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,26 +9,26 @@
 use kelpworks_wire::CancelRequest;
 use kelpworks_wire::LayerRange;
 
-/// Cancelled sessions remembered, so that a late step does not run again.
-const ENDED_LIMIT: usize = 65_536;
+/// Cancelled sessions remembered so that a late step of them is refused.
+const MAX_CANCELLED_SESSIONS: usize = 65_536;
 
-/// One session's part on this engine: an attempt over a layer range.
+/// State of one attempt of a session over one layer range.
 #[derive(Debug)]
-pub(crate) struct Part {
+pub(crate) struct Shard {
     pub(crate) attempt: u32,
     pub(crate) layers: LayerRange,
     pub(crate) model: Arc<Model>,
     pub(crate) kv: KvCache,
-    /// Positions run, from 0 on without a gap.
+    /// Number of positions run: 0 to `positions - 1`, without a gap.
     pub(crate) positions: u32,
-    /// Output rows of the last positions; the newest is of `positions - 1`.
+    /// Output rows of the latest positions; the last is of position `positions - 1`.
     rows: VecDeque<u64>,
 }
 
-impl Part {
-    pub(crate) fn new(attempt: u32, layers: LayerRange, model: Arc<Model>) -> Part {
+impl Shard {
+    pub(crate) fn new(attempt: u32, layers: LayerRange, model: Arc<Model>) -> Shard {
         let kv = model.cache(layers.first..layers.end);
-        Part {
+        Shard {
             attempt,
             layers,
             model,
@@ -38,18 +38,18 @@
         }
     }
 
-    /// Runs the next position and keeps its row, and `retain` rows in all.
-    pub(crate) fn advance(&mut self, row: u64, retain: usize) -> u64 {
+    /// Runs the next position and returns its output row; keeps the last `retained_rows`.
+    pub(crate) fn advance(&mut self, row: u64, retained_rows: usize) -> u64 {
         let out = self.model.run(&mut self.kv, row, self.positions);
         self.positions += 1;
         self.rows.push_back(out);
-        while self.rows.len() > retain {
+        while self.rows.len() > retained_rows {
             self.rows.pop_front();
         }
         out
     }
 
-    /// The rows of `count` positions from `first` on; absent when not all are kept.
+    /// Returns the rows of `count` positions from `first` on; `None` unless all are retained.
     fn rows(&self, first: u32, count: u32) -> Option<Vec<u64>> {
         let oldest = self.positions - self.rows.len() as u32;
         let start = first.checked_sub(oldest)? as usize;
@@ -61,110 +61,113 @@
     }
 }
 
-/// All sessions of an engine.
+/// All sessions of an engine, and the latest cancellations.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    parts: HashMap<String, Vec<Part>>,
-    /// KV cache in use: the sum of `positions` over all parts.
-    used: u64,
-    /// Highest cancelled attempt of the latest cancelled sessions.
-    ended: HashMap<String, u32>,
-    /// Keys of `ended`, oldest first.
-    ended_order: VecDeque<String>,
+    shards: HashMap<String, Vec<Shard>>,
+    /// KV cache in use, in positions: the sum over all shards.
+    kv_used: u64,
+    /// Highest cancelled attempt of each of the latest cancelled sessions.
+    cancelled: HashMap<String, u32>,
+    /// Keys of `cancelled`, oldest first.
+    cancelled_order: VecDeque<String>,
 }
 
 impl Sessions {
-    pub(crate) fn used(&self) -> u64 {
-        self.used
+    pub(crate) fn kv_used(&self) -> u64 {
+        self.kv_used
     }
 
-    pub(crate) fn take_kv(&mut self, positions: u32) {
-        self.used += u64::from(positions);
+    pub(crate) fn add_kv_used(&mut self, positions: u32) {
+        self.kv_used += u64::from(positions);
     }
 
-    /// Whether this attempt was cancelled.
-    pub(crate) fn ended(&self, session: &str, attempt: u32) -> bool {
-        self.ended.get(session).is_some_and(|a| attempt <= *a)
+    /// Returns whether this attempt or a later one of the session was cancelled.
+    pub(crate) fn is_cancelled(&self, session: &str, attempt: u32) -> bool {
+        self.cancelled.get(session).is_some_and(|a| attempt <= *a)
     }
 
-    /// The parts of an attempt, over all layer ranges.
-    pub(crate) fn attempt(&self, session: &str, attempt: u32) -> impl Iterator<Item = &Part> {
-        let parts = self.parts.get(session).map_or(&[][..], Vec::as_slice);
-        parts.iter().filter(move |p| p.attempt == attempt)
+    /// Returns the shards of an attempt, one for each layer range.
+    pub(crate) fn attempt(&self, session: &str, attempt: u32) -> impl Iterator<Item = &Shard> {
+        let shards = self.shards.get(session).map_or(&[][..], Vec::as_slice);
+        shards.iter().filter(move |p| p.attempt == attempt)
     }
 
-    /// The part of an attempt over exactly these layers.
-    pub(crate) fn part_mut(
+    /// Returns the shard of an attempt over exactly these layers.
+    pub(crate) fn shard_mut(
         &mut self,
         session: &str,
         attempt: u32,
         layers: &LayerRange,
-    ) -> Option<&mut Part> {
-        let parts = self.parts.get_mut(session)?;
-        parts
+    ) -> Option<&mut Shard> {
+        let shards = self.shards.get_mut(session)?;
+        shards
             .iter_mut()
             .find(|p| p.attempt == attempt && p.layers == *layers)
     }
 
-    pub(crate) fn insert(&mut self, session: &str, part: Part) {
-        self.used += u64::from(part.positions);
-        match self.parts.get_mut(session) {
-            Some(parts) => parts.push(part),
+    pub(crate) fn insert(&mut self, session: &str, shard: Shard) {
+        self.kv_used += u64::from(shard.positions);
+        match self.shards.get_mut(session) {
+            Some(shards) => shards.push(shard),
             None => {
-                self.parts.insert(session.to_owned(), vec![part]);
+                self.shards.insert(session.to_owned(), vec![shard]);
             }
         }
     }
 
-    /// Ends all attempts of a session up to the one given.
+    /// Cancels all attempts of a session up to the one given and frees their KV cache.
     pub(crate) fn cancel(&mut self, req: &CancelRequest) {
-        if let Some(parts) = self.parts.get_mut(&req.session) {
-            let ended = parts.extract_if(.., |p| p.attempt <= req.attempt);
-            self.used -= ended.map(|p| u64::from(p.positions)).sum::<u64>();
-            if parts.is_empty() {
-                self.parts.remove(&req.session);
+        if let Some(shards) = self.shards.get_mut(&req.session) {
+            let removed = shards.extract_if(.., |p| p.attempt <= req.attempt);
+            self.kv_used -= removed.map(|p| u64::from(p.positions)).sum::<u64>();
+            if shards.is_empty() {
+                self.shards.remove(&req.session);
             }
         }
-        let ended = self.ended.entry(req.session.clone()).or_insert_with(|| {
-            self.ended_order.push_back(req.session.clone());
-            req.attempt
-        });
-        *ended = req.attempt.max(*ended);
-        while self.ended_order.len() > ENDED_LIMIT {
-            if let Some(oldest) = self.ended_order.pop_front() {
-                self.ended.remove(&oldest);
+        let highest = self
+            .cancelled
+            .entry(req.session.clone())
+            .or_insert_with(|| {
+                self.cancelled_order.push_back(req.session.clone());
+                req.attempt
+            });
+        *highest = req.attempt.max(*highest);
+        while self.cancelled_order.len() > MAX_CANCELLED_SESSIONS {
+            if let Some(oldest) = self.cancelled_order.pop_front() {
+                self.cancelled.remove(&oldest);
             }
         }
     }
 
-    /// Drops the parts for which `keep` is false.
-    pub(crate) fn retain(&mut self, keep: impl Fn(&Part) -> bool) {
-        self.parts.retain(|_, parts| {
-            let dropped = parts.extract_if(.., |p| !keep(p));
-            self.used -= dropped.map(|p| u64::from(p.positions)).sum::<u64>();
-            !parts.is_empty()
+    /// Removes the shards for which `keep` returns false and frees their KV cache.
+    pub(crate) fn retain(&mut self, keep: impl Fn(&Shard) -> bool) {
+        self.shards.retain(|_, shards| {
+            let dropped = shards.extract_if(.., |p| !keep(p));
+            self.kv_used -= dropped.map(|p| u64::from(p.positions)).sum::<u64>();
+            !shards.is_empty()
         });
     }
 
-    /// The rows that a handle names; see [`handle`].
+    /// Returns the rows that a [`handle`] names; `None` if it is malformed or they aren't retained.
     pub(crate) fn rows(&self, handle: &str, count: u32) -> Option<Vec<u64>> {
         let mut fields = handle.rsplitn(4, '/');
         let position = fields.next()?.parse().ok()?;
         let first: u32 = fields.next()?.parse().ok()?;
         let attempt = fields.next()?.parse().ok()?;
         let session = fields.next()?;
-        let part = self
+        let shard = self
             .attempt(session, attempt)
             .find(|p| p.layers.first == first)?;
-        part.rows(position, count)
+        shard.rows(position, count)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.parts.len()
+        self.shards.len()
     }
 }
 
-/// Names the rows of an attempt from a position on.
+/// Returns the handle of an attempt's rows over `layers` from `position` on.
 pub(crate) fn handle(session: &str, attempt: u32, layers: &LayerRange, position: u32) -> String {
     format!("{session}/{attempt}/{}/{position}", layers.first)
 }
--- a/crates/kelpworks-fakes/src/host_list.rs
+++ b/crates/kelpworks-fakes/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in host list, which lags.
+//! The fake host list, whose changes become visible after a delay.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,7 +14,7 @@
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use crate::server::read_json;
@@ -23,20 +23,20 @@
 use kelpworks_wire::HostList;
 use kelpworks_wire::HostState;
 
-/// Configuration of a stand-in host list.
+/// Configuration of a fake host list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostListConfig {
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
-    /// Time until a change shows. Default 0.
+    /// Delay until a change is visible in `GET /hosts`. Default 0.
     pub lag: Duration,
-    /// Hosts at the start; they show at once. Default none.
+    /// Hosts at start, visible at once. Default none.
     pub hosts: Vec<HostEntry>,
 }
 
-/// A running host list; dropping it stops it.
+/// A running fake host list; dropping it stops it.
 #[derive(Debug)]
-pub struct HostListStandIn {
+pub struct FakeHostList {
     shared: Arc<Shared>,
     server: Server,
 }
@@ -44,26 +44,26 @@
 #[derive(Debug)]
 struct Shared {
     lag: Duration,
-    /// Lists in order of version; the last one whose time has come is shown. Never empty.
-    lists: Mutex<Vec<Dated>>,
+    /// Lists in order of version; the last whose `visible_at` has passed is served. Never empty.
+    lists: Mutex<Vec<ScheduledList>>,
 }
 
 #[derive(Debug)]
-struct Dated {
-    at: Instant,
+struct ScheduledList {
+    visible_at: Instant,
     list: HostList,
 }
 
-impl HostListStandIn {
+impl FakeHostList {
     /// Starts a host list.
     ///
     /// # Errors
     ///
     /// When the port cannot be bound.
-    pub async fn spawn(cfg: HostListConfig) -> Result<HostListStandIn> {
+    pub async fn spawn(cfg: HostListConfig) -> Result<FakeHostList> {
         let port = Port::bind(cfg.port)?;
-        let first = Dated {
-            at: Instant::now(),
+        let first = ScheduledList {
+            visible_at: Instant::now(),
             list: HostList {
                 version: 1,
                 hosts: cfg.hosts,
@@ -77,26 +77,26 @@
             .push(Router::with_path("hosts").get(get_hosts))
             .push(
                 Router::with_path("fake/hosts")
-                    .get(get_true_hosts)
+                    .get(get_latest_hosts)
                     .post(post_hosts),
             );
         let server = port.serve(Faults::default(), shared.clone(), router)?;
-        Ok(HostListStandIn { shared, server })
+        Ok(FakeHostList { shared, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// The hosts as they are, whether or not they show yet.
+    /// Returns the latest hosts, including changes that are not visible yet.
     pub fn hosts(&self) -> Vec<HostEntry> {
-        self.shared.newest().hosts
+        self.shared.latest().hosts
     }
 
     /// Replaces all hosts.
@@ -104,7 +104,7 @@
         self.shared.change(|all| *all = hosts);
     }
 
-    /// Adds a host, or replaces the one of that name.
+    /// Adds a host, or replaces the one of the same name.
     pub fn set_host(&self, host: HostEntry) {
         self.shared.change(|all| {
             all.retain(|h| h.name != host.name);
@@ -112,7 +112,7 @@
         });
     }
 
-    /// Sets the state of a host.
+    /// Sets the state of a host; without effect if there is none of this name.
     pub fn set_state(&self, name: &str, state: HostState) {
         self.shared.change(|all| {
             for host in all.iter_mut().filter(|h| h.name == name) {
@@ -121,57 +121,60 @@
         });
     }
 
-    /// Removes a host.
+    /// Removes a host, if there is one of this name.
     pub fn remove(&self, name: &str) {
         self.shared.change(|all| all.retain(|h| h.name != name));
     }
 
-    /// Closes its port and all connections, or opens the port again.
+    /// Closes the port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the host list, as dropping it does.
     pub fn stop(self) {}
 }
 
 impl Shared {
-    fn newest(&self) -> HostList {
+    fn latest(&self) -> HostList {
         let lists = lock(&self.lists);
         lists[lists.len() - 1].list.clone()
     }
 
     fn change(&self, edit: impl FnOnce(&mut Vec<HostEntry>)) {
-        let mut list = self.newest();
+        let mut list = self.latest();
         edit(&mut list.hosts);
         list.version += 1;
-        let at = Instant::now() + self.lag;
-        lock(&self.lists).push(Dated { at, list });
+        let visible_at = Instant::now() + self.lag;
+        lock(&self.lists).push(ScheduledList { visible_at, list });
     }
 
-    /// The list that shows now; forgets those before it.
-    fn shown(&self) -> HostList {
+    /// Returns the list that is visible now and drops those before it.
+    fn visible(&self) -> HostList {
         let now = Instant::now();
         let mut lists = lock(&self.lists);
-        let due = lists.iter().rposition(|d| d.at <= now).unwrap_or(0);
+        let due = lists.iter().rposition(|d| d.visible_at <= now).unwrap_or(0);
         lists.drain(..due);
         lists[0].list.clone()
     }
 }
 
 #[handler]
-async fn get_hosts(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<Arc<Shared>>(depot).shown())
+async fn get_hosts(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<Arc<Shared>>(depot).visible())
 }
 
 #[handler]
-async fn get_true_hosts(depot: &mut Depot) -> Answer {
-    Answer::json(&state::<Arc<Shared>>(depot).newest())
+async fn get_latest_hosts(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&state::<Arc<Shared>>(depot).latest())
 }
 
 #[handler]
-async fn post_hosts(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn post_hosts(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let hosts: Vec<HostEntry> = read_json(req).await?;
     state::<Arc<Shared>>(depot).change(|all| *all = hosts);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
--- a/crates/kelpworks-fakes/src/link.rs
+++ b/crates/kelpworks-fakes/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that stands for the link in front of an address.
+//! A TCP relay that simulates a faulty network link to an address.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,11 +18,12 @@
 
 use crate::error::Result;
 
-/// Connections that wait to be accepted, at most.
+/// Limit of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
+/// Bytes read at a time in each direction.
 const BUFFER: usize = 64 << 10;
 
-/// What a link does.
+/// Behavior of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
     /// Forwards both ways.
@@ -30,16 +31,16 @@
     Pass,
     /// Closes all connections and refuses new ones.
     Cut,
-    /// Connections open now never forward again, in any later state but [`LinkState::Cut`]; new
-    /// ones work.
+    /// Connections open at the time of the change never forward again in any later state, until
+    /// [`LinkState::Cut`] closes them; new ones work.
     SilenceExisting,
-    /// Forwards nothing; what was sent meanwhile arrives after the next [`LinkState::Pass`].
+    /// Forwards nothing; data sent meanwhile arrives after the next [`LinkState::Pass`].
     SilenceAll,
-    /// Forwards only what the target answers.
+    /// Forwards only data from the target.
     SilenceForward,
-    /// Forwards only what goes to the target.
+    /// Forwards only data to the target.
     SilenceBack,
-    /// Forwards each piece after this time.
+    /// Forwards each chunk of data after this delay.
     Delay(Duration),
 }
 
@@ -72,7 +73,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Control {
     state: LinkState,
-    /// Rises by one a connection.
+    /// Number of connections accepted so far.
     accepted: u64,
     /// Connections with a number below this one never forward again.
     silent_below: u64,
@@ -85,14 +86,14 @@
     ///
     /// When no port can be bound.
     pub async fn spawn(target: SocketAddr) -> Result<Link> {
-        // Bound, never listening: it keeps the port while the link is cut.
-        let keeper = reusable()?;
-        keeper.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        let addr = keeper.local_addr()?;
+        // Bound but never listening: reserves the port while the link is cut.
+        let reserved_socket = reusable()?;
+        reserved_socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let addr = reserved_socket.local_addr()?;
         let listener = listen(addr)?;
         let control = Arc::new(watch::Sender::new(Control::default()));
         let relay = Relay {
-            _keeper: keeper,
+            _reserved_socket: reserved_socket,
             addr,
             target,
             control: control.clone(),
@@ -105,17 +106,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Base URL of an HTTP server behind it.
+    /// Returns the base URL of an HTTP server at the target, through the link.
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
-    /// Sets what it does from now on.
+    /// Sets the behavior of the link from now on.
     pub fn set(&self, state: LinkState) {
         self.control.send_modify(|c| {
             c.state = state;
@@ -125,7 +126,7 @@
         });
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.control.borrow().accepted
     }
@@ -144,7 +145,7 @@
 }
 
 struct Relay {
-    _keeper: TcpSocket,
+    _reserved_socket: TcpSocket,
     addr: SocketAddr,
     target: SocketAddr,
     control: Arc<watch::Sender<Control>>,
@@ -190,16 +191,16 @@
 }
 
 async fn relay(client: TcpStream, target: SocketAddr, number: u64, rx: watch::Receiver<Control>) {
-    let mut forward = Lane {
+    let mut forward = Direction {
         number,
-        shut: LinkState::SilenceForward,
+        blocked_by: LinkState::SilenceForward,
         rx,
     };
-    let back = Lane {
-        shut: LinkState::SilenceBack,
+    let back = Direction {
+        blocked_by: LinkState::SilenceBack,
         ..forward.clone()
     };
-    forward.pass().await;
+    forward.wait_until_open().await;
     let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
@@ -207,26 +208,26 @@
     let (client_rx, client_tx) = client.into_split();
     let (upstream_rx, upstream_tx) = upstream.into_split();
     tokio::join!(
-        pump(client_rx, upstream_tx, forward),
-        pump(upstream_rx, client_tx, back)
+        copy_bytes(client_rx, upstream_tx, forward),
+        copy_bytes(upstream_rx, client_tx, back)
     );
 }
 
 /// One direction of a connection.
 #[derive(Clone, Debug)]
-struct Lane {
+struct Direction {
     number: u64,
-    /// The state that stops this direction only.
-    shut: LinkState,
+    /// The state that blocks this direction only.
+    blocked_by: LinkState,
     rx: watch::Receiver<Control>,
 }
 
-impl Lane {
-    /// Waits until this direction may forward.
-    async fn pass(&mut self) {
-        let (number, shut) = (self.number, self.shut);
+impl Direction {
+    /// Waits until this direction may forward, then for the delay of [`LinkState::Delay`].
+    async fn wait_until_open(&mut self) {
+        let (number, blocked_by) = (self.number, self.blocked_by);
         let open = |c: &Control| {
-            number >= c.silent_below && c.state != shut && c.state != LinkState::SilenceAll
+            number >= c.silent_below && c.state != blocked_by && c.state != LinkState::SilenceAll
         };
         let state = match self.rx.wait_for(open).await {
             Ok(control) => control.state,
@@ -238,11 +239,11 @@
     }
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut lane: Lane) {
+async fn copy_bytes(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut direction: Direction) {
     let mut buf = vec![0; BUFFER];
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        lane.pass().await;
+        direction.wait_until_open().await;
         if read == 0 || to.write_all(&buf[..read]).await.is_err() {
             break;
         }
--- a/crates/kelpworks-fakes/src/plain_service.rs
+++ b/crates/kelpworks-fakes/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: idempotent reads beside calls that may not be repeated.
+//! The fake plain service, which records each execution of a call, idempotent or not.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::error::Result;
 use crate::fault::Faults;
 use crate::fault::lock;
-use crate::server::Answer;
+use crate::server::HttpResponse;
 use crate::server::Port;
 use crate::server::Server;
 use crate::server::read_body;
@@ -28,23 +28,23 @@
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Configuration of a stand-in plain service.
+/// Configuration of a fake plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlainServiceConfig {
     /// Host name.
     pub name: String,
-    /// Name of the service it runs.
+    /// Name of the service that the host runs.
     pub service: String,
-    /// Loopback port. Default 0: a free one.
+    /// Loopback port; 0 takes a free port. Default 0.
     pub port: u16,
     /// Failure domain, for the register. Default `domain-0`.
     pub failure_domain: String,
-    /// Time that each call takes. Default 0.
+    /// Duration of each call. Default 0.
     pub latency: Duration,
 }
 
 impl PlainServiceConfig {
-    /// A host of this name that runs this service, with the defaults.
+    /// Returns a host of this name that runs this service, with the defaults.
     pub fn new(name: &str, service: &str) -> PlainServiceConfig {
         PlainServiceConfig {
             name: name.to_owned(),
@@ -56,25 +56,25 @@
     }
 }
 
-/// A call that ran; it is also the answer to the call.
+/// Record of a call that ran; also the body of the reply to the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Execution {
     /// Host that ran it.
     pub host: String,
-    /// Place in the order of this host's calls, from 0.
+    /// Sequence number among this host's calls, from 0.
     pub order: u64,
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// The caller's `idempotency-key`.
     pub key: Option<String>,
-    /// Digest of the body.
+    /// XXH3 hash of the request body, in hex.
     pub body: String,
 }
 
-/// A running plain service; dropping it stops it.
+/// A running fake plain service; dropping it stops it.
 #[derive(Debug)]
 pub struct PlainService {
     shared: Arc<Shared>,
@@ -105,88 +105,94 @@
             .push(Router::with_path("healthz").get(get_healthz))
             .push(Router::with_path("fake/ledger").get(get_ledger))
             .push(Router::with_path("fake/leaving").post(post_leaving))
-            .push(Router::with_path("{**rest}").goal(any_call));
+            .push(Router::with_path("{**rest}").goal(execute_call));
         let server = port.serve(Faults::default(), shared.clone(), router)?;
         Ok(PlainService { shared, server })
     }
 
-    /// The configuration it started with.
+    /// Returns the configuration at start.
     pub fn config(&self) -> &PlainServiceConfig {
         &self.shared.cfg
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its faults.
+    /// Returns the faults to inject; changes apply to the next request.
     pub fn faults(&self) -> &Faults {
         self.server.faults()
     }
 
-    /// All calls that ran, in order.
+    /// Returns all calls that ran, in order.
     pub fn ledger(&self) -> Vec<Execution> {
         lock(&self.shared.ledger).clone()
     }
 
-    /// Calls with this `idempotency-key` that ran.
+    /// Returns how often a call with this `idempotency-key` ran.
     pub fn runs_of(&self, key: &str) -> usize {
         let ledger = lock(&self.shared.ledger);
         let same = ledger.iter().filter(|e| e.key.as_deref() == Some(key));
         same.count()
     }
 
-    /// Sets whether it says that it is leaving.
+    /// Sets whether `GET /healthz` reports that the host is leaving, with status 503.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Closes its port and all connections, or opens the port again.
+    /// Closes the port and all connections, or opens the port again.
     pub fn set_listening(&self, listening: bool) {
-        self.server.power().set_listening(listening);
+        self.server.listen_switch().set_listening(listening);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the plain service, as dropping it does.
     pub fn stop(self) {}
 }
 
 #[handler]
-async fn get_healthz(depot: &mut Depot) -> Answer {
+async fn get_healthz(depot: &mut Depot) -> HttpResponse {
     let service = state::<Arc<Shared>>(depot);
     match service.leaving.load(Ordering::Acquire) {
-        true => Answer::text(StatusCode::SERVICE_UNAVAILABLE, "leaving".to_owned()),
-        false => Answer::text(StatusCode::OK, "ok".to_owned()),
+        true => HttpResponse::text(StatusCode::SERVICE_UNAVAILABLE, "leaving".to_owned()),
+        false => HttpResponse::text(StatusCode::OK, "ok".to_owned()),
     }
 }
 
 #[handler]
-async fn get_ledger(depot: &mut Depot) -> Answer {
-    Answer::json(&*lock(&state::<Arc<Shared>>(depot).ledger))
+async fn get_ledger(depot: &mut Depot) -> HttpResponse {
+    HttpResponse::json(&*lock(&state::<Arc<Shared>>(depot).ledger))
 }
 
 #[handler]
-async fn post_leaving(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn post_leaving(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let leaving = read_json(req).await?;
     let service = state::<Arc<Shared>>(depot);
     service.leaving.store(leaving, Ordering::Release);
-    Ok(Answer::empty(StatusCode::NO_CONTENT))
+    Ok(HttpResponse::empty(StatusCode::NO_CONTENT))
 }
 
 #[handler]
-async fn any_call(req: &mut Request, depot: &mut Depot) -> std::result::Result<Answer, Answer> {
+async fn execute_call(
+    req: &mut Request,
+    depot: &mut Depot,
+) -> std::result::Result<HttpResponse, HttpResponse> {
     let service = state::<Arc<Shared>>(depot);
     let body = read_body(req).await?;
     let execution = service.execute(req, &body);
     if !service.cfg.latency.is_zero() {
         tokio::time::sleep(service.cfg.latency).await;
     }
-    Ok(Answer::json(&execution))
+    Ok(HttpResponse::json(&execution))
 }
 
 impl Shared {
--- a/crates/kelpworks-fakes/tests/model.rs
+++ b/crates/kelpworks-fakes/tests/model.rs
@@ -1,4 +1,4 @@
-//! The stand-in model.
+//! The fake model.
 
 use std::ops::Range;
 use std::slice;
@@ -9,15 +9,15 @@
 use proptest::proptest;
 
 use kelpworks_fakes::Model;
-use kelpworks_fakes::text;
-use kelpworks_fakes::tokens;
+use kelpworks_fakes::token_text;
+use kelpworks_fakes::tokenize;
 
 const LAYERS: u32 = 6;
 
 /// All layers in one range.
 const WHOLE: &[Range<u32>] = slice::from_ref(&(0..LAYERS));
 
-/// The final row of a prompt, run as these layer ranges, the way a pipeline does.
+/// Returns the final row of a prompt that is run through these layer ranges, as a pipeline does.
 fn row_through(ranges: &[Range<u32>], prompt: &[u32]) -> u64 {
     let model = Model::new("caption", "1", LAYERS);
     let mut row = 0;
@@ -34,14 +34,14 @@
 
 proptest! {
     #[test]
-    fn every_cut_gives_the_same_row(prompt in proptest::collection::vec(1_u32..257, 1..20), cut in 1..LAYERS) {
+    fn row_is_independent_of_layer_split(prompt in proptest::collection::vec(1_u32..257, 1..20), cut in 1..LAYERS) {
         let whole = row_through(WHOLE, &prompt);
         prop_assert_eq!(row_through(&[0..cut, cut..LAYERS], &prompt), whole);
     }
 
     #[test]
-    fn a_wrong_lineage_changes_the_row(bytes in any::<[u8; 4]>(), at in 0..3_u32) {
-        let prompt = tokens(&bytes);
+    fn wrong_layer_sequence_or_prompt_changes_the_row(bytes in any::<[u8; 4]>(), at in 0..3_u32) {
+        let prompt = tokenize(&bytes);
         let whole = row_through(WHOLE, &prompt);
         prop_assert_ne!(row_through(&[0..at, at + 1..LAYERS], &prompt), whole);
         prop_assert_ne!(row_through(&[0..at + 1, at..LAYERS], &prompt), whole);
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn an_answer_is_fixed() {
+fn answer_is_deterministic() {
     let answer = Model::new("caption", "1", LAYERS).answer_text("a red chair", 6);
     insta::assert_snapshot!(answer);
-    assert_eq!(text(0x0a1), " 0a1");
-    assert_eq!(tokens(b"\0a"), [1, 98]);
+    assert_eq!(token_text(0x0a1), " 0a1");
+    assert_eq!(tokenize(b"\0a"), [1, 98]);
 }
--- a/crates/kelpworks-fakes/tests/support/mod.rs
+++ b/crates/kelpworks-fakes/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the contract tests share: a client of the borders, and a driver of a whole pipeline.
+//! Helpers of the interface tests: an HTTP client, and a driver of a whole pipeline.
 
-// Each test file is a crate of its own and uses a part of this.
+// Each test file is a separate crate and uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use serde::de::DeserializeOwned;
 
 use kelpworks_fakes::Engine;
+use kelpworks_fakes::FakeFleet;
 use kelpworks_fakes::Model;
-use kelpworks_fakes::StandIns;
 use kelpworks_wire::Class;
 use kelpworks_wire::HandleRef;
 use kelpworks_wire::LayerRange;
@@ -24,9 +24,9 @@
 use kelpworks_wire::StepOutcome;
 use kelpworks_wire::StepReply;
 
-/// Longest wait for an answer that is to come; for one that is not to come, long enough to tell.
-pub(crate) fn patience(comes: bool) -> Duration {
-    match comes {
+/// Returns the timeout for a reply: generous if one is expected, short if none is.
+pub(crate) fn reply_timeout(expected: bool) -> Duration {
+    match expected {
         true => Duration::from_secs(60),
         false => Duration::from_millis(300),
     }
@@ -91,7 +91,7 @@
 
 /// Drives one session through the first replica of each stage, `chunk` prompt tokens at a time.
 pub(crate) async fn answer(
-    fleet: &StandIns,
+    fleet: &FakeFleet,
     output: OutputForm,
     prompt: &[u32],
     chunk: usize,
@@ -112,7 +112,7 @@
     answer
 }
 
-async fn forward(fleet: &StandIns, output: OutputForm, position: u32, tokens: Vec<u32>) -> u32 {
+async fn forward(fleet: &FakeFleet, output: OutputForm, position: u32, tokens: Vec<u32>) -> u32 {
     let count = tokens.len() as u32;
     let mut input = StepInput::Tokens(tokens);
     for engine in &fleet.engines {
@@ -133,5 +133,5 @@
             other => panic!("{other:?}"),
         };
     }
-    panic!("the last stage gave no token");
+    panic!("the last stage returned no token");
 }
