--- a/crates/kelpworks/src/pipeline/session.rs
+++ b/crates/kelpworks/src/pipeline/session.rs
@@ -195,7 +195,7 @@
             fingerprint: self.job.fingerprint,
             upstream: hop.upstream,
             name: &upstream.name,
-            known: self.known.len() as u32,
+            known_tokens: self.known.len() as u32,
         });
         let turn = turn.await.map_err(StepFailure::Quarantined)?;
         let mut call = Call {
--- a/crates/kelpworks/src/placement/input.rs
+++ b/crates/kelpworks/src/placement/input.rs
@@ -16,7 +16,7 @@
 pub const KV_HEADROOM: f64 = 0.2;
 
 /// Most models for which [`Input::bound`] weighs every subset of them.
-const SUBSET_MODELS: usize = 12;
+const MAX_SUBSET_MODELS: usize = 12;
 
 /// Index of a host in [`Input::hosts`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -120,8 +120,8 @@
 
     /// Key of the host of this name.
     pub fn host_named(&self, name: &str) -> Option<HostKey> {
-        let at = self.hosts.iter().position(|h| &*h.name == name)?;
-        Some(HostKey(at as u32))
+        let index = self.hosts.iter().position(|h| &*h.name == name)?;
+        Some(HostKey(index as u32))
     }
 
     /// The host of this key.
@@ -176,24 +176,28 @@
 
     /// The bound for some models, were the others not served.
     pub(super) fn bound_over(&self, models: &[usize]) -> f64 {
-        if models.len() > SUBSET_MODELS {
+        if models.len() > MAX_SUBSET_MODELS {
             let singles = models.iter().map(|&m| self.subset_bound(|k| k == m));
             let all = self.subset_bound(|k| models.contains(&k));
             return singles.fold(all, f64::min);
         }
-        let has = |set: u32, m: usize| {
+        let in_subset = |set: u32, m: usize| {
             let mut chosen = models.iter().enumerate();
             chosen.any(|(i, &k)| k == m && set & (1 << i) != 0)
         };
         (1..1_u32 << models.len())
-            .map(|set| self.subset_bound(|m| has(set, m)))
+            .map(|set| self.subset_bound(|m| in_subset(set, m)))
             .fold(f64::INFINITY, f64::min)
     }
 
-    fn subset_bound(&self, has: impl Fn(usize) -> bool) -> f64 {
-        let usable = |h: &&HostSpec| h.live && h.models.iter().any(|m| has(usize::from(m.0)));
+    fn subset_bound(&self, in_subset: impl Fn(usize) -> bool) -> f64 {
+        let usable = |h: &&HostSpec| h.live && h.models.iter().any(|m| in_subset(usize::from(m.0)));
         let rate: f64 = self.hosts.iter().filter(usable).map(|h| h.layer_rate).sum();
-        let chosen = self.models.iter().enumerate().filter(|(m, _)| has(*m));
+        let chosen = self
+            .models
+            .iter()
+            .enumerate()
+            .filter(|(m, _)| in_subset(*m));
         let need: f64 = chosen.map(|(_, m)| m.demand * f64::from(m.layers)).sum();
         rate / need
     }
@@ -228,11 +232,11 @@
 }
 
 fn domain_key(register: &Register, name: &str) -> Option<DomainKey> {
-    let at = register
+    let index = register
         .failure_domains
         .iter()
         .position(|d| d.name == name)?;
-    Some(DomainKey(at as u16))
+    Some(DomainKey(index as u16))
 }
 
 fn links(register: &Register, default_link: LinkCost) -> Vec<LinkCost> {
--- a/crates/kelpworks/src/placement/locality.rs
+++ b/crates/kelpworks/src/placement/locality.rs
@@ -2,22 +2,22 @@
 
 use super::input::HostKey;
 use super::input::Input;
-use super::state::State;
+use super::state::SearchState;
 use crate::fleet::DomainKey;
 
 /// Most rounds over all pairs of slots.
-const ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 /// Least relative gain for which hosts are swapped.
-const EPSILON: f64 = 1e-9;
+const MIN_RELATIVE_GAIN: f64 = 1e-9;
 
 /// Swaps hosts of equal rate between stages while that lowers the mean link latency of a token.
-pub(super) fn shorten(input: &Input, state: &mut State<'_>) {
+pub(super) fn shorten_links(input: &Input, state: &mut SearchState<'_>) {
     let links = Links::new(input);
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_ROUNDS {
         let mut changed = false;
         for a in 0..state.slots.len() {
             for b in a + 1..state.slots.len() {
-                changed |= shorten_pair(&links, state, a, b);
+                changed |= shorten_between(&links, state, a, b);
             }
         }
         if !changed {
@@ -70,7 +70,7 @@
 
     /// Latency between slot `next` and the one before it, weighed by demand; 0 when that is of
     /// another model.
-    fn between(&self, state: &State<'_>, next: usize) -> f64 {
+    fn latency_into(&self, state: &SearchState<'_>, next: usize) -> f64 {
         if next == 0 || next >= state.slots.len() {
             return 0.0;
         }
@@ -109,27 +109,27 @@
     }
 
     /// Latency of all links that end in one of two slots.
-    fn around(&self, state: &State<'_>, a: usize, b: usize) -> f64 {
+    fn adjacent_latency(&self, state: &SearchState<'_>, a: usize, b: usize) -> f64 {
         let mut ends = vec![a, a + 1, b, b + 1];
         ends.sort_unstable();
         ends.dedup();
-        ends.iter().map(|&s| self.between(state, s)).sum()
+        ends.iter().map(|&s| self.latency_into(state, s)).sum()
     }
 }
 
 /// Tries one swap for each pair of kinds in two slots; keeps those that shorten.
-fn shorten_pair(links: &Links, state: &mut State<'_>, a: usize, b: usize) -> bool {
+fn shorten_between(links: &Links, state: &mut SearchState<'_>, a: usize, b: usize) -> bool {
     let mut changed = false;
     for (x, y) in pairs(state, a, b) {
-        let current = state.at[x.index()] == Some(a) && state.at[y.index()] == Some(b);
-        if !current {
+        let in_place = state.slot_of[x.index()] == Some(a) && state.slot_of[y.index()] == Some(b);
+        if !in_place {
             continue;
         }
-        let before = (state.deficit(), links.around(state, a, b));
+        let before = (state.deficit(), links.adjacent_latency(state, a, b));
         state.place(x, Some(b));
         state.place(y, Some(a));
-        let after = (state.deficit(), links.around(state, a, b));
-        if after.0 <= before.0 && after.1 < before.1 * (1.0 - EPSILON) {
+        let after = (state.deficit(), links.adjacent_latency(state, a, b));
+        if after.0 <= before.0 && after.1 < before.1 * (1.0 - MIN_RELATIVE_GAIN) {
             changed = true;
         } else {
             state.place(x, Some(a));
@@ -141,20 +141,20 @@
 
 /// Pairs of hosts, one of each slot, of equal rate and in different failure domains; one pair for
 /// each pair of domains and rate.
-fn pairs(state: &State<'_>, a: usize, b: usize) -> Vec<(HostKey, HostKey)> {
+fn pairs(state: &SearchState<'_>, a: usize, b: usize) -> Vec<(HostKey, HostKey)> {
     let mut found: Vec<(HostKey, HostKey)> = Vec::new();
     for &x in &state.slots[a].hosts {
         for &y in &state.slots[b].hosts {
-            let swaps = state.rate(x) == state.rate(y)
+            let can_swap = state.rate(x) == state.rate(y)
                 && state.domain(x) != state.domain(y)
                 && state.fits(x, b)
                 && state.fits(y, a);
-            let known = found.iter().any(|&(u, v)| {
+            let is_duplicate = found.iter().any(|&(u, v)| {
                 state.rate(u) == state.rate(x)
                     && state.domain(u) == state.domain(x)
                     && state.domain(v) == state.domain(y)
             });
-            if swaps && !known {
+            if can_swap && !is_duplicate {
                 found.push((x, y));
             }
         }
--- a/crates/kelpworks/src/placement/mod.rs
+++ b/crates/kelpworks/src/placement/mod.rs
@@ -63,17 +63,17 @@
 //! memory, [`KV_HEADROOM`], is left to the KV cache whatever its load. The search is local: it
 //! proves no optimum. Adapters and roles of engines are not placed.
 
-mod cuts;
 mod input;
+mod loaded;
 mod locality;
 mod orders;
+mod partitions;
 mod plan;
 mod planner;
+mod redundancy;
 mod repair;
 mod search;
-mod standing;
 mod state;
-mod today;
 
 pub use input::HostKey;
 pub use input::HostRange;
@@ -89,8 +89,8 @@
 pub use orders::Orders;
 pub use orders::Switch;
 pub use orders::orders;
-pub use plan::Assigned;
 pub use plan::Assignment;
+pub use plan::AssignmentDetails;
 pub use plan::Decision;
 pub use plan::ModelPlan;
 pub use plan::Plan;
--- a/crates/kelpworks/src/placement/orders.rs
+++ b/crates/kelpworks/src/placement/orders.rs
@@ -22,14 +22,14 @@
 
 /// Replicas of a layer that stay while others are exchanged, as a divisor of those that the plan
 /// gives it: half of them, rounded up.
-const KEEP_DIVISOR: usize = 2;
+const RETAINED_REPLICAS_DIVISOR: usize = 2;
 /// Failure domains that keep a layer, where it had as many.
-const KEEP_DOMAINS: usize = 2;
+const RETAINED_DOMAINS: usize = 2;
 /// Hosts make room for no more than the weight store delivers in this time, so that few are empty
 /// at once; but always for one.
-const ROOM_TIME: Duration = Duration::from_secs(60);
+const MAX_EVICTED_LOAD_TIME: Duration = Duration::from_secs(60);
 /// Share of the planned rate that a new version needs on each layer before new sessions go to it.
-const SWITCH_SHARE: f64 = 0.5;
+const MIN_SWITCH_RATE_SHARE: f64 = 0.5;
 
 /// What a host is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +67,7 @@
     /// Adds a replica for standing or rate.
     Replica,
     /// Room is needed on the host for the range that the plan gives it.
-    Room,
+    Capacity,
     /// A newer version is whole.
     Superseded,
     /// The plan has this range elsewhere.
@@ -80,7 +80,7 @@
         match self {
             OrderReason::FirstReplica => "first-replica",
             OrderReason::Replica => "replica",
-            OrderReason::Room => "room",
+            OrderReason::Capacity => "room",
             OrderReason::Superseded => "superseded",
             OrderReason::NotPlanned => "not-planned",
         }
@@ -132,27 +132,30 @@
 ///
 /// When the plan is not of this input.
 pub fn orders(input: &Input, plan: &Plan) -> Orders {
-    let mut run = Run::new(input, plan);
+    let mut sequencer = Sequencer::new(input, plan);
     loop {
-        let loaded = run.load();
-        if !loaded && !run.unload(Care::Strict) && !run.unload(Care::Whole) {
+        let any_loaded = sequencer.load();
+        if !any_loaded
+            && !sequencer.unload(Retention::Redundant)
+            && !sequencer.unload(Retention::Complete)
+        {
             break;
         }
     }
     Orders {
-        blocked: run.missing(),
-        steps: run.steps,
-        switches: run.switches,
+        blocked: sequencer.missing(),
+        steps: sequencer.steps,
+        switches: sequencer.switches,
     }
 }
 
 /// How much of a version must stay when a range is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Care {
+enum Retention {
     /// Half of the replicas and two failure domains.
-    Strict,
+    Redundant,
     /// One replica of each layer; only one such drop at a time.
-    Whole,
+    Complete,
 }
 
 /// A version of a model at the start of a wave.
@@ -162,20 +165,20 @@
     /// The version.
     version: Arc<str>,
     /// Whether every layer of it is held.
-    whole: bool,
+    complete: bool,
     /// The least, over layers, of the rate of its holders over the rate that the plan gives.
-    share: f64,
+    rate_share: f64,
 }
 
 /// The sequence while it is worked out.
-struct Run<'a> {
+struct Sequencer<'a> {
     input: &'a Input,
     /// Ranges held after the steps so far, on live hosts.
-    held: Vec<HostRange>,
+    loaded: Vec<HostRange>,
     /// Ranges of the plan.
-    wanted: Vec<HostRange>,
+    planned: Vec<HostRange>,
     /// Ranges held at the start.
-    start: Vec<HostRange>,
+    initial: Vec<HostRange>,
     /// The steps so far.
     steps: Vec<OrderStep>,
     /// The switches so far.
@@ -184,15 +187,15 @@
     wave: u32,
 }
 
-impl<'a> Run<'a> {
-    fn new(input: &'a Input, plan: &Plan) -> Run<'a> {
+impl<'a> Sequencer<'a> {
+    fn new(input: &'a Input, plan: &Plan) -> Sequencer<'a> {
         let live = |h: &&HostRange| input.host(h.host).live;
-        let held: Vec<HostRange> = input.loaded_ranges.iter().filter(live).cloned().collect();
-        Run {
+        let loaded: Vec<HostRange> = input.loaded_ranges.iter().filter(live).cloned().collect();
+        Sequencer {
             input,
-            start: held.clone(),
-            held,
-            wanted: plan.host_ranges(input),
+            initial: loaded.clone(),
+            loaded,
+            planned: plan.host_ranges(input),
             steps: Vec::new(),
             switches: Vec::new(),
             wave: 0,
@@ -201,8 +204,8 @@
 
     /// Ranges of the plan that are not held yet.
     fn missing(&self) -> Vec<HostRange> {
-        let lacks = |w: &&HostRange| !self.held.iter().any(|h| serves(h, w));
-        self.wanted.iter().filter(lacks).cloned().collect()
+        let lacks = |w: &&HostRange| !self.loaded.iter().any(|h| satisfies(h, w));
+        self.planned.iter().filter(lacks).cloned().collect()
     }
 
     fn bytes(&self, range: &HostRange) -> u64 {
@@ -210,23 +213,23 @@
         u64::from(layers) * self.input.model(range.model).layer_size.0
     }
 
-    fn has_room(&self, range: &HostRange) -> bool {
-        let on_host = self.held.iter().filter(|h| h.host == range.host);
+    fn has_capacity(&self, range: &HostRange) -> bool {
+        let on_host = self.loaded.iter().filter(|h| h.host == range.host);
         let used: u64 = on_host.map(|h| self.bytes(h)).sum();
         used + self.bytes(range) <= self.input.weight_memory(range.host)
     }
 
     /// A wave of all loads that there is room for; returns whether there were any.
     fn load(&mut self) -> bool {
-        let fitting = self.missing();
+        let not_loaded = self.missing();
         let mut ranked: Vec<(usize, HostRange)> = Vec::new();
-        for range in fitting.into_iter().filter(|r| self.has_room(r)) {
+        for range in not_loaded.into_iter().filter(|r| self.has_capacity(r)) {
             let same = |r: &HostRange| {
                 r.model == range.model && r.version == range.version && r.layers == range.layers
             };
-            let held = self.held.iter().filter(|h| same(h)).count();
-            let ahead = ranked.iter().filter(|r| same(&r.1)).count();
-            ranked.push((held + ahead, range));
+            let replicas = self.loaded.iter().filter(|h| same(h)).count();
+            let queued = ranked.iter().filter(|r| same(&r.1)).count();
+            ranked.push((replicas + queued, range));
         }
         // The first replica of every stage comes before the second of any.
         ranked.sort_by_key(|(rank, r)| (*rank, r.model.0, r.layers.first, r.host));
@@ -247,36 +250,41 @@
                 },
             });
             start += time;
-            self.held.push(range);
+            self.loaded.push(range);
         }
         self.wave += u32::from(any);
         any
     }
 
     /// A wave of drops; returns whether there were any.
-    fn unload(&mut self, care: Care) -> bool {
-        let planned = |h: &HostRange| self.wanted.iter().any(|w| serves(h, w));
-        let obsolete: Vec<HostRange> = self.held.iter().filter(|h| !planned(h)).cloned().collect();
+    fn unload(&mut self, retention: Retention) -> bool {
+        let in_plan = |h: &HostRange| self.planned.iter().any(|w| satisfies(h, w));
+        let obsolete: Vec<HostRange> = self
+            .loaded
+            .iter()
+            .filter(|h| !in_plan(h))
+            .cloned()
+            .collect();
         let missing = self.missing();
         let versions = self.versions();
-        let budget = ROOM_TIME.as_secs_f64() * self.input.weight_rate.0 as f64;
-        let mut room = 0;
+        let byte_budget = MAX_EVICTED_LOAD_TIME.as_secs_f64() * self.input.weight_rate.0 as f64;
+        let mut pending_bytes = 0;
         let mut any = false;
         for range in obsolete {
             let next = missing.iter().find(|m| m.host == range.host);
             let bytes = next.map_or(0, |n| self.bytes(n));
-            if room > 0 && (room + bytes) as f64 > budget {
+            if pending_bytes > 0 && (pending_bytes + bytes) as f64 > byte_budget {
                 continue;
             }
-            let Some(drain) = self.drain(&range, care, &versions) else {
+            let Some(drain) = self.drain(&range, retention, &versions) else {
                 continue;
             };
             if drain == Drain::Host {
-                room += bytes;
+                pending_bytes += bytes;
             }
             self.drop_range(range, drain, next.is_some());
             any = true;
-            if care == Care::Whole {
+            if retention == Retention::Complete {
                 break;
             }
         }
@@ -285,16 +293,16 @@
     }
 
     /// Takes the step that drops a range.
-    fn drop_range(&mut self, range: HostRange, drain: Drain, for_room: bool) {
-        let reason = match (drain, for_room) {
+    fn drop_range(&mut self, range: HostRange, drain: Drain, for_capacity: bool) {
+        let reason = match (drain, for_capacity) {
             (Drain::Version, _) => OrderReason::Superseded,
-            (_, true) => OrderReason::Room,
+            (_, true) => OrderReason::Capacity,
             (_, false) => OrderReason::NotPlanned,
         };
         if drain == Drain::Version {
             self.switch(range.model);
         }
-        self.held.retain(|h| *h != range);
+        self.loaded.retain(|h| *h != range);
         self.steps.push(OrderStep {
             wave: self.wave,
             range,
@@ -316,30 +324,35 @@
     }
 
     /// What must drain before a range may be dropped; `None` when it may not be dropped.
-    fn drain(&self, range: &HostRange, care: Care, versions: &[VersionState]) -> Option<Drain> {
+    fn drain(
+        &self,
+        range: &HostRange,
+        retention: Retention,
+        versions: &[VersionState],
+    ) -> Option<Drain> {
         let find = |version: &str| {
             let same = |v: &&VersionState| v.model == range.model && *v.version == *version;
             versions.iter().find(same)
         };
-        if !find(&range.version).is_some_and(|v| v.whole) {
+        if !find(&range.version).is_some_and(|v| v.complete) {
             return Some(Drain::Nothing);
         }
-        let served = &self.input.model(range.model).version;
-        let newer = find(served).filter(|v| v.whole && *served != range.version);
-        if newer.is_some_and(|v| v.share >= SWITCH_SHARE) {
+        let target_version = &self.input.model(range.model).version;
+        let newer = find(target_version).filter(|v| v.complete && *target_version != range.version);
+        if newer.is_some_and(|v| v.rate_share >= MIN_SWITCH_RATE_SHARE) {
             return Some(Drain::Version);
         }
-        if self.keeps(range, care) {
+        if self.retains_replicas(range, retention) {
             return Some(Drain::Host);
         }
-        let last_way = care == Care::Whole && newer.is_some();
-        last_way.then_some(Drain::Version)
+        let last_resort = retention == Retention::Complete && newer.is_some();
+        last_resort.then_some(Drain::Version)
     }
 
     /// All versions that are held now.
     fn versions(&self) -> Vec<VersionState> {
         let mut versions: Vec<VersionState> = Vec::new();
-        for h in &self.held {
+        for h in &self.loaded {
             let same = |v: &VersionState| v.model == h.model && v.version == h.version;
             if versions.iter().any(same) {
                 continue;
@@ -347,50 +360,53 @@
             versions.push(VersionState {
                 model: h.model,
                 version: h.version.clone(),
-                whole: is_whole(self.input, &self.held, h),
-                share: self.share(h),
+                complete: is_complete(self.input, &self.loaded, h),
+                rate_share: self.rate_share(h),
             });
         }
         versions
     }
 
     /// See [`VersionState::share`], for the version of a range.
-    fn share(&self, of: &HostRange) -> f64 {
+    fn rate_share(&self, of: &HostRange) -> f64 {
         let rate = |ranges: &[HostRange], layer| -> f64 {
-            let hosts = holders(ranges.iter(), of, layer);
+            let hosts = hosts_with_layer(ranges.iter(), of, layer);
             hosts.iter().map(|&h| self.input.host(h).layer_rate).sum()
         };
         let layers = 0..self.input.model(of.model).layers;
-        let shares = layers.map(|l| rate(&self.held, l) / rate(&self.wanted, l));
-        shares.fold(f64::INFINITY, f64::min)
+        let rate_shares = layers.map(|l| rate(&self.loaded, l) / rate(&self.planned, l));
+        rate_shares.fold(f64::INFINITY, f64::min)
     }
 
     /// Whether enough replicas of each layer stay when a range is dropped.
-    fn keeps(&self, range: &HostRange, care: Care) -> bool {
+    fn retains_replicas(&self, range: &HostRange, retention: Retention) -> bool {
         // Holders change at the ends of ranges only, so one layer between two ends is enough.
-        let ends = self.start.iter().chain(&self.held);
+        let ends = self.initial.iter().chain(&self.loaded);
         let ends = ends.filter(|h| h.model == range.model && h.version == range.version);
         let mut layers: Vec<u32> = ends.flat_map(|h| [h.layers.first, h.layers.end]).collect();
         layers.push(range.layers.first);
-        layers.retain(|&l| contains(&range.layers, l));
+        layers.retain(|&l| contains_layer(&range.layers, l));
         layers.sort_unstable();
         layers.dedup();
-        layers.into_iter().all(|l| self.keeps_layer(range, care, l))
+        layers
+            .into_iter()
+            .all(|l| self.retains_layer(range, retention, l))
     }
 
-    fn keeps_layer(&self, range: &HostRange, care: Care, layer: u32) -> bool {
-        let others = self.held.iter().filter(|h| h.host != range.host);
-        let left = holders(others, range, layer);
-        if care == Care::Whole {
-            return !left.is_empty();
+    fn retains_layer(&self, range: &HostRange, retention: Retention, layer: u32) -> bool {
+        let others = self.loaded.iter().filter(|h| h.host != range.host);
+        let remaining = hosts_with_layer(others, range, layer);
+        if retention == Retention::Complete {
+            return !remaining.is_empty();
         }
-        let start = holders(self.start.iter(), range, layer);
-        let domains = self.domains(&start).min(KEEP_DOMAINS);
+        let initial_hosts = hosts_with_layer(self.initial.iter(), range, layer);
+        let domains = self.domains(&initial_hosts).min(RETAINED_DOMAINS);
         // Of the planned replicas, not of those at the start: the answer must stay the same when
         // orders are asked for anew half way.
-        let of_layer = |w: &&HostRange| w.model == range.model && contains(&w.layers, layer);
-        let planned = self.wanted.iter().filter(of_layer).count();
-        left.len() >= planned.div_ceil(KEEP_DIVISOR).max(1) && self.domains(&left) >= domains
+        let of_layer = |w: &&HostRange| w.model == range.model && contains_layer(&w.layers, layer);
+        let planned_replicas = self.planned.iter().filter(of_layer).count();
+        remaining.len() >= planned_replicas.div_ceil(RETAINED_REPLICAS_DIVISOR).max(1)
+            && self.domains(&remaining) >= domains
     }
 
     fn domains(&self, hosts: &[HostKey]) -> usize {
@@ -402,21 +418,21 @@
 }
 
 /// Whether a held range is all that the plan wants on its host.
-fn serves(held: &HostRange, wanted: &HostRange) -> bool {
-    held.host == wanted.host
-        && held.model == wanted.model
-        && held.version == wanted.version
-        && covers(&held.layers, &wanted.layers)
+fn satisfies(loaded: &HostRange, planned: &HostRange) -> bool {
+    loaded.host == planned.host
+        && loaded.model == planned.model
+        && loaded.version == planned.version
+        && covers(&loaded.layers, &planned.layers)
 }
 
 /// Hosts that hold a layer of the same model and version as `range`, each once.
-fn holders<'h>(
-    held: impl Iterator<Item = &'h HostRange>,
+fn hosts_with_layer<'h>(
+    loaded: impl Iterator<Item = &'h HostRange>,
     range: &HostRange,
     layer: u32,
 ) -> Vec<HostKey> {
-    let same = held.filter(|h| h.model == range.model && h.version == range.version);
-    let on_layer = same.filter(|h| contains(&h.layers, layer));
+    let same = loaded.filter(|h| h.model == range.model && h.version == range.version);
+    let on_layer = same.filter(|h| contains_layer(&h.layers, layer));
     let mut hosts: Vec<HostKey> = on_layer.map(|h| h.host).collect();
     hosts.sort_unstable();
     hosts.dedup();
@@ -424,9 +440,9 @@
 }
 
 /// Whether every layer is held in the version of a range.
-fn is_whole(input: &Input, held: &[HostRange], of: &HostRange) -> bool {
+fn is_complete(input: &Input, loaded: &[HostRange], of: &HostRange) -> bool {
     let same = |h: &&HostRange| h.model == of.model && h.version == of.version;
-    let mut ranges: Vec<&LayerRange> = held.iter().filter(same).map(|h| &h.layers).collect();
+    let mut ranges: Vec<&LayerRange> = loaded.iter().filter(same).map(|h| &h.layers).collect();
     ranges.sort_by_key(|r| r.first);
     let mut end = 0;
     for range in ranges {
@@ -438,6 +454,6 @@
     end >= input.model(of.model).layers
 }
 
-fn contains(range: &LayerRange, layer: u32) -> bool {
+fn contains_layer(range: &LayerRange, layer: u32) -> bool {
     range.first <= layer && layer < range.end
 }
--- /dev/null
+++ b/crates/kelpworks/src/placement/partitions.rs
@@ -0,0 +1,136 @@
+//! Ways to cut a model into stages, worth a trial.
+//!
+//! How long a stage may be follows from the hosts' memory, so the candidates come from it: for
+//! each kind of host the fewest stages of equal length that it can hold, and some more; and, for
+//! fleets where small hosts are many, short stages for those and long ones for the rest.
+
+use super::input::HostKey;
+use super::input::Input;
+use super::state::HostTable;
+use crate::fleet::ModelKey;
+
+/// Stages more than the fewest that are tried for each kind of host.
+const EXTRA_STAGES: u32 = 3;
+/// Replicas that a stage needs to stand after a loss.
+const MIN_REPLICAS: u32 = 2;
+
+/// Candidates for one model, fewest stages first; empty when no live host may carry it.
+pub(super) fn candidates(input: &Input, host_table: &HostTable, model: ModelKey) -> Vec<Vec<u32>> {
+    let layers = input.model(model).layers;
+    let classes = classes(host_table, model);
+    if classes.is_empty() {
+        return Vec::new();
+    }
+    let hosts: u32 = classes.iter().map(|k| k.hosts).sum();
+    let max_stages = (hosts / MIN_REPLICAS).clamp(1, layers);
+    let min_stages = |k: &HostClass| layers.div_ceil(k.capacity);
+    let mut found = Vec::new();
+    for class in &classes {
+        let min_count = min_stages(class);
+        for stages in (min_count..=min_count + EXTRA_STAGES).chain([2 * min_count]) {
+            if stages <= max_stages || stages == min_count {
+                found.push(equal_lengths(layers, stages.min(layers)));
+            }
+        }
+    }
+    let by_capacity = split_by_class(layers, &classes);
+    if by_capacity.len() as u32 <= max_stages {
+        found.push(by_capacity);
+    }
+    let domains =
+        (0..host_table.domain_count).filter_map(|d| split_for_domain(input, host_table, model, d));
+    found.extend(domains.filter(|lengths| lengths.len() as u32 <= max_stages));
+    found.sort_by(|a, b| a.len().cmp(&b.len()).then_with(|| a.cmp(b)));
+    found.dedup();
+    found
+}
+
+/// Hosts of one capacity.
+struct HostClass {
+    /// Layers that each may hold.
+    capacity: u32,
+    /// Their layer rates, added.
+    rate: f64,
+    /// How many.
+    hosts: u32,
+}
+
+/// The kinds of hosts that may carry a model, smallest first.
+fn classes(host_table: &HostTable, model: ModelKey) -> Vec<HostClass> {
+    let mut classes: Vec<HostClass> = Vec::new();
+    for &host in &host_table.usable {
+        let capacity = host_table.capacities[host.index()][usize::from(model.0)];
+        let rate = host_table.rates[host.index()];
+        if capacity == 0 {
+            continue;
+        }
+        match classes.iter_mut().find(|k| k.capacity == capacity) {
+            Some(class) => {
+                class.rate += rate;
+                class.hosts += 1;
+            }
+            None => classes.push(HostClass {
+                capacity,
+                rate,
+                hosts: 1,
+            }),
+        }
+    }
+    classes.sort_by_key(|k| k.capacity);
+    classes
+}
+
+/// As many layers for each kind as its share of the rate, in stages that it can hold.
+fn split_by_class(layers: u32, classes: &[HostClass]) -> Vec<u32> {
+    let total: f64 = classes.iter().map(|k| k.rate).sum();
+    let mut lengths = Vec::new();
+    let mut assigned = 0;
+    let mut rate = 0.0;
+    for class in classes {
+        rate += class.rate;
+        let end = (f64::from(layers) * rate / total).round() as u32;
+        let length = end.min(layers) - assigned;
+        if length > 0 {
+            lengths.extend(equal_lengths(length, length.div_ceil(class.capacity)));
+        }
+        assigned += length;
+    }
+    lengths
+}
+
+/// The fewest stages that the hosts of one failure domain can hold, each as long as its host
+/// allows. Several models take the domain's hosts in turn, largest first. `None` when the domain
+/// can't hold all layers.
+fn split_for_domain(
+    input: &Input,
+    host_table: &HostTable,
+    model: ModelKey,
+    domain: usize,
+) -> Option<Vec<u32>> {
+    let layers = input.model(model).layers;
+    let hosts = host_table
+        .usable
+        .iter()
+        .filter(|h| host_table.domains[h.index()] == domain);
+    let capacity = |h: &HostKey| host_table.capacities[h.index()][usize::from(model.0)];
+    let mut capacities: Vec<u32> = hosts.map(capacity).filter(|&c| c > 0).collect();
+    capacities.sort_unstable_by(|a, b| b.cmp(a));
+    let from_offset = capacities.into_iter().skip(usize::from(model.0));
+    let mut lengths = Vec::new();
+    let mut remaining = layers;
+    for capacity in from_offset.step_by(input.models.len()) {
+        let length = capacity.min(remaining);
+        lengths.push(length);
+        remaining -= length;
+        if remaining == 0 {
+            return Some(lengths);
+        }
+    }
+    None
+}
+
+/// Stages of equal length, as near as whole layers allow.
+pub(super) fn equal_lengths(layers: u32, stages: u32) -> Vec<u32> {
+    let end = |s: u32| (u64::from(layers) * u64::from(s) / u64::from(stages)) as u32;
+    (0..stages).map(|s| end(s + 1) - end(s)).collect()
+}
--- a/crates/kelpworks/src/placement/plan.rs
+++ b/crates/kelpworks/src/placement/plan.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// It holds these layers already.
-    Held,
+    AlreadyLoaded,
     /// Without it the stage would stand in fewer than two failure domains.
     FailureDomain,
     /// It adds rate to the stage; with every stage's rate near the others', none is the bottleneck.
@@ -103,7 +103,7 @@
     /// Short name for the log.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reason::Held => "held",
+            Reason::AlreadyLoaded => "held",
             Reason::FailureDomain => "failure-domain",
             Reason::Rate => "rate",
             Reason::NotLive => "not-live",
@@ -120,14 +120,14 @@
     /// Host name of the register.
     pub host: Arc<str>,
     /// What it is to do, if anything.
-    pub assignment: Option<Assigned>,
+    pub assignment: Option<AssignmentDetails>,
     /// Why.
     pub reason: Reason,
 }
 
 /// The stage that a host was given, in names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Assigned {
+pub struct AssignmentDetails {
     /// Name of the model.
     pub model: Arc<str>,
     /// Its version.
@@ -222,13 +222,13 @@
             return 0;
         };
         let spec = input.model(model);
-        let held = input.loaded_ranges.iter().any(|r| {
+        let is_loaded = input.loaded_ranges.iter().any(|r| {
             r.host == host
                 && r.model == model
                 && r.version == spec.version
                 && covers(&r.layers, layers)
         });
-        if held {
+        if is_loaded {
             return 0;
         }
         u64::from(layers.end - layers.first) * spec.layer_size.0
@@ -260,7 +260,8 @@
     ///
     /// When the plan is not of this input.
     pub fn explain(&self, input: &Input, host: HostKey) -> Decision {
-        let assignment = self.assignments[host.index()].and_then(|a| self.named(input, a));
+        let assignment =
+            self.assignments[host.index()].and_then(|a| self.assignment_details(input, a));
         Decision {
             host: input.host(host).name.clone(),
             assignment,
@@ -268,10 +269,14 @@
         }
     }
 
-    fn named(&self, input: &Input, assignment: Assignment) -> Option<Assigned> {
+    fn assignment_details(
+        &self,
+        input: &Input,
+        assignment: Assignment,
+    ) -> Option<AssignmentDetails> {
         let planned = self.model(assignment.model)?;
         let stage = &planned.stages[usize::from(assignment.stage)];
-        Some(Assigned {
+        Some(AssignmentDetails {
             model: input.model(assignment.model).name.clone(),
             version: planned.version.clone(),
             stage: assignment.stage,
@@ -283,15 +288,15 @@
 
     fn reason(&self, input: &Input, host: HostKey) -> Reason {
         let Some(assigned) = self.assignments[host.index()] else {
-            return self.spare_reason(input, host);
+            return self.unassigned_reason(input, host);
         };
         if self.missing_bytes(input, host) == 0 {
-            return Reason::Held;
+            return Reason::AlreadyLoaded;
         }
         let planned = self.model(assigned.model);
         let stage = planned.map(|m| &m.stages[usize::from(assigned.stage)]);
-        let others = stage.into_iter().flat_map(|s| &s.hosts);
-        let mut domains: Vec<u16> = others
+        let replicas = stage.into_iter().flat_map(|s| &s.hosts);
+        let mut domains: Vec<u16> = replicas
             .filter(|&&h| h != host)
             .map(|&h| input.host(h).domain.0)
             .collect();
@@ -303,7 +308,7 @@
         Reason::Rate
     }
 
-    fn spare_reason(&self, input: &Input, host: HostKey) -> Reason {
+    fn unassigned_reason(&self, input: &Input, host: HostKey) -> Reason {
         let spec = input.host(host);
         if !spec.live {
             return Reason::NotLive;
@@ -324,6 +329,6 @@
 }
 
 /// Whether a range holds all layers of another.
-pub(super) fn covers(held: &LayerRange, wanted: &LayerRange) -> bool {
-    held.first <= wanted.first && wanted.end <= held.end
+pub(super) fn covers(outer: &LayerRange, inner: &LayerRange) -> bool {
+    outer.first <= inner.first && inner.end <= outer.end
 }
--- a/crates/kelpworks/src/placement/planner.rs
+++ b/crates/kelpworks/src/placement/planner.rs
@@ -1,37 +1,37 @@
 //! The full plan: tries cuts, balances hosts over them, then prefers fewer moves and short links.
 
-use super::cuts;
 use super::input::HostKey;
 use super::input::Input;
+use super::loaded;
 use super::locality;
+use super::partitions;
 use super::plan::Assignment;
 use super::plan::ModelPlan;
 use super::plan::Plan;
 use super::plan::Shortfall;
 use super::plan::Stage;
-use super::search::Allowed;
-use super::state::Cuts;
+use super::search::AllowedChanges;
+use super::state::HostTable;
+use super::state::Partition;
+use super::state::SearchState;
 use super::state::Slot;
-use super::state::State;
-use super::state::View;
-use super::today;
 use crate::fleet::ModelKey;
 use kelpworks_wire::LayerRange;
 
 /// Share of the bound at which the search for cuts ends.
-const GOOD_ENOUGH: f64 = 0.985;
+const TARGET_BOUND_SHARE: f64 = 0.985;
 /// Share of the best rate that is given up for fewer stages.
 const STAGE_TOLERANCE: f64 = 0.01;
 /// Share of the best rate that is given up for fewer moves from today's holdings.
 pub const MOVE_TOLERANCE: f64 = 0.03;
 
 /// Everything may change.
-const ANY: Allowed = Allowed {
+const ANY_CHANGE: AllowedChanges = AllowedChanges {
     shift: true,
     rate: true,
 };
 /// Hosts may change places, cuts stay.
-const KEEP_CUTS: Allowed = Allowed {
+const KEEP_PARTITION: AllowedChanges = AllowedChanges {
     shift: false,
     rate: true,
 };
@@ -47,33 +47,34 @@
 ///
 /// When a key in the input points past what it indexes.
 pub fn plan(input: &Input) -> Plan {
-    let view = View::new(input);
-    let fresh = best_cuts(input, &view);
-    if let Some(state) = kept(input, &view, &fresh, KEEP_CUTS) {
-        return finish(input, &state);
+    let host_table = HostTable::new(input);
+    let from_scratch = best_partition(input, &host_table);
+    if let Some(state) = improve_loaded(input, &host_table, &from_scratch, KEEP_PARTITION) {
+        return build_plan(input, &state);
     }
-    let shifted = kept(input, &view, &fresh, ANY).map(|s| finish(input, &s));
-    let mut state = fresh;
-    locality::shorten(input, &mut state);
-    today::keep_alike(input, &mut state);
-    let anew = finish(input, &state);
-    let fewer = |p: &Plan| p.bytes_to_load(input) < anew.bytes_to_load(input);
-    shifted.filter(fewer).unwrap_or(anew)
+    let shifted = improve_loaded(input, &host_table, &from_scratch, ANY_CHANGE)
+        .map(|s| build_plan(input, &s));
+    let mut state = from_scratch;
+    locality::shorten_links(input, &mut state);
+    loaded::swap_interchangeable(input, &mut state);
+    let rebuilt = build_plan(input, &state);
+    let fewer = |p: &Plan| p.bytes_to_load(input) < rebuilt.bytes_to_load(input);
+    shifted.filter(fewer).unwrap_or(rebuilt)
 }
 
 /// Today's holdings, changed until they are as good as a fresh state within [`MOVE_TOLERANCE`];
 /// `None` when they can't be.
-fn kept<'a>(
+fn improve_loaded<'a>(
     input: &Input,
-    view: &'a View,
-    fresh: &State<'_>,
-    allowed: Allowed,
-) -> Option<State<'a>> {
-    let goal = fresh.scale() * (1.0 - MOVE_TOLERANCE);
-    let mut state = today::state(input, view)?;
-    state.fill();
+    host_table: &'a HostTable,
+    from_scratch: &SearchState<'_>,
+    allowed: AllowedChanges,
+) -> Option<SearchState<'a>> {
+    let goal = from_scratch.scale() * (1.0 - MOVE_TOLERANCE);
+    let mut state = loaded::state_from_loaded(input, host_table)?;
+    state.assign_free_hosts();
     state.improve(goal, allowed);
-    let good = state.deficit() <= fresh.deficit() && state.scale() >= goal;
+    let good = state.deficit() <= from_scratch.deficit() && state.scale() >= goal;
     good.then_some(state)
 }
 
@@ -82,7 +83,7 @@
     /// Candidate of each model.
     chosen: Vec<usize>,
     /// The assignment found.
-    state: State<'a>,
+    state: SearchState<'a>,
     /// Its deficit.
     deficit: u32,
     /// Its scale.
@@ -90,53 +91,55 @@
 }
 
 impl Trial<'_> {
-    fn better(&self, other: &Trial<'_>) -> bool {
+    fn is_better_than(&self, other: &Trial<'_>) -> bool {
         if self.deficit != other.deficit {
             return self.deficit < other.deficit;
         }
         let fewer = self.state.slots.len() < other.state.slots.len();
-        let give = if fewer {
+        let required_ratio = if fewer {
             1.0 - STAGE_TOLERANCE
         } else {
             1.0 + STAGE_TOLERANCE
         };
-        self.scale > other.scale * give
+        self.scale > other.scale * required_ratio
     }
 }
 
-fn best_cuts<'a>(input: &Input, view: &'a View) -> State<'a> {
+fn best_partition<'a>(input: &Input, host_table: &'a HostTable) -> SearchState<'a> {
     let models = (0..input.models.len()).map(|m| ModelKey(m as u16));
-    let candidates: Vec<Vec<Vec<u32>>> = models.map(|m| cuts::candidates(input, view, m)).collect();
+    let candidates: Vec<Vec<Vec<u32>>> = models
+        .map(|m| partitions::candidates(input, host_table, m))
+        .collect();
     let placeable = |m: &usize| !candidates[*m].is_empty();
     let placeable: Vec<usize> = (0..candidates.len()).filter(placeable).collect();
-    let goal = input.bound_over(&placeable) * GOOD_ENOUGH;
-    let most = candidates.iter().map(Vec::len).max().unwrap_or(0);
+    let goal = input.bound_over(&placeable) * TARGET_BOUND_SHARE;
+    let max_candidates = candidates.iter().map(Vec::len).max().unwrap_or(0);
     let done = |t: &Trial<'_>| t.deficit == 0 && t.scale >= goal;
-    let mut best = attempt(input, view, &candidates, vec![0; candidates.len()]);
-    for level in 1..most {
+    let mut best = try_partition(input, host_table, &candidates, vec![0; candidates.len()]);
+    for candidate in 1..max_candidates {
         if done(&best) {
             return best.state;
         }
         let chosen = candidates
             .iter()
-            .map(|c| level.min(c.len().saturating_sub(1)));
-        let trial = attempt(input, view, &candidates, chosen.collect());
-        if trial.better(&best) {
+            .map(|c| candidate.min(c.len().saturating_sub(1)));
+        let trial = try_partition(input, host_table, &candidates, chosen.collect());
+        if trial.is_better_than(&best) {
             best = trial;
         }
     }
     for model in 0..candidates.len() {
-        for level in 0..candidates[model].len() {
+        for candidate in 0..candidates[model].len() {
             if done(&best) {
                 return best.state;
             }
             let mut chosen = best.chosen.clone();
-            if chosen[model] == level {
+            if chosen[model] == candidate {
                 continue;
             }
-            chosen[model] = level;
-            let trial = attempt(input, view, &candidates, chosen);
-            if trial.better(&best) {
+            chosen[model] = candidate;
+            let trial = try_partition(input, host_table, &candidates, chosen);
+            if trial.is_better_than(&best) {
                 best = trial;
             }
         }
@@ -144,20 +147,20 @@
     best.state
 }
 
-fn attempt<'a>(
+fn try_partition<'a>(
     input: &Input,
-    view: &'a View,
+    host_table: &'a HostTable,
     candidates: &[Vec<Vec<u32>>],
     chosen: Vec<usize>,
 ) -> Trial<'a> {
     let lengths = chosen.iter().zip(candidates);
     let lengths = lengths.map(|(&c, all)| all.get(c).cloned().unwrap_or_default());
-    let cuts = Cuts {
+    let partition = Partition {
         lengths: lengths.collect(),
     };
-    let mut state = State::new(view, input, &cuts);
-    state.fill();
-    state.improve(f64::INFINITY, ANY);
+    let mut state = SearchState::new(host_table, input, &partition);
+    state.assign_free_hosts();
+    state.improve(f64::INFINITY, ANY_CHANGE);
     Trial {
         deficit: state.deficit(),
         scale: state.scale(),
@@ -167,7 +170,7 @@
 }
 
 /// Turns a state into a plan.
-pub(super) fn finish(input: &Input, state: &State<'_>) -> Plan {
+pub(super) fn build_plan(input: &Input, state: &SearchState<'_>) -> Plan {
     let mut plan = Plan {
         models: Vec::new(),
         assignments: vec![None; input.hosts.len()],
@@ -182,8 +185,8 @@
         }
         let mut first = 0;
         let mut stages = Vec::new();
-        for (at, slot) in slots.iter().enumerate() {
-            let stage = at as u16;
+        for (index, slot) in slots.iter().enumerate() {
+            let stage = index as u16;
             let end = first + slot.length;
             let mut hosts = slot.hosts.clone();
             hosts.sort_unstable();
--- a/crates/kelpworks/src/placement/repair.rs
+++ b/crates/kelpworks/src/placement/repair.rs
@@ -2,15 +2,15 @@
 
 use super::input::HostKey;
 use super::input::Input;
+use super::loaded;
 use super::plan::Plan;
 use super::plan::Shortfall;
-use super::planner::finish;
+use super::planner::build_plan;
 use super::planner::plan;
-use super::search::Allowed;
-use super::state::Cuts;
-use super::state::State;
-use super::state::View;
-use super::today;
+use super::search::AllowedChanges;
+use super::state::HostTable;
+use super::state::Partition;
+use super::state::SearchState;
 use crate::fleet::DomainKey;
 
 /// Relative gain in scale above which [`improve`] gives up the plan in force.
@@ -40,12 +40,14 @@
 
 /// The input without what was lost: its hosts are not live and hold nothing.
 pub fn without(input: &Input, lost: FailureScope) -> Input {
-    let mut left = input.clone();
+    let mut remaining = input.clone();
     for host in input.host_keys().filter(|&h| lost.covers(input, h)) {
-        left.hosts[host.index()].live = false;
+        remaining.hosts[host.index()].live = false;
     }
-    left.loaded_ranges.retain(|h| !lost.covers(input, h.host));
-    left
+    remaining
+        .loaded_ranges
+        .retain(|h| !lost.covers(input, h.host));
+    remaining
 }
 
 /// The plan after a loss, with the fewest moves that let every stage stand again after the loss of
@@ -57,19 +59,19 @@
 /// # Panics
 ///
 /// When the plan is not of this input.
-pub fn repair(input: &Input, plan_in_force: &Plan, lost: FailureScope) -> Plan {
-    let left = without(input, lost);
-    let view = View::new(&left);
-    let mut state = state_of(&left, &view, plan_in_force);
-    let standing_only = Allowed {
+pub fn repair(input: &Input, active_plan: &Plan, lost: FailureScope) -> Plan {
+    let remaining = without(input, lost);
+    let host_table = HostTable::new(&remaining);
+    let mut state = state_from_plan(&remaining, &host_table, active_plan);
+    let redundancy_only = AllowedChanges {
         shift: false,
         rate: false,
     };
-    state.improve(f64::INFINITY, standing_only);
-    let repaired = finish(&left, &state);
-    let broken = |s: &Shortfall| matches!(s, Shortfall::NoReplica { .. });
-    if repaired.shortfalls.iter().any(broken) {
-        return plan(&left);
+    state.improve(f64::INFINITY, redundancy_only);
+    let repaired = build_plan(&remaining, &state);
+    let has_no_replica = |s: &Shortfall| matches!(s, Shortfall::NoReplica { .. });
+    if repaired.shortfalls.iter().any(has_no_replica) {
+        return plan(&remaining);
     }
     repaired
 }
@@ -82,9 +84,9 @@
 ///
 /// When a key in the input points past what it indexes.
 pub fn plan_from_loaded(input: &Input) -> Option<Plan> {
-    let view = View::new(input);
-    let state = today::state(input, &view)?;
-    Some(finish(input, &state))
+    let host_table = HostTable::new(input);
+    let state = loaded::state_from_loaded(input, &host_table)?;
+    Some(build_plan(input, &state))
 }
 
 /// The plan with its idle hosts put to use: each on the stage that it holds already, or else on the
@@ -93,12 +95,12 @@
 /// # Panics
 ///
 /// When the plan is not of this input.
-pub fn assign_idle_hosts(input: &Input, plan_in_force: &Plan) -> Plan {
-    let view = View::new(input);
-    let mut state = state_of(input, &view, plan_in_force);
-    today::take_held(input, &mut state);
-    state.fill();
-    finish(input, &state)
+pub fn assign_idle_hosts(input: &Input, active_plan: &Plan) -> Plan {
+    let host_table = HostTable::new(input);
+    let mut state = state_from_plan(input, &host_table, active_plan);
+    loaded::place_loaded_hosts(input, &mut state);
+    state.assign_free_hosts();
+    build_plan(input, &state)
 }
 
 /// A better plan, when it is worth the moves: it meets more of the rules, or its scale is greater
@@ -107,28 +109,28 @@
 /// # Panics
 ///
 /// When the plan is not of this input.
-pub fn improve(input: &Input, plan_in_force: &Plan) -> Option<Plan> {
-    let view = View::new(input);
-    let current = state_of(input, &view, plan_in_force);
+pub fn improve(input: &Input, active_plan: &Plan) -> Option<Plan> {
+    let host_table = HostTable::new(input);
+    let current = state_from_plan(input, &host_table, active_plan);
     let found = plan(input);
-    let found_state = state_of(input, &view, &found);
-    let (had, has) = (current.deficit(), found_state.deficit());
-    let whole = found.models.len() >= plan_in_force.models.len();
+    let found_state = state_from_plan(input, &host_table, &found);
+    let (current_deficit, found_deficit) = (current.deficit(), found_state.deficit());
+    let keeps_all_models = found.models.len() >= active_plan.models.len();
     let gains = found.scale(input) > current.scale() * (1.0 + IMPROVE_HYSTERESIS);
-    let better = has < had || (has == had && gains);
-    (whole && better).then_some(found)
+    let better = found_deficit < current_deficit || (found_deficit == current_deficit && gains);
+    (keeps_all_models && better).then_some(found)
 }
 
 /// The state that a plan amounts to, less the hosts that are no longer live.
-fn state_of<'a>(input: &Input, view: &'a View, plan: &Plan) -> State<'a> {
-    let mut cuts = Cuts {
+fn state_from_plan<'a>(input: &Input, host_table: &'a HostTable, plan: &Plan) -> SearchState<'a> {
+    let mut partition = Partition {
         lengths: vec![Vec::new(); input.models.len()],
     };
     for m in &plan.models {
         let lengths = m.stages.iter().map(|s| s.layers.end - s.layers.first);
-        cuts.lengths[usize::from(m.model.0)] = lengths.collect();
+        partition.lengths[usize::from(m.model.0)] = lengths.collect();
     }
-    let mut state = State::new(view, input, &cuts);
+    let mut state = SearchState::new(host_table, input, &partition);
     let stages = plan.models.iter().flat_map(|m| &m.stages);
     for (slot, stage) in stages.enumerate() {
         for &host in &stage.hosts {
--- a/crates/kelpworks/src/placement/tests.rs
+++ b/crates/kelpworks/src/placement/tests.rs
@@ -57,8 +57,8 @@
 }
 
 fn input(domains: u16, hosts: Vec<HostSpec>, models: Vec<ModelSpec>) -> Input {
-    let link = |near: bool| LinkCost {
-        latency: Duration::from_micros(if near { 10 } else { 1_000 }),
+    let link = |same_domain: bool| LinkCost {
+        latency: Duration::from_micros(if same_domain { 10 } else { 1_000 }),
         bytes_per_second: 1_000_000_000,
     };
     let ends = (0..domains).flat_map(|a| (0..domains).map(move |b| a == b));
@@ -75,7 +75,7 @@
 }
 
 /// Hosts dealt to the domains in turn; `shapes` are layers and rate.
-fn dealt(domains: u16, shapes: &[(u64, f64)]) -> Vec<HostSpec> {
+fn hosts_round_robin(domains: u16, shapes: &[(u64, f64)]) -> Vec<HostSpec> {
     let shapes = shapes.iter().enumerate();
     shapes
         .map(|(i, &(layers, rate))| host(&format!("h{i}"), i as u16 % domains, layers, rate))
@@ -83,13 +83,13 @@
 }
 
 /// The invariants of every plan.
-fn check(input: &Input, plan: &Plan) {
+fn check_invariants(input: &Input, plan: &Plan) {
     for m in &plan.models {
-        let mut at = 0;
+        let mut end = 0;
         for (s, stage) in m.stages.iter().enumerate() {
-            assert_eq!(stage.layers.first, at, "stages cover each layer once");
-            assert!(stage.layers.end > at, "no stage is empty");
-            at = stage.layers.end;
+            assert_eq!(stage.layers.first, end, "stages cover each layer once");
+            assert!(stage.layers.end > end, "no stage is empty");
+            end = stage.layers.end;
             for &h in &stage.hosts {
                 let length = stage.layers.end - stage.layers.first;
                 assert!(
@@ -103,7 +103,7 @@
                 assert_eq!(plan.assignments[h.index()], Some(expected));
             }
         }
-        assert_eq!(at, input.model(m.model).layers);
+        assert_eq!(end, input.model(m.model).layers);
     }
     let placed: usize = plan
         .models
@@ -131,10 +131,10 @@
 #[case::mixed_rates(2, &[(10, 300.0), (10, 300.0), (10, 100.0), (10, 100.0), (10, 100.0),
     (10, 100.0), (10, 100.0), (10, 100.0)], 20, 1.0)]
 #[case::small_and_large(2, &[(4, 100.0), (4, 100.0), (12, 300.0), (12, 300.0)], 16, 1.0)]
-#[case::unequal_cuts_win(2, &[(5, 100.0), (5, 100.0), (20, 400.0), (20, 400.0)], 25, 1.0)]
-#[case::only_the_cuts_of_one_domain_stand(2, &[(7, 40.0), (7, 40.0), (3, 40.0), (3, 40.0),
+#[case::unequal_stages_are_faster(2, &[(5, 100.0), (5, 100.0), (20, 400.0), (20, 400.0)], 25, 1.0)]
+#[case::only_a_single_domain_partition_is_redundant(2, &[(7, 40.0), (7, 40.0), (3, 40.0), (3, 40.0),
     (2, 40.0), (2, 40.0)], 12, 0.57)]
-fn reaches_a_share_of_the_bound(
+fn plan_reaches_expected_share_of_the_bound(
     #[case] domains: u16,
     #[case] shapes: &[(u64, f64)],
     #[case] layers: u32,
@@ -142,11 +142,11 @@
 ) {
     let input = input(
         domains,
-        dealt(domains, shapes),
+        hosts_round_robin(domains, shapes),
         vec![model("m", layers, 1.0)],
     );
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     assert_eq!(plan.shortfalls, []);
     assert!(plan.scale(&input) >= share * input.bound() * (1.0 - 1e-9));
 }
@@ -154,42 +154,45 @@
 #[rstest]
 #[case::no_host(vec![], "[Unplaceable { model: ModelKey(0) }]")]
 #[case::too_little_memory(
-    dealt(2, &[(0, 1.0), (0, 1.0)]),
+    hosts_round_robin(2, &[(0, 1.0), (0, 1.0)]),
     "[Unplaceable { model: ModelKey(0) }]"
 )]
-#[case::one_host(dealt(1, &[(9, 1.0)]), "[OneHost { model: ModelKey(0), stage: 0 }]")]
+#[case::one_host(hosts_round_robin(1, &[(9, 1.0)]), "[OneHost { model: ModelKey(0), stage: 0 }]")]
 #[case::one_domain(
-    dealt(1, &[(9, 1.0), (9, 1.0)]),
+    hosts_round_robin(1, &[(9, 1.0), (9, 1.0)]),
     "[OneFailureDomain { model: ModelKey(0), stage: 0 }]"
 )]
 #[case::half_of_the_layers(
-    dealt(1, &[(4, 1.0)]),
+    hosts_round_robin(1, &[(4, 1.0)]),
     "[OneHost { model: ModelKey(0), stage: 0 }, NoReplica { model: ModelKey(0), stage: 1 }]"
 )]
-fn names_the_rules_that_cannot_be_met(#[case] hosts: Vec<HostSpec>, #[case] expected: &str) {
+fn plan_reports_shortfalls_that_the_hosts_cannot_avoid(
+    #[case] hosts: Vec<HostSpec>,
+    #[case] expected: &str,
+) {
     let input = input(2, hosts, vec![model("m", 8, 1.0)]);
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     assert_eq!(format!("{:?}", plan.shortfalls), expected);
 }
 
 #[test]
-fn demand_divides_hosts_among_models() {
-    let mut hosts = dealt(2, &[(8, 100.0); 16]);
+fn hosts_are_divided_among_models_by_demand() {
+    let mut hosts = hosts_round_robin(2, &[(8, 100.0); 16]);
     for h in &mut hosts {
         h.models.push(ModelKey(1));
     }
     let models = vec![model("a", 8, 3.0), model("b", 8, 1.0)];
     let input = input(2, hosts, models);
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     let rates: Vec<f64> = plan.models.iter().map(ModelPlan::rate).collect();
     assert_eq!(rates, [150.0, 50.0]);
     assert_eq!(plan.scale(&input), input.bound());
 }
 
 #[test]
-fn a_plan_in_words() {
+fn explanation_names_stage_reason_and_rates() {
     let shapes = [
         (6, 100.0),
         (6, 100.0),
@@ -198,7 +201,11 @@
         (6, 100.0),
         (2, 50.0),
     ];
-    let mut input = input(3, dealt(3, &shapes), vec![model("caption", 12, 1.0)]);
+    let mut input = input(
+        3,
+        hosts_round_robin(3, &shapes),
+        vec![model("caption", 12, 1.0)],
+    );
     input.hosts.push(HostSpec {
         live: false,
         ..host("h6", 0, 12, 100.0)
@@ -208,7 +215,7 @@
         ..host("h7", 0, 12, 100.0)
     });
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     let mut text = String::new();
     for host in input.host_keys() {
         writeln!(text, "{}", plan.explain(&input, host)).unwrap();
@@ -224,13 +231,13 @@
 }
 
 #[test]
-fn a_model_that_no_host_may_carry_costs_the_others_nothing() {
+fn unplaceable_model_does_not_slow_other_models() {
     let mut shapes = vec![(12, 300.0); 4];
     shapes.extend([(4, 300.0); 8]);
     let models = vec![model("m", 16, 1.0), model("none", 16, 1.0)];
-    let input = input(2, dealt(2, &shapes), models);
+    let input = input(2, hosts_round_robin(2, &shapes), models);
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     assert_eq!(
         plan.shortfalls,
         [Shortfall::Unplaceable { model: ModelKey(1) }]
@@ -239,16 +246,16 @@
 }
 
 #[rstest]
-#[case::two_hosts(dealt(2, &[(8, 1.0); 2]), Reason::FailureDomain)]
-#[case::four_hosts(dealt(2, &[(8, 1.0); 4]), Reason::Rate)]
-#[case::small(dealt(2, &[(0, 1.0), (8, 1.0), (8, 1.0)]), Reason::TooLittleMemory)]
-fn explains_the_first_host(#[case] hosts: Vec<HostSpec>, #[case] reason: Reason) {
+#[case::two_hosts(hosts_round_robin(2, &[(8, 1.0); 2]), Reason::FailureDomain)]
+#[case::four_hosts(hosts_round_robin(2, &[(8, 1.0); 4]), Reason::Rate)]
+#[case::no_memory(hosts_round_robin(2, &[(0, 1.0), (8, 1.0), (8, 1.0)]), Reason::TooLittleMemory)]
+fn explain_gives_reason_for_first_host(#[case] hosts: Vec<HostSpec>, #[case] reason: Reason) {
     let input = input(2, hosts, vec![model("m", 8, 1.0)]);
     assert_eq!(plan(&input).explain(&input, HostKey(0)).reason, reason);
 }
 
 #[test]
-fn reads_a_register() {
+fn input_is_built_from_register() {
     let register = Register {
         accelerators: vec![Accelerator {
             name: "x".into(),
--- a/crates/kelpworks/src/placement/tests/changes.rs
+++ b/crates/kelpworks/src/placement/tests/changes.rs
@@ -5,44 +5,44 @@
 #[rstest]
 #[case::nothing_changed(0)]
 #[case::one_host_lost(1)]
-fn planning_again_moves_little(#[case] lost: u32) {
+fn replanning_moves_no_more_hosts_than_were_lost(#[case] lost: u32) {
     let shapes: Vec<(u64, f64)> = (0..24)
         .map(|i| (10, 100.0 + f64::from(i % 3) * 70.0))
         .collect();
-    let mut input = input(3, dealt(3, &shapes), vec![model("m", 30, 1.0)]);
+    let mut input = input(3, hosts_round_robin(3, &shapes), vec![model("m", 30, 1.0)]);
     input.loaded_ranges = plan(&input).host_ranges(&input);
     for h in 0..lost {
         input = without(&input, FailureScope::Host(HostKey(h)));
     }
-    let again = plan(&input);
-    check(&input, &again);
+    let replanned = plan(&input);
+    check_invariants(&input, &replanned);
     assert!(
-        again.moves(&input) <= lost as usize,
+        replanned.moves(&input) <= lost as usize,
         "{} moves",
-        again.moves(&input)
+        replanned.moves(&input)
     );
 }
 
 #[rstest]
 #[case::replicas_left(&[(8, 100.0); 12], FailureScope::Host(HostKey(0)), 0)]
-#[case::second_domain_gone(&[(8, 100.0); 5], FailureScope::Host(HostKey(1)), 1)]
-fn repair_moves_the_least(
+#[case::second_domain_lost(&[(8, 100.0); 5], FailureScope::Host(HostKey(1)), 1)]
+fn repair_makes_the_fewest_moves(
     #[case] shapes: &[(u64, f64)],
     #[case] lost: FailureScope,
     #[case] moves: usize,
 ) {
-    let mut input = input(2, dealt(2, shapes), vec![model("m", 16, 1.0)]);
+    let mut input = input(2, hosts_round_robin(2, shapes), vec![model("m", 16, 1.0)]);
     let before = plan(&input);
     input.loaded_ranges = before.host_ranges(&input);
     let after = repair(&input, &before, lost);
-    check(&without(&input, lost), &after);
+    check_invariants(&without(&input, lost), &after);
     assert_eq!(after.moves(&input), moves);
 }
 
 #[rstest]
 #[case::below_the_hysteresis(24, 1, false)]
 #[case::above_the_hysteresis(24, 2, true)]
-fn improvement_needs_more_than_the_hysteresis(
+fn improvement_is_adopted_only_above_hysteresis(
     #[case] hosts: usize,
     #[case] joined: usize,
     #[case] adopted: bool,
@@ -50,28 +50,30 @@
     // One stage, so that each host that joins adds 1 part in 24.
     let mut input = input(
         2,
-        dealt(2, &vec![(8, 100.0); hosts]),
+        hosts_round_robin(2, &vec![(8, 100.0); hosts]),
         vec![model("m", 8, 1.0)],
     );
     let mut before = plan(&input);
     input.loaded_ranges = before.host_ranges(&input);
     assert_eq!(improve(&input, &before), None);
-    input.hosts.extend(dealt(2, &vec![(8, 100.0); joined]));
+    input
+        .hosts
+        .extend(hosts_round_robin(2, &vec![(8, 100.0); joined]));
     before.assignments.resize(hosts + joined, None);
     assert_eq!(improve(&input, &before).is_some(), adopted);
-    let absorbed = assign_idle_hosts(&input, &before);
-    check(&input, &absorbed);
-    assert_eq!(absorbed.moves(&input), joined);
-    assert_eq!(improve(&input, &absorbed), None);
+    let filled = assign_idle_hosts(&input, &before);
+    check_invariants(&input, &filled);
+    assert_eq!(filled.moves(&input), joined);
+    assert_eq!(improve(&input, &filled), None);
 }
 
 #[rstest]
 #[case::first(0)]
 #[case::second(1)]
 #[case::third(2)]
-fn hosts_that_come_back_keep_their_stages(#[case] domain: u16) {
+fn returning_hosts_regain_their_stages(#[case] domain: u16) {
     let shapes: Vec<(u64, f64)> = (0..18).map(|i| (8, 100.0 + f64::from(i % 4))).collect();
-    let mut input = input(3, dealt(3, &shapes), vec![model("m", 24, 1.0)]);
+    let mut input = input(3, hosts_round_robin(3, &shapes), vec![model("m", 24, 1.0)]);
     let before = plan(&input);
     input.loaded_ranges = before.host_ranges(&input);
     let lost = FailureScope::FailureDomain(DomainKey(domain));
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn repair_finds_a_way_over_a_third_stage() {
+fn repair_takes_a_replacement_from_a_third_stage() {
     let mut input = one_stage_each(
         3,
         &[
@@ -128,22 +130,30 @@
         assignments: assigned.collect(),
         shortfalls: vec![],
     };
-    check(&input, &before);
+    check_invariants(&input, &before);
     input.loaded_ranges = before.host_ranges(&input);
     let after = repair(&input, &before, FailureScope::Host(HostKey(1)));
-    check(&without(&input, FailureScope::Host(HostKey(1))), &after);
+    check_invariants(&without(&input, FailureScope::Host(HostKey(1))), &after);
     assert_eq!(after.shortfalls, []);
     assert_eq!(after.moves(&input), 2);
 }
 
 #[test]
-fn rate_goes_on_over_a_third_model() {
-    let only = |m: &'static [u16]| [(0, m), (1, m)];
+fn chained_moves_over_a_third_model_reach_the_bound() {
+    let both_domains = |m: &'static [u16]| [(0, m), (1, m)];
     let mut hosts: Vec<(u16, &[u16])> = vec![(0, &[0, 2]), (1, &[0, 1])];
-    hosts.extend([only(&[2]), only(&[0]), only(&[1]), only(&[1])].concat());
+    hosts.extend(
+        [
+            both_domains(&[2]),
+            both_domains(&[0]),
+            both_domains(&[1]),
+            both_domains(&[1]),
+        ]
+        .concat(),
+    );
     let input = one_stage_each(3, &hosts);
     let plan = plan(&input);
-    check(&input, &plan);
+    check_invariants(&input, &plan);
     assert_eq!(plan.scale(&input), input.bound());
 }
 
@@ -151,8 +161,12 @@
 #[case::first([0, 1])]
 #[case::middle([2, 5])]
 #[case::last([6, 7])]
-fn hosts_that_are_alike_keep_what_they_hold(#[case] holders: [u32; 2]) {
-    let mut input = input(1, dealt(1, &[(4, 100.0); 8]), vec![model("m", 8, 1.0)]);
+fn interchangeable_hosts_keep_their_loaded_layers(#[case] holders: [u32; 2]) {
+    let mut input = input(
+        1,
+        hosts_round_robin(1, &[(4, 100.0); 8]),
+        vec![model("m", 8, 1.0)],
+    );
     // Only half of the model is held, so these are no cuts to keep.
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.loaded_ranges.truncate(2);
@@ -165,7 +179,7 @@
 
 #[rstest]
 // Two hosts change places for 1.960 of 2; a shift gives 1.964, but three hosts have to load.
-#[case::swap_before_shift(
+#[case::swap_preferred_to_shift(
     &[(12, 5.0), (12, 5.0), (12, 11.6), (12, 8.0), (12, 10.4)],
     &[3, 2],
     &[0, 10, 20],
@@ -173,21 +187,25 @@
 )]
 // No two hosts are alike, so that a plan made anew has no reason to keep any in its place. The
 // first stage gives a layer to the second, whose hosts alone have to load.
-#[case::shift_before_anew(
+#[case::shift_preferred_to_new_plan(
     &[(9, 100.0), (9, 100.1), (9, 100.2), (9, 100.3), (9, 100.4), (9, 100.5), (9, 100.6),
         (9, 100.7), (9, 100.8), (9, 100.9), (9, 101.0), (9, 101.1)],
     &[4, 4, 4],
     &[0, 9, 16, 24],
     4
 )]
-fn the_way_of_fewest_loads_is_taken(
+fn plan_needs_the_fewest_loads(
     #[case] shapes: &[(u64, f64)],
     #[case] replicas: &[usize],
-    #[case] cuts: &[u32],
+    #[case] boundaries: &[u32],
     #[case] moves: usize,
 ) {
-    let layers = cuts[cuts.len() - 1];
-    let mut input = input(2, dealt(2, shapes), vec![model("m", layers, 1.0)]);
+    let layers = boundaries[boundaries.len() - 1];
+    let mut input = input(
+        2,
+        hosts_round_robin(2, shapes),
+        vec![model("m", layers, 1.0)],
+    );
     let stages = replicas.iter().enumerate();
     let stages = stages.flat_map(|(s, &count)| std::iter::repeat_n(s, count));
     let range = |(host, stage): (HostKey, usize)| HostRange {
@@ -195,13 +213,13 @@
         model: ModelKey(0),
         version: Arc::from("v1"),
         layers: LayerRange {
-            first: cuts[stage],
-            end: cuts[stage + 1],
+            first: boundaries[stage],
+            end: boundaries[stage + 1],
         },
     };
     input.loaded_ranges = input.host_keys().zip(stages).map(range).collect();
     let found = plan(&input);
-    check(&input, &found);
+    check_invariants(&input, &found);
     assert!(found.scale(&input) >= (1.0 - MOVE_TOLERANCE) * input.bound());
     assert_eq!(found.moves(&input), moves);
 }
--- a/crates/kelpworks/src/placement/tests/invariants.rs
+++ b/crates/kelpworks/src/placement/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! Properties of plans, repairs and orders on fleets drawn at random.
 
-use super::orders::follow;
+use super::orders::apply_orders;
 use super::*;
 
 /// Fleets with hosts of any shape.
@@ -25,7 +25,7 @@
 
 /// Fleets on which some cut lets every stage stand: two hosts in two domains for each stage of
 /// `layers` layers, each allowed one model, and others besides.
-fn standing_input() -> impl Strategy<Value = Input> {
+fn redundant_input() -> impl Strategy<Value = Input> {
     let others = prop::collection::vec((0_u16..3, 0_u64..9, 0_u16..2), 0..8);
     let pairs = prop::collection::vec((0_u16..3, 1_u16..3), 5);
     (pairs, others).prop_map(|(pairs, others)| {
@@ -53,29 +53,29 @@
     })]
 
     #[test]
-    fn every_plan_keeps_the_invariants(input in any_input()) {
+    fn plan_satisfies_invariants(input in any_input()) {
         let found = plan(&input);
-        check(&input, &found);
+        check_invariants(&input, &found);
         prop_assert!(found.scale(&input) <= input.bound() * (1.0 + 1e-9));
         prop_assert_eq!(plan(&input), found);
     }
 
     #[test]
-    fn every_stage_stands_where_that_is_possible(input in standing_input()) {
+    fn every_stage_is_redundant_where_hosts_allow(input in redundant_input()) {
         let found = plan(&input);
-        check(&input, &found);
+        check_invariants(&input, &found);
         prop_assert_eq!(found.shortfalls, []);
     }
 
     #[test]
-    fn repair_keeps_the_invariants(input in any_input(), lost in 0_u16..4) {
+    fn repaired_plan_satisfies_invariants(input in any_input(), lost in 0_u16..4) {
         let before = plan(&input);
         let lost = FailureScope::FailureDomain(DomainKey(lost));
-        check(&without(&input, lost), &repair(&input, &before, lost));
+        check_invariants(&without(&input, lost), &repair(&input, &before, lost));
     }
 
     #[test]
-    fn orders_keep_models_whole(
+    fn orders_keep_models_complete(
         before in any_input(),
         lost in 0_u32..24,
         version in 1_u32..3,
@@ -92,14 +92,14 @@
         input.models[0].version = Arc::from(format!("v{version}"));
         let next = plan(&input);
         let orders = orders(&input, &next);
-        let held = follow(&input, &orders);
+        let loaded = apply_orders(&input, &orders);
         if orders.blocked.is_empty() {
-            let wanted = next.host_ranges(&input);
-            let serves = |w: &HostRange, h: &HostRange| {
+            let planned = next.host_ranges(&input);
+            let satisfies = |w: &HostRange, h: &HostRange| {
                 h.host == w.host && h.model == w.model && h.version == w.version
                     && h.layers.first <= w.layers.first && w.layers.end <= h.layers.end
             };
-            prop_assert!(wanted.iter().all(|w| held.iter().any(|h| serves(w, h))));
+            prop_assert!(planned.iter().all(|w| loaded.iter().any(|h| satisfies(w, h))));
         }
     }
 }
--- a/crates/kelpworks/src/placement/tests/orders.rs
+++ b/crates/kelpworks/src/placement/tests/orders.rs
@@ -4,44 +4,44 @@
 
 /// Applies orders step by step; after each, memory is kept and no version that was whole stops
 /// being so before the one to serve is. Returns the holdings at the end.
-pub(super) fn follow(input: &Input, orders: &Orders) -> Vec<HostRange> {
-    let mut held = input.loaded_ranges.clone();
-    held.retain(|h| input.host(h.host).live);
-    let whole = |held: &[HostRange], model: ModelKey, version: &str| {
+pub(super) fn apply_orders(input: &Input, orders: &Orders) -> Vec<HostRange> {
+    let mut loaded = input.loaded_ranges.clone();
+    loaded.retain(|h| input.host(h.host).live);
+    let is_complete = |loaded: &[HostRange], model: ModelKey, version: &str| {
         (0..input.model(model).layers).all(|l| {
-            held.iter().any(|h| {
+            loaded.iter().any(|h| {
                 h.model == model
                     && *h.version == *version
                     && (h.layers.first..h.layers.end).contains(&l)
             })
         })
     };
-    let before = held.clone();
+    let before = loaded.clone();
     let mut wave = 0;
     for step in &orders.steps {
         assert!(step.wave >= wave);
         wave = step.wave;
         match step.action {
-            Action::Load { .. } => held.push(step.range.clone()),
+            Action::Load { .. } => loaded.push(step.range.clone()),
             Action::Unload { .. } => {
-                let at = held.iter().position(|h| *h == step.range).expect("held");
-                held.remove(at);
+                let at = loaded.iter().position(|h| *h == step.range).expect("held");
+                loaded.remove(at);
             }
         }
-        let on_host = held.iter().filter(|h| h.host == step.range.host);
+        let on_host = loaded.iter().filter(|h| h.host == step.range.host);
         let bytes = |h: &HostRange| u64::from(h.layers.end - h.layers.first) * LAYER;
         let used: u64 = on_host.map(bytes).sum();
         assert!(used <= input.weight_memory(step.range.host), "memory");
         for h in &before {
-            let was = whole(&before, h.model, &h.version);
-            let served = whole(&held, h.model, &input.model(h.model).version);
+            let was_complete = is_complete(&before, h.model, &h.version);
+            let target_complete = is_complete(&loaded, h.model, &input.model(h.model).version);
             assert!(
-                !was || served || whole(&held, h.model, &h.version),
+                !was_complete || target_complete || is_complete(&loaded, h.model, &h.version),
                 "cut at {step:?}"
             );
         }
     }
-    held
+    loaded
 }
 
 /// Steps as text, one a line.
@@ -68,20 +68,28 @@
 }
 
 #[test]
-fn a_new_version_rolls_without_a_cut() {
-    let mut input = input(2, dealt(2, &[(4, 100.0); 8]), vec![model("m", 8, 1.0)]);
+fn new_version_rolls_out_without_interruption() {
+    let mut input = input(
+        2,
+        hosts_round_robin(2, &[(4, 100.0); 8]),
+        vec![model("m", 8, 1.0)],
+    );
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let next = plan(&input);
     let orders = orders(&input, &next);
-    assert_eq!(follow(&input, &orders).len(), 8);
+    assert_eq!(apply_orders(&input, &orders).len(), 8);
     assert_eq!(orders.blocked, []);
     assert_snapshot!(steps_text(&input, &orders));
 }
 
 #[test]
-fn a_version_that_has_no_second_replica_is_not_cut() {
-    let mut input = input(2, dealt(2, &[(4, 100.0); 2]), vec![model("m", 8, 1.0)]);
+fn rollout_is_blocked_when_stages_have_one_replica() {
+    let mut input = input(
+        2,
+        hosts_round_robin(2, &[(4, 100.0); 2]),
+        vec![model("m", 8, 1.0)],
+    );
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let orders = orders(&input, &plan(&input));
@@ -90,55 +98,63 @@
 }
 
 /// Twelve hosts that hold the one stage of a model, and a new version of it to load.
-fn twelve_hosts_to_roll() -> Input {
-    let mut input = input(2, dealt(2, &[(16, 100.0); 12]), vec![model("m", 16, 1.0)]);
+fn rollout_on_twelve_hosts() -> Input {
+    let mut input = input(
+        2,
+        hosts_round_robin(2, &[(16, 100.0); 12]),
+        vec![model("m", 16, 1.0)],
+    );
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     input
 }
 
 /// Number of steps of a wave that drop a range.
-fn dropped(orders: &Orders, wave: u32) -> usize {
+fn unload_count(orders: &Orders, wave: u32) -> usize {
     let steps = orders.steps.iter().filter(|s| s.wave == wave);
-    let drops = steps.filter(|s| matches!(s.action, Action::Unload { .. }));
-    drops.count()
+    let unloads = steps.filter(|s| matches!(s.action, Action::Unload { .. }));
+    unloads.count()
 }
 
 #[test]
-fn a_roll_empties_few_hosts_at_once() {
-    let input = twelve_hosts_to_roll();
+fn rollout_unloads_few_hosts_at_once() {
+    let input = rollout_on_twelve_hosts();
     let orders = orders(&input, &plan(&input));
-    assert_eq!(follow(&input, &orders).len(), 12);
+    assert_eq!(apply_orders(&input, &orders).len(), 12);
     let switch = orders.switches[0].wave;
     // A host takes 16 s to load, so that 3 are emptied within 60 s, and half stay.
-    let before: Vec<usize> = (0..switch).map(|w| dropped(&orders, w)).collect();
+    let before: Vec<usize> = (0..switch).map(|w| unload_count(&orders, w)).collect();
     assert_eq!(before, [3, 0, 3, 0]);
-    assert_eq!(dropped(&orders, switch), 6);
+    assert_eq!(unload_count(&orders, switch), 6);
 }
 
 #[test]
-fn orders_asked_anew_after_each_wave_lead_the_same_way() {
-    let mut input = twelve_hosts_to_roll();
-    let mut drops = Vec::new();
+fn orders_recomputed_after_each_wave_take_the_same_steps() {
+    let mut input = rollout_on_twelve_hosts();
+    let mut unloads = Vec::new();
     loop {
         let mut next = orders(&input, &plan(&input));
         if next.steps.is_empty() {
             break;
         }
         next.steps.retain(|s| s.wave == 0);
-        drops.push(dropped(&next, 0));
-        input.loaded_ranges = follow(&input, &next);
+        unloads.push(unload_count(&next, 0));
+        input.loaded_ranges = apply_orders(&input, &next);
     }
-    assert_eq!(drops, [3, 0, 3, 0, 6, 0]);
+    assert_eq!(unloads, [3, 0, 3, 0, 6, 0]);
 }
 
 #[test]
-fn new_sessions_switch_once_the_new_version_has_half_of_the_rate() {
-    let mut input = input(2, dealt(2, &[(4, 100.0); 3]), vec![model("m", 4, 1.0)]);
+fn sessions_switch_when_new_version_has_half_of_planned_rate() {
+    let mut input = input(
+        2,
+        hosts_round_robin(2, &[(4, 100.0); 3]),
+        vec![model("m", 4, 1.0)],
+    );
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.models[0].version = Arc::from("v2");
     let orders = orders(&input, &plan(&input));
-    assert_eq!(follow(&input, &orders).len(), 3);
+    assert_eq!(apply_orders(&input, &orders).len(), 3);
     let switch = orders.switches[0].wave;
     let loaded = orders.steps.iter().filter(|s| s.wave < switch);
     let loaded = loaded.filter(|s| matches!(s.action, Action::Load { .. }));
@@ -146,8 +162,8 @@
 }
 
 #[test]
-fn half_of_the_replicas_and_two_domains_stay_while_stages_change_places() {
-    let mut hosts = dealt(1, &[(8, 100.0); 12]);
+fn half_of_replicas_in_two_domains_remain_while_stages_are_exchanged() {
+    let mut hosts = hosts_round_robin(1, &[(8, 100.0); 12]);
     for (i, h) in hosts.iter_mut().enumerate() {
         h.domain = DomainKey(u16::from(i >= 6));
     }
@@ -162,14 +178,14 @@
     let mut first_wave = orders(&input, &next);
     let all = first_wave.clone();
     first_wave.steps.retain(|s| s.wave == 0);
-    let left = follow(&input, &first_wave);
+    let remaining = apply_orders(&input, &first_wave);
     for first in [0, 8] {
-        let stage = left.iter().filter(|h| h.layers.first == first);
+        let stage = remaining.iter().filter(|h| h.layers.first == first);
         let mut domains: Vec<u16> = stage.map(|h| input.host(h.host).domain.0).collect();
         domains.dedup();
         assert_eq!(domains, [0, 1]);
     }
     // A host takes 8 s to load: the 60 s would do for 7, the half of each stage for 6.
-    assert_eq!(left.len(), 6);
-    assert_eq!(follow(&input, &all).len(), 12);
+    assert_eq!(remaining.len(), 6);
+    assert_eq!(apply_orders(&input, &all).len(), 12);
 }
--- a/crates/kelpworks/src/quarantine/mod.rs
+++ b/crates/kelpworks/src/quarantine/mod.rs
@@ -65,7 +65,7 @@
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 /// Facts that wait for a slow subscriber; beyond them it misses the oldest.
-const FACTS_AHEAD: usize = 1_024;
+const FACT_CHANNEL_CAPACITY: usize = 1_024;
 
 /// Bounds.
 #[derive(Clone, Debug, PartialEq)]
@@ -148,24 +148,24 @@
 /// What a daemon knows of suspects and refused requests; one for the whole daemon.
 #[derive(Debug)]
 pub struct Quarantine {
-    me: NodeId,
+    local_id: NodeId,
     /// Origin of the times in `state`.
     start: Instant,
     state: Mutex<State>,
     /// Told when a turn may have come free.
-    changed: Notify,
+    state_changed: Notify,
     facts: broadcast::Sender<Fact>,
 }
 
 impl Quarantine {
     /// Nobody suspect.
-    pub fn new(cfg: Config, me: NodeId) -> Quarantine {
-        let (facts, _) = broadcast::channel(FACTS_AHEAD);
+    pub fn new(cfg: Config, local_id: NodeId) -> Quarantine {
+        let (facts, _) = broadcast::channel(FACT_CHANNEL_CAPACITY);
         Quarantine {
-            state: Mutex::new(State::new(&cfg, me)),
-            me,
+            state: Mutex::new(State::new(&cfg, local_id)),
+            local_id,
             start: Instant::now(),
-            changed: Notify::new(),
+            state_changed: Notify::new(),
             facts,
         }
     }
@@ -177,11 +177,11 @@
 
     /// Takes a fact that another daemon found out. Facts may come late, twice or out of order.
     pub fn apply_fact(&self, fact: Fact) {
-        if fact.by == self.me {
+        if fact.by == self.local_id {
             return;
         }
         self.lock().apply_fact(self.now(), fact);
-        self.changed.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Refuses a request from now on, here and on the daemons that are told.
@@ -215,10 +215,10 @@
 
     /// Notes that a session has come as far as so many known tokens, and whether its answer is
     /// whole with them.
-    pub fn record_progress(&self, fingerprint: Fingerprint, known: u32, whole: bool) {
+    pub fn record_progress(&self, fingerprint: Fingerprint, known_tokens: u32, complete: bool) {
         let facts = self
             .lock()
-            .record_progress(self.now(), fingerprint, known, whole);
+            .record_progress(self.now(), fingerprint, known_tokens, complete);
         self.publish(facts);
     }
 
@@ -247,6 +247,6 @@
             // Without a subscriber the fact stays here.
             let _ = self.facts.send(fact);
         }
-        self.changed.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 }
--- a/crates/kelpworks/src/quarantine/state.rs
+++ b/crates/kelpworks/src/quarantine/state.rs
@@ -28,7 +28,7 @@
 use kelpworks_coord::time::Span;
 
 /// When to ask again for a request that another daemon is about to clear or refuse.
-const SOON: Duration = Duration::from_secs(1);
+const MAX_UNDER_TEST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 new_key_type! {
     /// Key of a step in flight.
@@ -41,44 +41,44 @@
     fingerprint: Fingerprint,
     upstream: UpstreamKey,
     /// Tokens known when it began.
-    known: u32,
+    known_tokens: u32,
     /// It holds the turn of its fingerprint.
-    apart: bool,
+    isolated: bool,
     /// The crash of its upstream has been noted for all that was in flight there.
-    counted: bool,
+    crash_recorded: bool,
 }
 
 /// What is known of a suspect beside the judgement.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     /// Tokens known at the latest crash seen here; `None` while only other daemons saw one.
-    crashed_at: Option<u32>,
+    crash_tokens: Option<u32>,
     /// The latest upstream that died with it here.
-    crashed_on: Option<UpstreamKey>,
+    crashed_upstream: Option<UpstreamKey>,
     /// Upstreams of the path of its latest session.
     path: Vec<UpstreamKey>,
     /// Held by a step of this fingerprint; at most one.
-    turn: Option<StepKey>,
+    isolated_step: Option<StepKey>,
 }
 
 /// Another daemon that has suspects of its own.
 #[derive(Clone, Debug)]
-struct Other {
+struct Peer {
     /// Those that it has stated and not withdrawn, with the upstream that died.
     suspects: HashMap<Fingerprint, UpstreamId>,
     /// Until then it is thought to be at work on them; renewed by each fact from it.
-    until: Instant,
+    testing_until: Instant,
 }
 
 /// Whether a step may begin.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Begin {
+pub(super) enum BeginResult {
     /// It has begun.
     Begun {
         /// To end it with.
         key: StepKey,
         /// It holds the turn of its fingerprint.
-        apart: bool,
+        isolated: bool,
     },
     /// Not yet.
     Wait,
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub(super) struct State {
     cfg: Config,
-    me: NodeId,
+    local_id: NodeId,
     poison: PoisonTracker,
     steps: SlotMap<StepKey, Step>,
     /// Crashes of each upstream so far; absent for none.
@@ -98,13 +98,13 @@
     /// Those that `poison` holds for suspects, and perhaps some that it has forgotten since.
     suspects: HashMap<Fingerprint, Suspect>,
     /// Daemons with suspects; their turns are in the order of the identifiers.
-    others: BTreeMap<NodeId, Other>,
+    peers: BTreeMap<NodeId, Peer>,
     /// No suspect has its turn before: facts of the latest crash may be on their way.
-    settled_at: Instant,
+    isolation_starts_at: Instant,
 }
 
 impl State {
-    pub(super) fn new(cfg: &Config, me: NodeId) -> State {
+    pub(super) fn new(cfg: &Config, local_id: NodeId) -> State {
         let poison = PoisonConfig {
             refusal_ttl: span(cfg.refusal_ttl),
             suspicion_ttl: span(cfg.suspicion_ttl),
@@ -112,13 +112,13 @@
         };
         State {
             cfg: cfg.clone(),
-            me,
+            local_id,
             poison: PoisonTracker::new(poison),
             steps: SlotMap::with_key(),
             crashes: SecondaryMap::new(),
             suspects: HashMap::new(),
-            others: BTreeMap::new(),
-            settled_at: Instant::ZERO,
+            peers: BTreeMap::new(),
+            isolation_starts_at: Instant::ZERO,
         }
     }
 
@@ -130,8 +130,8 @@
                 retry_after: duration(retry_after),
             }),
             Admission::Isolated => match self.under_test(now, fingerprint) {
-                Some(left) => Err(Refusal::UnderTest {
-                    retry_after: left.min(SOON),
+                Some(remaining) => Err(Refusal::UnderTest {
+                    retry_after: remaining.min(MAX_UNDER_TEST_RETRY_AFTER),
                 }),
                 None => Ok(()),
             },
@@ -141,75 +141,77 @@
     /// How long another daemon may still take over a suspect that only others saw crash.
     fn under_test(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         let suspect = self.suspects.get(&fingerprint)?;
-        if suspect.crashed_at.is_some() {
+        if suspect.crash_tokens.is_some() {
             return None;
         }
-        let testing = self.others.values();
-        let testing = testing.filter(|o| o.until > now && o.suspects.contains_key(&fingerprint));
-        let until = testing.map(|o| o.until).max()?;
-        Some(duration(until.since(now)))
+        let testing_peers = self.peers.values();
+        let testing_peers = testing_peers
+            .filter(|o| o.testing_until > now && o.suspects.contains_key(&fingerprint));
+        let testing_until = testing_peers.map(|o| o.testing_until).max()?;
+        Some(duration(testing_until.since(now)))
     }
 
     /// Whether a daemon that comes before this one has suspects.
     ///
     /// Suspects of two daemons on one upstream would each be alone in the view of their own, and
     /// both be blamed for its crash; so the daemons go one after another.
-    fn others_first(&self, now: Instant) -> bool {
-        let mut before = self.others.range(..self.me);
-        before.any(|(_, o)| o.until > now && !o.suspects.is_empty())
+    fn peer_goes_first(&self, now: Instant) -> bool {
+        let mut lower_peers = self.peers.range(..self.local_id);
+        lower_peers.any(|(_, o)| o.testing_until > now && !o.suspects.is_empty())
     }
 
     /// Whether a daemon that comes before this one has suspects that it may just have run on an
     /// upstream that died. Those that the same death made suspects ran like any others there.
-    fn others_ran(&self, now: Instant, upstream: UpstreamId) -> bool {
-        let mut before = self.others.range(..self.me);
-        before.any(|(_, o)| o.until > now && o.suspects.values().any(|&at| at != upstream))
+    fn peer_may_have_run(&self, now: Instant, upstream: UpstreamId) -> bool {
+        let mut lower_peers = self.peers.range(..self.local_id);
+        lower_peers
+            .any(|(_, o)| o.testing_until > now && o.suspects.values().any(|&at| at != upstream))
     }
 
     /// Asks to begin a step, and notes that it is in flight.
-    pub(super) fn begin(&mut self, now: Instant, wanted: PendingStep<'_>) -> Begin {
+    pub(super) fn begin(&mut self, now: Instant, pending: PendingStep<'_>) -> BeginResult {
         let PendingStep {
             fingerprint,
             upstream,
-            known,
+            known_tokens,
             ..
-        } = wanted;
-        let apart = match self.poison.check(now, fingerprint) {
+        } = pending;
+        let isolated = match self.poison.check(now, fingerprint) {
             Admission::Normal => false,
             Admission::Isolated => true,
             Admission::Refused { retry_after } => {
                 let retry_after = duration(retry_after);
-                return Begin::Refused(Refusal::Crashes { retry_after });
+                return BeginResult::Refused(Refusal::Crashes { retry_after });
             }
         };
-        if apart && !self.take_turn(now, wanted) {
-            return Begin::Wait;
+        if isolated && !self.try_start_isolated(now, pending) {
+            return BeginResult::Wait;
         }
         let key = self.steps.insert(Step {
             fingerprint,
             upstream,
-            known,
-            apart,
-            counted: false,
+            known_tokens,
+            isolated,
+            crash_recorded: false,
         });
-        if apart {
-            self.suspects.entry(fingerprint).or_default().turn = Some(key);
+        if isolated {
+            self.suspects.entry(fingerprint).or_default().isolated_step = Some(key);
         }
-        Begin::Begun { key, apart }
+        BeginResult::Begun { key, isolated }
     }
 
-    fn take_turn(&mut self, now: Instant, wanted: PendingStep<'_>) -> bool {
-        let fingerprint = wanted.fingerprint;
+    fn try_start_isolated(&mut self, now: Instant, pending: PendingStep<'_>) -> bool {
+        let fingerprint = pending.fingerprint;
         let suspect = self.suspects.get(&fingerprint);
-        if suspect.is_some_and(|s| s.turn.is_some())
-            || now < self.settled_at
-            || self.others_first(now)
+        if suspect.is_some_and(|s| s.isolated_step.is_some())
+            || now < self.isolation_starts_at
+            || self.peer_goes_first(now)
             || self.under_test(now, fingerprint).is_some()
         {
             return false;
         }
-        let life = self.life(wanted.upstream, wanted.name);
-        self.poison.try_start(now, fingerprint, life)
+        let incarnation = self.upstream_incarnation(pending.upstream, pending.name);
+        self.poison.try_start(now, fingerprint, incarnation)
     }
 
     /// Ends a step; tells whether that may let another go on.
@@ -218,71 +220,73 @@
             return false;
         };
         let Some(suspect) = self.suspects.get_mut(&step.fingerprint) else {
-            return step.apart;
+            return step.isolated;
         };
-        if suspect.turn == Some(key) {
-            suspect.turn = None;
+        if suspect.isolated_step == Some(key) {
+            suspect.isolated_step = None;
             self.poison.on_event(now, Event::Ended(step.fingerprint));
         }
-        step.apart
+        step.isolated
     }
 
     /// Notes that the upstream died under a step, and judges all that it had in flight. Later
     /// reports of the same crash change nothing.
     ///
     /// `told` says whether other daemons hear of it.
-    pub(super) fn crashed(
+    pub(super) fn record_crash(
         &mut self,
         now: Instant,
         key: StepKey,
         name: &str,
-        told: bool,
+        published: bool,
     ) -> Vec<Fact> {
         let Some(&Step {
-            upstream, counted, ..
+            upstream,
+            crash_recorded,
+            ..
         }) = self.steps.get(key)
         else {
             return Vec::new();
         };
-        if counted {
+        if crash_recorded {
             return Vec::new();
         }
-        self.forget(now);
-        if told {
-            self.settled_at = now + span(self.cfg.isolation_delay);
+        self.evict_expired(now);
+        if published {
+            self.isolation_starts_at = now + span(self.cfg.isolation_delay);
         }
-        let blame = !self.others_ran(now, UpstreamId::of(name));
-        let life = self.life(upstream, name);
+        let attributable = !self.peer_may_have_run(now, UpstreamId::of(name));
+        let incarnation = self.upstream_incarnation(upstream, name);
         *self.crashes.entry(upstream).unwrap().or_insert(0) += 1;
         let mut running = Vec::new();
-        let mut crashed = Vec::new();
+        let mut affected = Vec::new();
         for step in self.steps.values_mut() {
-            if step.upstream != upstream || step.counted {
+            if step.upstream != upstream || step.crash_recorded {
                 continue;
             }
-            step.counted = true;
-            crashed.push(*step);
+            step.crash_recorded = true;
+            affected.push(*step);
             // One that began before it was a suspect was not apart, and one that ran beside other
             // daemons' suspects was not either: no second crash of its own.
             let suspect = self.poison.check(now, step.fingerprint) == Admission::Isolated;
-            if (step.apart && blame) || !suspect {
+            if (step.isolated && attributable) || !suspect {
                 running.push(step.fingerprint);
             }
         }
         let event = Event::Crashed {
-            upstream: life,
+            upstream: incarnation,
             running,
         };
         let actions = self.poison.on_event(now, event);
-        for step in crashed {
+        for step in affected {
             let suspect = self.suspects.entry(step.fingerprint).or_default();
-            suspect.crashed_at = suspect.crashed_at.max(Some(step.known));
-            suspect.crashed_on = Some(upstream);
+            suspect.crash_tokens = suspect.crash_tokens.max(Some(step.known_tokens));
+            suspect.crashed_upstream = Some(upstream);
         }
-        self.facts(actions, UpstreamId::of(name))
+        self.facts_from(actions, UpstreamId::of(name))
     }
 
-    fn facts(&mut self, actions: Vec<Action>, upstream: UpstreamId) -> Vec<Fact> {
+    fn facts_from(&mut self, actions: Vec<Action>, upstream: UpstreamId) -> Vec<Fact> {
         let mut facts = Vec::new();
         for action in actions {
             let (fingerprint, statement) = match action {
@@ -305,7 +309,7 @@
                 }
             };
             facts.push(Fact {
-                by: self.me,
+                by: self.local_id,
                 fingerprint,
                 statement,
             });
@@ -318,61 +322,61 @@
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
-        known: u32,
-        whole: bool,
+        known_tokens: u32,
+        complete: bool,
     ) -> Vec<Fact> {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Vec::new();
         };
-        let passed = match suspect.crashed_at {
-            Some(at) if whole => known > at,
-            Some(at) => known >= at.saturating_add(self.cfg.clear_after),
+        let past_crash = match suspect.crash_tokens {
+            Some(at) if complete => known_tokens > at,
+            Some(at) => known_tokens >= at.saturating_add(self.cfg.clear_after),
             // Only the other daemon knows the point.
-            None => whole,
+            None => complete,
         };
-        if !passed {
+        if !past_crash {
             return Vec::new();
         }
         self.suspects.remove(&fingerprint);
         let actions = self.poison.on_event(now, Event::Finished(fingerprint));
-        self.facts(actions, UpstreamId(0))
+        self.facts_from(actions, UpstreamId(0))
     }
 
     pub(super) fn refuse(&mut self, now: Instant, fingerprint: Fingerprint) -> Vec<Fact> {
-        self.refused(now, fingerprint, span(self.cfg.refusal_ttl));
-        self.facts(vec![Action::Refuse(fingerprint)], UpstreamId(0))
+        self.apply_refusal(now, fingerprint, span(self.cfg.refusal_ttl));
+        self.facts_from(vec![Action::Refuse(fingerprint)], UpstreamId(0))
     }
 
     pub(super) fn apply_fact(&mut self, now: Instant, fact: Fact) {
-        self.forget(now);
+        self.evict_expired(now);
         let Fact {
             by,
             fingerprint,
             statement,
         } = fact;
-        let until = now + span(self.cfg.peer_test_timeout);
-        let other = self.others.entry(by).or_insert_with(|| Other {
+        let testing_until = now + span(self.cfg.peer_test_timeout);
+        let peer = self.peers.entry(by).or_insert_with(|| Peer {
             suspects: HashMap::new(),
-            until,
+            testing_until,
         });
-        other.until = until;
+        peer.testing_until = testing_until;
         match statement {
             Statement::Suspect { upstream, .. } => {
-                other.suspects.insert(fingerprint, upstream);
-                self.learn_suspect(now, fingerprint, upstream);
+                peer.suspects.insert(fingerprint, upstream);
+                self.apply_suspicion(now, fingerprint, upstream);
             }
             Statement::Cleared => {
-                other.suspects.remove(&fingerprint);
-                self.learn_cleared(now, fingerprint);
+                peer.suspects.remove(&fingerprint);
+                self.apply_clearance(now, fingerprint);
             }
             Statement::Refused { remaining } => {
                 let remaining = span(remaining);
-                self.refused(now, fingerprint, remaining);
+                self.apply_refusal(now, fingerprint, remaining);
             }
         }
     }
 
-    fn learn_suspect(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
+    fn apply_suspicion(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
         if matches!(
             self.poison.check(now, fingerprint),
             Admission::Refused { .. }
@@ -388,23 +392,23 @@
         self.suspects.entry(fingerprint).or_default();
     }
 
-    fn learn_cleared(&mut self, now: Instant, fingerprint: Fingerprint) {
-        let mut others = self.others.values();
-        let suspected = others.any(|o| o.suspects.contains_key(&fingerprint));
+    fn apply_clearance(&mut self, now: Instant, fingerprint: Fingerprint) {
+        let mut peers = self.peers.values();
+        let suspected = peers.any(|o| o.suspects.contains_key(&fingerprint));
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return;
         };
         // What this daemon saw itself is its own to clear.
-        if suspect.crashed_at.is_none() && !suspected {
+        if suspect.crash_tokens.is_none() && !suspected {
             self.suspects.remove(&fingerprint);
             self.poison.on_event(now, Event::Finished(fingerprint));
         }
     }
 
-    fn refused(&mut self, now: Instant, fingerprint: Fingerprint, remaining: Span) {
+    fn apply_refusal(&mut self, now: Instant, fingerprint: Fingerprint, remaining: Span) {
         self.suspects.remove(&fingerprint);
-        for other in self.others.values_mut() {
-            other.suspects.remove(&fingerprint);
+        for peer in self.peers.values_mut() {
+            peer.suspects.remove(&fingerprint);
         }
         let event = Event::PeerConfirmed {
             fingerprint,
@@ -415,22 +419,25 @@
 
     /// Drops what is kept of suspects that the judgement has forgotten, and of daemons that are
     /// done with theirs.
-    fn forget(&mut self, now: Instant) {
+    fn evict_expired(&mut self, now: Instant) {
         let poison = &self.poison;
-        self.suspects
-            .retain(|f, s| s.turn.is_some() || poison.check(now, *f) == Admission::Isolated);
-        self.others
-            .retain(|_, o| o.until > now && !o.suspects.is_empty());
+        self.suspects.retain(|f, s| {
+            s.isolated_step.is_some() || poison.check(now, *f) == Admission::Isolated
+        });
+        self.peers
+            .retain(|_, o| o.testing_until > now && !o.suspects.is_empty());
     }
 
     pub(super) fn routing_hints(&self, fingerprint: Fingerprint) -> RoutingHints {
-        let Some(me) = self.suspects.get(&fingerprint) else {
+        let Some(suspect) = self.suspects.get(&fingerprint) else {
             return RoutingHints::default();
         };
-        let others = self.suspects.iter().filter(|(f, _)| **f != fingerprint);
+        let other_suspects = self.suspects.iter().filter(|(f, _)| **f != fingerprint);
         RoutingHints {
-            crashed: me.crashed_on,
-            occupied: others.flat_map(|(_, s)| s.path.iter().copied()).collect(),
+            crashed: suspect.crashed_upstream,
+            occupied: other_suspects
+                .flat_map(|(_, s)| s.path.iter().copied())
+                .collect(),
         }
     }
 
@@ -447,7 +454,7 @@
     /// One life of an upstream, from one crash to the next: what the judgement counts as an
     /// upstream, so that a stage with a single replica can be run on again after its restart, and
     /// a second crash there counts.
-    fn life(&self, upstream: UpstreamKey, name: &str) -> UpstreamId {
+    fn upstream_incarnation(&self, upstream: UpstreamKey, name: &str) -> UpstreamId {
         let crashes = self.crashes.get(upstream).copied().unwrap_or(0);
         UpstreamId(UpstreamId::of(name).0.wrapping_add(crashes.into()))
     }
--- a/crates/kelpworks/src/quarantine/step_guard.rs
+++ b/crates/kelpworks/src/quarantine/step_guard.rs
@@ -5,12 +5,12 @@
 use crate::fleet::UpstreamKey;
 use crate::quarantine::Quarantine;
 use crate::quarantine::Result;
-use crate::quarantine::state::Begin;
+use crate::quarantine::state::BeginResult;
 use crate::quarantine::state::StepKey;
 use kelpworks_coord::poison::Fingerprint;
 
 /// Longest wait before a turn is asked for again: some waits end by time alone.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A step that is about to be sent.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     /// Host name of the upstream.
     pub name: &'a str,
     /// Tokens known of the request.
-    pub known: u32,
+    pub known_tokens: u32,
 }
 
 /// A step in flight. Dropping it ends the step, also when its future is dropped.
@@ -31,7 +31,7 @@
     quarantine: &'a Quarantine,
     key: StepKey,
     name: &'a str,
-    apart: bool,
+    isolated: bool,
 }
 
 impl Quarantine {
@@ -40,24 +40,24 @@
     /// # Errors
     ///
     /// When the request is refused, at once or after the wait.
-    pub async fn begin<'a>(&'a self, wanted: PendingStep<'a>) -> Result<StepGuard<'a>> {
+    pub async fn begin<'a>(&'a self, pending: PendingStep<'a>) -> Result<StepGuard<'a>> {
         loop {
-            let changed = self.changed.notified();
-            tokio::pin!(changed);
-            changed.as_mut().enable();
-            let begin = self.lock().begin(self.now(), wanted);
+            let notified = self.state_changed.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
+            let begin = self.lock().begin(self.now(), pending);
             match begin {
-                Begin::Begun { key, apart } => {
+                BeginResult::Begun { key, isolated } => {
                     return Ok(StepGuard {
                         quarantine: self,
                         key,
-                        name: wanted.name,
-                        apart,
+                        name: pending.name,
+                        isolated,
                     });
                 }
-                Begin::Refused(refusal) => return Err(refusal),
-                Begin::Wait => {
-                    let _ = tokio::time::timeout(ASK_AGAIN, changed).await;
+                BeginResult::Refused(refusal) => return Err(refusal),
+                BeginResult::Wait => {
+                    let _ = tokio::time::timeout(RETRY_INTERVAL, notified).await;
                 }
             }
         }
@@ -67,15 +67,17 @@
 impl StepGuard<'_> {
     /// Whether this is a suspect's step, for which its upstream's death would count.
     pub fn is_isolated(&self) -> bool {
-        self.apart
+        self.isolated
     }
 
     /// Notes that the upstream died under the step.
     pub fn record_crash(&self) {
         let quarantine = self.quarantine;
-        let told = quarantine.facts.receiver_count() > 0;
+        let has_subscribers = quarantine.facts.receiver_count() > 0;
         let now = quarantine.now();
-        let facts = quarantine.lock().crashed(now, self.key, self.name, told);
+        let facts = quarantine
+            .lock()
+            .record_crash(now, self.key, self.name, has_subscribers);
         quarantine.publish(facts);
     }
 }
@@ -83,7 +85,7 @@
 impl Drop for StepGuard<'_> {
     fn drop(&mut self) {
         if self.quarantine.lock().end(self.quarantine.now(), self.key) {
-            self.quarantine.changed.notify_waiters();
+            self.quarantine.state_changed.notify_waiters();
         }
     }
 }
--- a/crates/kelpworks/src/quarantine/tests.rs
+++ b/crates/kelpworks/src/quarantine/tests.rs
@@ -14,7 +14,7 @@
 use crate::quarantine::PendingStep;
 use crate::quarantine::Statement;
 use crate::quarantine::fingerprint;
-use crate::quarantine::state::Begin;
+use crate::quarantine::state::BeginResult;
 use crate::quarantine::state::State;
 use crate::quarantine::state::StepKey;
 use kelpworks_coord::id::NodeId;
@@ -25,8 +25,8 @@
 
 /// The daemon under test; others come before or after it.
 const ME: NodeId = NodeId(5);
-const BEFORE: u64 = 1;
-const AFTER: u64 = 9;
+const LOWER_PEER: u64 = 1;
+const HIGHER_PEER: u64 = 9;
 /// Names of the upstreams.
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
@@ -91,7 +91,7 @@
             }
             Crash(n) => {
                 let (key, name) = self.begun[n];
-                self.state.crashed(self.now, key, name, true)
+                self.state.record_crash(self.now, key, name, true)
             }
             Reach(request, known) => {
                 let request = Fingerprint(request);
@@ -121,14 +121,14 @@
     }
 
     fn start(&mut self, request: u64, upstream: usize, known: u32) -> String {
-        let wanted = PendingStep {
+        let pending = PendingStep {
             fingerprint: Fingerprint(request),
             upstream: self.keys[upstream],
             name: NAMES[upstream],
-            known,
+            known_tokens: known,
         };
-        match self.state.begin(self.now, wanted) {
-            Begin::Begun { key, .. } => {
+        match self.state.begin(self.now, pending) {
+            BeginResult::Begun { key, .. } => {
                 self.begun.push((key, NAMES[upstream]));
                 format!("begun as {}", self.begun.len() - 1)
             }
@@ -161,59 +161,59 @@
 }
 
 #[rstest]
-#[case::second_crash_in_its_turn(&[
+#[case::second_crash_in_isolation_refuses(&[
     Start(1, 0, 3), Start(2, 0, 8), Crash(0), Crash(1), End(0), End(1), Wait(50),
     Start(1, 1, 3), Start(2, 1, 8), Start(2, 2, 8), Start(3, 1, 5), Crash(2), End(2),
     Check(1), Check(2), Check(3), Start(1, 3, 3),
 ])]
-#[case::equal_requests_one_at_a_time(&[
+#[case::equal_requests_run_one_at_a_time(&[
     Start(1, 0, 3), Crash(0), End(0), Wait(50),
     Start(1, 1, 3), Start(1, 2, 3), End(1), Start(1, 2, 3),
 ])]
-#[case::begun_before_the_suspicion(&[
+#[case::crash_of_step_begun_before_suspicion_does_not_count(&[
     Start(1, 0, 3), Start(1, 1, 3), Crash(0), End(0), Crash(1), End(1), Check(1),
     Wait(50), Start(1, 2, 3), Crash(2), Check(1),
 ])]
-#[case::a_stage_of_one(&[
+#[case::crash_of_restarted_single_replica_refuses(&[
     Start(1, 0, 3), Crash(0), End(0), Wait(50), Start(1, 0, 3), Crash(1), Check(1),
 ])]
-#[case::cleared_past_the_crash(&[
+#[case::progress_past_the_crash_clears(&[
     Start(1, 0, 8), Crash(0), End(0), Reach(1, 8), Reach(1, 9), Reach(1, 10),
     Start(1, 0, 10), Start(2, 0, 4), Crash(1), Check(1),
 ])]
-#[case::cleared_by_the_whole_answer(&[
+#[case::complete_answer_clears(&[
     Start(1, 0, 8), Crash(0), End(0), Whole(1, 5), Whole(1, 9),
 ])]
-#[case::refusal_ends(&[Refuses(BEFORE, 1), Check(1), Wait(299_999), Check(1), Wait(1), Check(1)])]
-#[case::suspicion_ends(&[
+#[case::refusal_expires(&[Refuses(LOWER_PEER, 1), Check(1), Wait(299_999), Check(1), Wait(1), Check(1)])]
+#[case::suspicion_expires(&[
     Start(1, 0, 3), Crash(0), End(0), Wait(299_999), Start(1, 1, 3), End(1), Wait(1),
     Start(1, 1, 3), Start(1, 2, 3),
 ])]
-#[case::settles_first(&[Start(1, 0, 3), Crash(0), End(0), Wait(49), Start(1, 1, 3), Wait(1), Start(1, 1, 3)])]
-#[case::the_daemon_before_goes_first(&[
-    Start(1, 0, 3), Suspects(BEFORE, 2, 0), Crash(0), End(0), Wait(50),
-    Start(1, 1, 3), Clears(BEFORE, 2), Start(1, 1, 3),
+#[case::suspect_waits_for_isolation_delay(&[Start(1, 0, 3), Crash(0), End(0), Wait(49), Start(1, 1, 3), Wait(1), Start(1, 1, 3)])]
+#[case::peer_with_lower_id_goes_first(&[
+    Start(1, 0, 3), Suspects(LOWER_PEER, 2, 0), Crash(0), End(0), Wait(50),
+    Start(1, 1, 3), Clears(LOWER_PEER, 2), Start(1, 1, 3),
 ])]
-#[case::the_daemon_after_waits(&[
-    Start(1, 0, 3), Suspects(AFTER, 2, 0), Crash(0), End(0), Wait(50), Start(1, 1, 3),
+#[case::peer_with_higher_id_does_not_block(&[
+    Start(1, 0, 3), Suspects(HIGHER_PEER, 2, 0), Crash(0), End(0), Wait(50), Start(1, 1, 3),
 ])]
-#[case::a_daemon_that_is_gone(&[
-    Start(1, 0, 3), Suspects(BEFORE, 2, 0), Crash(0), End(0), Wait(2_999),
+#[case::silent_peer_blocks_until_timeout(&[
+    Start(1, 0, 3), Suspects(LOWER_PEER, 2, 0), Crash(0), End(0), Wait(2_999),
     Start(1, 1, 3), Wait(1), Start(1, 1, 3),
 ])]
-#[case::another_to_go_first_at_the_crash(&[
-    Start(1, 0, 3), Crash(0), End(0), Wait(50), Start(1, 1, 3), Suspects(BEFORE, 2, 0), Crash(1),
+#[case::crash_is_not_attributed_while_lower_peer_tests(&[
+    Start(1, 0, 3), Crash(0), End(0), Wait(50), Start(1, 1, 3), Suspects(LOWER_PEER, 2, 0), Crash(1),
     Check(1),
 ])]
-#[case::suspects_of_the_same_crash(&[
-    Start(1, 0, 3), Crash(0), End(0), Wait(50), Start(1, 1, 3), Suspects(BEFORE, 2, 1), Crash(1),
+#[case::crash_is_attributed_when_peer_suspects_same_crash(&[
+    Start(1, 0, 3), Crash(0), End(0), Wait(50), Start(1, 1, 3), Suspects(LOWER_PEER, 2, 1), Crash(1),
     Check(1),
 ])]
-#[case::under_test_elsewhere(&[
-    Suspects(AFTER, 1, 0), Check(1), Start(1, 0, 3), Clears(AFTER, 1), Check(1), Start(1, 0, 3),
+#[case::request_under_test_by_peer_waits(&[
+    Suspects(HIGHER_PEER, 1, 0), Check(1), Start(1, 0, 3), Clears(HIGHER_PEER, 1), Check(1), Start(1, 0, 3),
 ])]
-#[case::refused_elsewhere(&[Suspects(AFTER, 1, 0), Refuses(AFTER, 1), Check(1), Suspects(AFTER, 1, 0), Check(1)])]
-fn scripts(#[case] ops: &[Op]) {
+#[case::peer_refusal_applies_here(&[Suspects(HIGHER_PEER, 1, 0), Refuses(HIGHER_PEER, 1), Check(1), Suspects(HIGHER_PEER, 1, 0), Check(1)])]
+fn script_gives_expected_transcript(#[case] ops: &[Op]) {
     let name = std::thread::current().name().unwrap_or_default().to_owned();
     let case = name.rsplit("::").next().unwrap_or_default();
     let case = case.splitn(3, '_').last().unwrap_or_default();
@@ -225,8 +225,11 @@
 #[case::team(("u", "m", "p"), false)]
 #[case::model(("t", "n", "p"), false)]
 #[case::prompt(("t", "m", "q"), false)]
-#[case::parts_do_not_run_together(("t", "mp", ""), false)]
-fn fingerprints(#[case] parts: (&str, &str, &str), #[case] same: bool) {
+#[case::parts_are_delimited(("t", "mp", ""), false)]
+fn fingerprint_distinguishes_team_model_and_prompt(
+    #[case] parts: (&str, &str, &str),
+    #[case] same: bool,
+) {
     let (team, model, prompt) = parts;
     let equal = fingerprint(team, model, prompt) == fingerprint("t", "m", "p");
     assert_eq!(equal, same);
