--- a/crates/kelpworks/src/quarantine/state.rs
+++ b/crates/kelpworks/src/quarantine/state.rs
@@ -1,4 +1,5 @@
-//! What is in flight, who is suspect and whose turn it is. No I/O and no waiting.
+//! State of the quarantine: the steps in flight, the suspects, and which of them may run. It does
+//! no I/O and does not wait.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,11 +28,11 @@
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 
-/// When to ask again for a request that another daemon is about to clear or refuse.
-const SOON: Duration = Duration::from_secs(1);
+/// Longest retry time that is given for a request that another daemon is testing.
+const MAX_UNDER_TEST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// Key of a step in flight.
+    /// Identifies a step from its begin to its end.
     pub(super) struct StepKey;
 }
 
@@ -40,71 +41,75 @@
 struct Step {
     fingerprint: Fingerprint,
     upstream: UpstreamKey,
-    /// Tokens known when it began.
-    known: u32,
-    /// It holds the turn of its fingerprint.
-    apart: bool,
-    /// The crash of its upstream has been noted for all that was in flight there.
-    counted: bool,
+    /// Number of tokens of the request that were known when the step began.
+    known_tokens: u32,
+    /// Whether it runs in isolation, as the only step of its fingerprint that does.
+    isolated: bool,
+    /// Whether a crash of its upstream has been recorded; the first report records it for all steps
+    /// in flight there.
+    crash_recorded: bool,
 }
 
-/// What is known of a suspect beside the judgement.
+/// What is known about a suspect in addition to its state in [`PoisonTracker`].
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// Tokens known at the latest crash seen here; `None` while only other daemons saw one.
-    crashed_at: Option<u32>,
-    /// The latest upstream that died with it here.
-    crashed_on: Option<UpstreamKey>,
-    /// Upstreams of the path of its latest session.
+    /// Most tokens that were known at the begin of a step that crashed here; `None` while only
+    /// other daemons saw a crash.
+    crash_tokens: Option<u32>,
+    /// Upstream that died last while it ran the suspect for this daemon.
+    crashed_upstream: Option<UpstreamKey>,
+    /// Upstreams on the path of its latest session.
     path: Vec<UpstreamKey>,
-    /// Held by a step of this fingerprint; at most one.
-    turn: Option<StepKey>,
+    /// Isolated step of this fingerprint that is in flight; there is at most one.
+    isolated_step: Option<StepKey>,
 }
 
 /// Another daemon that has suspects of its own.
 #[derive(Clone, Debug)]
-struct Other {
-    /// Those that it has stated and not withdrawn, with the upstream that died.
+struct Peer {
+    /// Suspects that it has reported and that are neither cleared nor refused, with the upstream
+    /// that died.
     suspects: HashMap<Fingerprint, UpstreamId>,
-    /// Until then it is thought to be at work on them; renewed by each fact from it.
-    until: Instant,
+    /// Time until which it is assumed to be testing them; extended by each fact from it.
+    testing_until: Instant,
 }
 
-/// Whether a step may begin.
+/// Result of an attempt to begin a step.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Begin {
-    /// It has begun.
+pub(super) enum BeginResult {
+    /// The step has begun.
     Begun {
-        /// To end it with.
+        /// Key to end the step with.
         key: StepKey,
-        /// It holds the turn of its fingerprint.
-        apart: bool,
+        /// Whether it runs in isolation.
+        isolated: bool,
     },
-    /// Not yet.
+    /// The step may not begin yet.
     Wait,
-    /// Not at all.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// The state of a [`crate::quarantine::Quarantine`].
+/// State of a [`crate::quarantine::Quarantine`].
 #[derive(Debug)]
 pub(super) struct State {
     cfg: Config,
-    me: NodeId,
+    local_id: NodeId,
     poison: PoisonTracker,
     steps: SlotMap<StepKey, Step>,
-    /// Crashes of each upstream so far; absent for none.
+    /// Number of crashes of each upstream so far; absent for none.
     crashes: SecondaryMap<UpstreamKey, u32>,
-    /// Those that `poison` holds for suspects, and perhaps some that it has forgotten since.
+    /// Requests that `poison` tracks as suspects, and possibly some that it has dropped since.
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Daemons with suspects; their turns are in the order of the identifiers.
-    others: BTreeMap<NodeId, Other>,
-    /// No suspect has its turn before: facts of the latest crash may be on their way.
-    settled_at: Instant,
+    /// Other daemons with suspects. Daemons test their suspects in ascending order of identifier.
+    peers: BTreeMap<NodeId, Peer>,
+    /// Time before which no isolated step begins, because other daemons' facts about the latest
+    /// crash may not have arrived yet.
+    isolation_starts_at: Instant,
 }
 
 impl State {
-    pub(super) fn new(cfg: &Config, me: NodeId) -> State {
+    pub(super) fn new(cfg: &Config, local_id: NodeId) -> State {
         let poison = PoisonConfig {
             refusal_ttl: span(cfg.refusal_ttl),
             suspicion_ttl: span(cfg.suspicion_ttl),
@@ -112,17 +117,17 @@
         };
         State {
             cfg: cfg.clone(),
-            me,
+            local_id,
             poison: PoisonTracker::new(poison),
             steps: SlotMap::with_key(),
             crashes: SecondaryMap::new(),
             suspects: HashMap::new(),
-            others: BTreeMap::new(),
-            settled_at: Instant::ZERO,
+            peers: BTreeMap::new(),
+            isolation_starts_at: Instant::ZERO,
         }
     }
 
-    /// Whether a new request may run.
+    /// Implements [`super::Quarantine::check`].
     pub(super) fn check(&self, now: Instant, fingerprint: Fingerprint) -> Result<()> {
         match self.poison.check(now, fingerprint) {
             Admission::Normal => Ok(()),
@@ -130,159 +135,166 @@
                 retry_after: duration(retry_after),
             }),
             Admission::Isolated => match self.under_test(now, fingerprint) {
-                Some(left) => Err(Refusal::UnderTest {
-                    retry_after: left.min(SOON),
+                Some(remaining) => Err(Refusal::UnderTest {
+                    retry_after: remaining.min(MAX_UNDER_TEST_RETRY_AFTER),
                 }),
                 None => Ok(()),
             },
         }
     }
 
-    /// How long another daemon may still take over a suspect that only others saw crash.
+    /// Returns how long this daemon waits for others that are testing a suspect; `None` when none
+    /// is, or when this daemon saw a crash of the suspect itself and tests it.
     fn under_test(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         let suspect = self.suspects.get(&fingerprint)?;
-        if suspect.crashed_at.is_some() {
+        if suspect.crash_tokens.is_some() {
             return None;
         }
-        let testing = self.others.values();
-        let testing = testing.filter(|o| o.until > now && o.suspects.contains_key(&fingerprint));
-        let until = testing.map(|o| o.until).max()?;
-        Some(duration(until.since(now)))
+        let testing_peers = self.peers.values();
+        let testing_peers = testing_peers
+            .filter(|o| o.testing_until > now && o.suspects.contains_key(&fingerprint));
+        let testing_until = testing_peers.map(|o| o.testing_until).max()?;
+        Some(duration(testing_until.since(now)))
     }
 
-    /// Whether a daemon that comes before this one has suspects.
+    /// Returns whether a daemon with a lower identifier is testing suspects.
     ///
-    /// Suspects of two daemons on one upstream would each be alone in the view of their own, and
-    /// both be blamed for its crash; so the daemons go one after another.
-    fn others_first(&self, now: Instant) -> bool {
-        let mut before = self.others.range(..self.me);
-        before.any(|(_, o)| o.until > now && !o.suspects.is_empty())
+    /// If suspects of two daemons ran on one upstream, each would be isolated in the view of its
+    /// own daemon, and a crash would be attributed to both. Daemons therefore test one after
+    /// another.
+    fn peer_goes_first(&self, now: Instant) -> bool {
+        let mut lower_peers = self.peers.range(..self.local_id);
+        lower_peers.any(|(_, o)| o.testing_until > now && !o.suspects.is_empty())
     }
 
-    /// Whether a daemon that comes before this one has suspects that it may just have run on an
-    /// upstream that died. Those that the same death made suspects ran like any others there.
-    fn others_ran(&self, now: Instant, upstream: UpstreamId) -> bool {
-        let mut before = self.others.range(..self.me);
-        before.any(|(_, o)| o.until > now && o.suspects.values().any(|&at| at != upstream))
+    /// Returns whether a daemon with a lower identifier may have been testing a suspect on an
+    /// upstream when the upstream died. Suspects that it reported because of the death of this same
+    /// upstream don't count: they were not suspected yet and ran there like any other request.
+    fn peer_may_have_run(&self, now: Instant, upstream: UpstreamId) -> bool {
+        let mut lower_peers = self.peers.range(..self.local_id);
+        lower_peers
+            .any(|(_, o)| o.testing_until > now && o.suspects.values().any(|&at| at != upstream))
     }
 
-    /// Asks to begin a step, and notes that it is in flight.
-    pub(super) fn begin(&mut self, now: Instant, wanted: PendingStep<'_>) -> Begin {
+    /// Begins a step if it may run now, and records it as in flight.
+    pub(super) fn begin(&mut self, now: Instant, pending: PendingStep<'_>) -> BeginResult {
         let PendingStep {
             fingerprint,
             upstream,
-            known,
+            known_tokens,
             ..
-        } = wanted;
-        let apart = match self.poison.check(now, fingerprint) {
+        } = pending;
+        let isolated = match self.poison.check(now, fingerprint) {
             Admission::Normal => false,
             Admission::Isolated => true,
             Admission::Refused { retry_after } => {
                 let retry_after = duration(retry_after);
-                return Begin::Refused(Refusal::Crashes { retry_after });
+                return BeginResult::Refused(Refusal::Crashes { retry_after });
             }
         };
-        if apart && !self.take_turn(now, wanted) {
-            return Begin::Wait;
+        if isolated && !self.try_start_isolated(now, pending) {
+            return BeginResult::Wait;
         }
         let key = self.steps.insert(Step {
             fingerprint,
             upstream,
-            known,
-            apart,
-            counted: false,
+            known_tokens,
+            isolated,
+            crash_recorded: false,
         });
-        if apart {
-            self.suspects.entry(fingerprint).or_default().turn = Some(key);
+        if isolated {
+            self.suspects.entry(fingerprint).or_default().isolated_step = Some(key);
         }
-        Begin::Begun { key, apart }
+        BeginResult::Begun { key, isolated }
     }
 
-    fn take_turn(&mut self, now: Instant, wanted: PendingStep<'_>) -> bool {
-        let fingerprint = wanted.fingerprint;
+    fn try_start_isolated(&mut self, now: Instant, pending: PendingStep<'_>) -> bool {
+        let fingerprint = pending.fingerprint;
         let suspect = self.suspects.get(&fingerprint);
-        if suspect.is_some_and(|s| s.turn.is_some())
-            || now < self.settled_at
-            || self.others_first(now)
+        if suspect.is_some_and(|s| s.isolated_step.is_some())
+            || now < self.isolation_starts_at
+            || self.peer_goes_first(now)
             || self.under_test(now, fingerprint).is_some()
         {
             return false;
         }
-        let life = self.life(wanted.upstream, wanted.name);
-        self.poison.try_start(now, fingerprint, life)
+        let incarnation = self.upstream_incarnation(pending.upstream, pending.name);
+        self.poison.try_start(now, fingerprint, incarnation)
     }
 
-    /// Ends a step; tells whether that may let another go on.
+    /// Ends a step; returns whether another step may be able to begin because of it.
     pub(super) fn end(&mut self, now: Instant, key: StepKey) -> bool {
         let Some(step) = self.steps.remove(key) else {
             return false;
         };
         let Some(suspect) = self.suspects.get_mut(&step.fingerprint) else {
-            return step.apart;
+            return step.isolated;
         };
-        if suspect.turn == Some(key) {
-            suspect.turn = None;
+        if suspect.isolated_step == Some(key) {
+            suspect.isolated_step = None;
             self.poison.on_event(now, Event::Ended(step.fingerprint));
         }
-        step.apart
+        step.isolated
     }
 
-    /// Notes that the upstream died under a step, and judges all that it had in flight. Later
-    /// reports of the same crash change nothing.
+    /// Records that the upstream of a step died, and returns the resulting facts about all requests
+    /// that had steps in flight there. Further reports of the same crash have no effect.
     ///
-    /// `told` says whether other daemons hear of it.
-    pub(super) fn crashed(
+    /// `published` says whether other daemons receive the facts.
+    pub(super) fn record_crash(
         &mut self,
         now: Instant,
         key: StepKey,
         name: &str,
-        told: bool,
+        published: bool,
     ) -> Vec<Fact> {
         let Some(&Step {
-            upstream, counted, ..
+            upstream,
+            crash_recorded,
+            ..
         }) = self.steps.get(key)
         else {
             return Vec::new();
         };
-        if counted {
+        if crash_recorded {
             return Vec::new();
         }
-        self.forget(now);
-        if told {
-            self.settled_at = now + span(self.cfg.isolation_delay);
+        self.evict_expired(now);
+        if published {
+            self.isolation_starts_at = now + span(self.cfg.isolation_delay);
         }
-        let blame = !self.others_ran(now, UpstreamId::of(name));
-        let life = self.life(upstream, name);
+        let attributable = !self.peer_may_have_run(now, UpstreamId::of(name));
+        let incarnation = self.upstream_incarnation(upstream, name);
         *self.crashes.entry(upstream).unwrap().or_insert(0) += 1;
         let mut running = Vec::new();
-        let mut crashed = Vec::new();
+        let mut affected = Vec::new();
         for step in self.steps.values_mut() {
-            if step.upstream != upstream || step.counted {
+            if step.upstream != upstream || step.crash_recorded {
                 continue;
             }
-            step.counted = true;
-            crashed.push(*step);
-            // One that began before it was a suspect was not apart, and one that ran beside other
-            // daemons' suspects was not either: no second crash of its own.
+            step.crash_recorded = true;
+            affected.push(*step);
+            // A step that began before its request was suspected was not isolated, nor was one that
+            // may have run beside another daemon's suspect: neither counts as a second crash.
             let suspect = self.poison.check(now, step.fingerprint) == Admission::Isolated;
-            if (step.apart && blame) || !suspect {
+            if (step.isolated && attributable) || !suspect {
                 running.push(step.fingerprint);
             }
         }
         let event = Event::Crashed {
-            upstream: life,
+            upstream: incarnation,
             running,
         };
         let actions = self.poison.on_event(now, event);
-        for step in crashed {
+        for step in affected {
             let suspect = self.suspects.entry(step.fingerprint).or_default();
-            suspect.crashed_at = suspect.crashed_at.max(Some(step.known));
-            suspect.crashed_on = Some(upstream);
+            suspect.crash_tokens = suspect.crash_tokens.max(Some(step.known_tokens));
+            suspect.crashed_upstream = Some(upstream);
         }
-        self.facts(actions, UpstreamId::of(name))
+        self.facts_from(actions, UpstreamId::of(name))
     }
 
-    fn facts(&mut self, actions: Vec<Action>, upstream: UpstreamId) -> Vec<Fact> {
+    fn facts_from(&mut self, actions: Vec<Action>, upstream: UpstreamId) -> Vec<Fact> {
         let mut facts = Vec::new();
         for action in actions {
             let (fingerprint, statement) = match action {
@@ -305,7 +317,7 @@
                 }
             };
             facts.push(Fact {
-                by: self.me,
+                by: self.local_id,
                 fingerprint,
                 statement,
             });
@@ -313,66 +325,66 @@
         facts
     }
 
-    /// A step further; clears a suspect that has come past the point of its crash.
+    /// Implements [`super::Quarantine::record_progress`].
     pub(super) fn record_progress(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
-        known: u32,
-        whole: bool,
+        known_tokens: u32,
+        complete: bool,
     ) -> Vec<Fact> {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Vec::new();
         };
-        let passed = match suspect.crashed_at {
-            Some(at) if whole => known > at,
-            Some(at) => known >= at.saturating_add(self.cfg.clear_after),
-            // Only the other daemon knows the point.
-            None => whole,
+        let past_crash = match suspect.crash_tokens {
+            Some(at) if complete => known_tokens > at,
+            Some(at) => known_tokens >= at.saturating_add(self.cfg.clear_after),
+            // Only the other daemon knows the point of the crash.
+            None => complete,
         };
-        if !passed {
+        if !past_crash {
             return Vec::new();
         }
         self.suspects.remove(&fingerprint);
         let actions = self.poison.on_event(now, Event::Finished(fingerprint));
-        self.facts(actions, UpstreamId(0))
+        self.facts_from(actions, UpstreamId(0))
     }
 
     pub(super) fn refuse(&mut self, now: Instant, fingerprint: Fingerprint) -> Vec<Fact> {
-        self.refused(now, fingerprint, span(self.cfg.refusal_ttl));
-        self.facts(vec![Action::Refuse(fingerprint)], UpstreamId(0))
+        self.apply_refusal(now, fingerprint, span(self.cfg.refusal_ttl));
+        self.facts_from(vec![Action::Refuse(fingerprint)], UpstreamId(0))
     }
 
     pub(super) fn apply_fact(&mut self, now: Instant, fact: Fact) {
-        self.forget(now);
+        self.evict_expired(now);
         let Fact {
             by,
             fingerprint,
             statement,
         } = fact;
-        let until = now + span(self.cfg.peer_test_timeout);
-        let other = self.others.entry(by).or_insert_with(|| Other {
+        let testing_until = now + span(self.cfg.peer_test_timeout);
+        let peer = self.peers.entry(by).or_insert_with(|| Peer {
             suspects: HashMap::new(),
-            until,
+            testing_until,
         });
-        other.until = until;
+        peer.testing_until = testing_until;
         match statement {
             Statement::Suspect { upstream, .. } => {
-                other.suspects.insert(fingerprint, upstream);
-                self.learn_suspect(now, fingerprint, upstream);
+                peer.suspects.insert(fingerprint, upstream);
+                self.apply_suspicion(now, fingerprint, upstream);
             }
             Statement::Cleared => {
-                other.suspects.remove(&fingerprint);
-                self.learn_cleared(now, fingerprint);
+                peer.suspects.remove(&fingerprint);
+                self.apply_clearance(now, fingerprint);
             }
             Statement::Refused { remaining } => {
                 let remaining = span(remaining);
-                self.refused(now, fingerprint, remaining);
+                self.apply_refusal(now, fingerprint, remaining);
             }
         }
     }
 
-    fn learn_suspect(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
+    fn apply_suspicion(&mut self, now: Instant, fingerprint: Fingerprint, upstream: UpstreamId) {
         if matches!(
             self.poison.check(now, fingerprint),
             Admission::Refused { .. }
@@ -381,30 +393,31 @@
         }
         let event = Event::PeerSuspects {
             fingerprint,
-            // No life of an upstream that this daemon gives work to.
+            // The complement is no incarnation of an upstream of this daemon, so the suspect may
+            // run on any of them, and a crash there counts as its second.
             upstream: UpstreamId(!upstream.0),
         };
         self.poison.on_event(now, event);
         self.suspects.entry(fingerprint).or_default();
     }
 
-    fn learn_cleared(&mut self, now: Instant, fingerprint: Fingerprint) {
-        let mut others = self.others.values();
-        let suspected = others.any(|o| o.suspects.contains_key(&fingerprint));
+    fn apply_clearance(&mut self, now: Instant, fingerprint: Fingerprint) {
+        let mut peers = self.peers.values();
+        let suspected = peers.any(|o| o.suspects.contains_key(&fingerprint));
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return;
         };
-        // What this daemon saw itself is its own to clear.
-        if suspect.crashed_at.is_none() && !suspected {
+        // A suspect whose crash this daemon saw itself is cleared by its own progress only.
+        if suspect.crash_tokens.is_none() && !suspected {
             self.suspects.remove(&fingerprint);
             self.poison.on_event(now, Event::Finished(fingerprint));
         }
     }
 
-    fn refused(&mut self, now: Instant, fingerprint: Fingerprint, remaining: Span) {
+    fn apply_refusal(&mut self, now: Instant, fingerprint: Fingerprint, remaining: Span) {
         self.suspects.remove(&fingerprint);
-        for other in self.others.values_mut() {
-            other.suspects.remove(&fingerprint);
+        for peer in self.peers.values_mut() {
+            peer.suspects.remove(&fingerprint);
         }
         let event = Event::PeerConfirmed {
             fingerprint,
@@ -413,24 +426,27 @@
         self.poison.on_event(now, event);
     }
 
-    /// Drops what is kept of suspects that the judgement has forgotten, and of daemons that are
-    /// done with theirs.
-    fn forget(&mut self, now: Instant) {
+    /// Removes suspects that `poison` no longer tracks, unless an isolated step is in flight, and
+    /// daemons that have no suspects or whose test time has passed.
+    fn evict_expired(&mut self, now: Instant) {
         let poison = &self.poison;
-        self.suspects
-            .retain(|f, s| s.turn.is_some() || poison.check(now, *f) == Admission::Isolated);
-        self.others
-            .retain(|_, o| o.until > now && !o.suspects.is_empty());
+        self.suspects.retain(|f, s| {
+            s.isolated_step.is_some() || poison.check(now, *f) == Admission::Isolated
+        });
+        self.peers
+            .retain(|_, o| o.testing_until > now && !o.suspects.is_empty());
     }
 
     pub(super) fn routing_hints(&self, fingerprint: Fingerprint) -> RoutingHints {
-        let Some(me) = self.suspects.get(&fingerprint) else {
+        let Some(suspect) = self.suspects.get(&fingerprint) else {
             return RoutingHints::default();
         };
-        let others = self.suspects.iter().filter(|(f, _)| **f != fingerprint);
+        let other_suspects = self.suspects.iter().filter(|(f, _)| **f != fingerprint);
         RoutingHints {
-            crashed: me.crashed_on,
-            occupied: others.flat_map(|(_, s)| s.path.iter().copied()).collect(),
+            crashed: suspect.crashed_upstream,
+            occupied: other_suspects
+                .flat_map(|(_, s)| s.path.iter().copied())
+                .collect(),
         }
     }
 
@@ -444,10 +460,11 @@
         }
     }
 
-    /// One life of an upstream, from one crash to the next: what the judgement counts as an
-    /// upstream, so that a stage with a single replica can be run on again after its restart, and
-    /// a second crash there counts.
-    fn life(&self, upstream: UpstreamKey, name: &str) -> UpstreamId {
+    /// Returns an identifier of the current incarnation of an upstream, which lasts from one crash
+    /// to the next. `poison` treats each incarnation as another upstream, so that a suspect can run
+    /// again on the restarted upstream of a stage with a single replica, and a second crash there
+    /// counts.
+    fn upstream_incarnation(&self, upstream: UpstreamKey, name: &str) -> UpstreamId {
         let crashes = self.crashes.get(upstream).copied().unwrap_or(0);
         UpstreamId(UpstreamId::of(name).0.wrapping_add(crashes.into()))
     }
--- a/crates/kelpworks/src/quarantine/step_guard.rs
+++ b/crates/kelpworks/src/quarantine/step_guard.rs
@@ -1,63 +1,67 @@
-//! The turn of a step: waited for, held while the step is in flight, given back by dropping it.
+//! Scheduling of steps: the steps of suspects wait until they can run in isolation, and a guard
+//! represents a step while it is in flight.
 
 use std::time::Duration;
 
 use crate::fleet::UpstreamKey;
 use crate::quarantine::Quarantine;
 use crate::quarantine::Result;
-use crate::quarantine::state::Begin;
+use crate::quarantine::state::BeginResult;
 use crate::quarantine::state::StepKey;
 use kelpworks_coord::poison::Fingerprint;
 
-/// Longest wait before a turn is asked for again: some waits end by time alone.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// Interval after which a waiting step is checked again without a notification; some waits end by a
+/// timeout, which sends none.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A step that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStep<'a> {
-    /// The request.
+    /// Request that the step is part of.
     pub fingerprint: Fingerprint,
-    /// Where the step is to run.
+    /// Upstream that is to run the step.
     pub upstream: UpstreamKey,
-    /// Host name of the upstream.
+    /// Host name of the upstream, from which its [`kelpworks_coord::id::UpstreamId`] is derived.
     pub name: &'a str,
-    /// Tokens known of the request.
-    pub known: u32,
+    /// Number of tokens of the request that are known: its prompt and the tokens of its answer so
+    /// far.
+    pub known_tokens: u32,
 }
 
-/// A step in flight. Dropping it ends the step, also when its future is dropped.
+/// A step in flight. The step ends when the guard is dropped, also when the future that holds it is
+/// dropped.
 #[derive(Debug)]
 pub struct StepGuard<'a> {
     quarantine: &'a Quarantine,
     key: StepKey,
     name: &'a str,
-    apart: bool,
+    isolated: bool,
 }
 
 impl Quarantine {
-    /// Begins a step; for a suspect, waits until no other runs where it is to run.
+    /// Begins a step. The step of a suspect waits until it can run in isolation.
     ///
     /// # Errors
     ///
-    /// When the request is refused, at once or after the wait.
-    pub async fn begin<'a>(&'a self, wanted: PendingStep<'a>) -> Result<StepGuard<'a>> {
+    /// When the request is refused, immediately or during the wait.
+    pub async fn begin<'a>(&'a self, pending: PendingStep<'a>) -> Result<StepGuard<'a>> {
         loop {
-            let changed = self.changed.notified();
-            tokio::pin!(changed);
-            changed.as_mut().enable();
-            let begin = self.lock().begin(self.now(), wanted);
+            let notified = self.state_changed.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
+            let begin = self.lock().begin(self.now(), pending);
             match begin {
-                Begin::Begun { key, apart } => {
+                BeginResult::Begun { key, isolated } => {
                     return Ok(StepGuard {
                         quarantine: self,
                         key,
-                        name: wanted.name,
-                        apart,
+                        name: pending.name,
+                        isolated,
                     });
                 }
-                Begin::Refused(refusal) => return Err(refusal),
-                Begin::Wait => {
-                    let _ = tokio::time::timeout(ASK_AGAIN, changed).await;
+                BeginResult::Refused(refusal) => return Err(refusal),
+                BeginResult::Wait => {
+                    let _ = tokio::time::timeout(RETRY_INTERVAL, notified).await;
                 }
             }
         }
@@ -65,17 +69,20 @@
 }
 
 impl StepGuard<'_> {
-    /// Whether this is a suspect's step, for which its upstream's death would count.
+    /// Returns whether the step runs in isolation because its request is suspected; a crash of the
+    /// upstream would then be attributed to the request.
     pub fn is_isolated(&self) -> bool {
-        self.apart
+        self.isolated
     }
 
-    /// Notes that the upstream died under the step.
+    /// Records that the upstream died while it ran the step.
     pub fn record_crash(&self) {
         let quarantine = self.quarantine;
-        let told = quarantine.facts.receiver_count() > 0;
+        let has_subscribers = quarantine.facts.receiver_count() > 0;
         let now = quarantine.now();
-        let facts = quarantine.lock().crashed(now, self.key, self.name, told);
+        let facts = quarantine
+            .lock()
+            .record_crash(now, self.key, self.name, has_subscribers);
         quarantine.publish(facts);
     }
 }
@@ -83,7 +90,7 @@
 impl Drop for StepGuard<'_> {
     fn drop(&mut self) {
         if self.quarantine.lock().end(self.quarantine.now(), self.key) {
-            self.quarantine.changed.notify_waiters();
+            self.quarantine.state_changed.notify_waiters();
         }
     }
 }
