--- a/crates/kelpworks-relay/src/relay/events.rs
+++ b/crates/kelpworks-relay/src/relay/events.rs
@@ -11,7 +11,7 @@
 
 /// Whole events and what they say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Whole {
+pub(super) struct WholeEvents {
     /// The events' bytes, with their closing blank lines.
     pub(super) bytes: Bytes,
     /// Id of the last one that has one.
@@ -20,23 +20,23 @@
 
 /// Cuts bytes into events.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Cutter {
+pub(super) struct EventSplitter {
     buf: BytesMut,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Takes bytes in.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
     /// Bytes of an event that is not whole.
-    pub(super) fn rest(&self) -> usize {
+    pub(super) fn pending_len(&self) -> usize {
         self.buf.len()
     }
 
     /// The whole events so far; those with an id up to `after` are left out.
-    pub(super) fn take(&mut self, after: Option<u64>) -> Whole {
+    pub(super) fn take_events(&mut self, after: Option<u64>) -> WholeEvents {
         let mut out = BytesMut::new();
         let mut last_id = None;
         while let Some(end) = end_of_event(&self.buf) {
@@ -48,7 +48,7 @@
             last_id = id.or(last_id);
             out.extend_from_slice(&event);
         }
-        Whole {
+        WholeEvents {
             bytes: out.freeze(),
             last_id,
         }
--- a/crates/kelpworks-relay/src/relay/incoming.rs
+++ b/crates/kelpworks-relay/src/relay/incoming.rs
@@ -14,9 +14,9 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::Xxh3;
 
+use super::InboundRequest;
 use super::Refusal;
-use super::Ticket;
-use super::outcome::end_to_end;
+use super::reply::end_to_end;
 use crate::adapter::Adapter;
 use crate::adapter::CallerHead;
 use crate::config::Route;
@@ -34,26 +34,26 @@
 const CRASHING_RETRY: Duration = Duration::from_secs(60);
 
 /// A request's head with what it is judged by.
-struct Judged<'a> {
+struct RequestContext<'a> {
     table: &'a RoutingTable,
     id: Box<str>,
 }
 
-impl Judged<'_> {
-    fn refuse(&self, status: StatusCode, why: &'static str) -> Refusal {
+impl RequestContext<'_> {
+    fn refuse(&self, status: StatusCode, reason: &'static str) -> Refusal {
         Refusal {
             request_id: self.id.clone(),
             status,
             retry_after: None,
-            why,
+            reason,
             version: self.table.version(),
         }
     }
 
-    fn come_back(&self, after: Duration, why: &'static str) -> Refusal {
+    fn refuse_with_retry_after(&self, after: Duration, reason: &'static str) -> Refusal {
         Refusal {
             retry_after: Some(after),
-            ..self.refuse(StatusCode::SERVICE_UNAVAILABLE, why)
+            ..self.refuse(StatusCode::SERVICE_UNAVAILABLE, reason)
         }
     }
 }
@@ -67,47 +67,47 @@
     shared: &Shared,
     req: &mut salvo::Request,
     arrived: Instant,
-) -> Result<Ticket, Refusal> {
+) -> Result<InboundRequest, Refusal> {
     let has_configuration = |s: &Shared| s.table.load().version() > 0;
     shared.wait_while_starting(arrived, has_configuration).await;
     let table = shared.table.load_full();
     let head = D::decode_request_head(req.headers());
     let id = head.as_ref().ok().and_then(|h| h.request_id.clone());
-    let judged = Judged {
+    let context = RequestContext {
         table: &table,
         id: id.unwrap_or_default(),
     };
     if table.version() == 0 {
-        return Err(judged.come_back(NO_CONFIGURATION_RETRY, "no configuration yet"));
+        return Err(context.refuse_with_retry_after(NO_CONFIGURATION_RETRY, "no configuration yet"));
     }
     if head_bytes(req) > table.limits().header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        return Err(judged.refuse(status, "head too large"));
+        return Err(context.refuse(status, "head too large"));
     }
     let host = host_of(req).unwrap_or_default();
     let path = req.uri().path();
-    let no_route = || judged.refuse(StatusCode::NOT_FOUND, "no route");
+    let no_route = || context.refuse(StatusCode::NOT_FOUND, "no route");
     let route = table.route(&host, path).ok_or_else(no_route)?.clone();
-    let unreadable = |_| judged.refuse(StatusCode::BAD_REQUEST, "head can't be read");
+    let unreadable = |_| context.refuse(StatusCode::BAD_REQUEST, "head can't be read");
     let head = head.map_err(unreadable)?;
-    let team = team_of(&judged, &route, &head)?.map(|t| Arc::clone(&t.name));
-    let body = read_body(&judged, req).await?;
+    let team = team_of(&context, &route, &head)?.map(|t| Arc::clone(&t.name));
+    let body = read_body(&context, req).await?;
     let target = req.uri().path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let fingerprint = fingerprint(team.as_deref(), &target, &body);
     if shared.crashes().is_refused(fingerprint, Instant::now()) {
-        return Err(judged.come_back(CRASHING_RETRY, "crashes upstreams"));
+        return Err(context.refuse_with_retry_after(CRASHING_RETRY, "crashes upstreams"));
     }
-    let service = choose_service(&judged, &route)?.clone();
-    let patience = head.time_left.unwrap_or(route.timeout);
-    let deadline = arrived + patience.min(route.timeout);
-    Ok(Ticket {
-        id: judged.id,
+    let service = choose_service(&context, &route)?.clone();
+    let time_limit = head.time_left.unwrap_or(route.timeout);
+    let deadline = arrived + time_limit.min(route.timeout);
+    Ok(InboundRequest {
+        id: context.id,
         service,
         head,
         method: req.method().clone(),
         target,
-        headers: for_upstream(req.headers()),
+        headers: upstream_headers(req.headers()),
         body,
         team,
         fingerprint,
@@ -139,32 +139,35 @@
 
 /// The caller's team; `None` where the route needs none.
 fn team_of<'a>(
-    judged: &Judged<'a>,
+    context: &RequestContext<'a>,
     route: &Route,
     head: &CallerHead,
 ) -> Result<Option<&'a Team>, Refusal> {
-    let team = head.key.as_deref().and_then(|k| judged.table.team_of(k));
-    if team.is_some() || route.anonymous || !judged.table.has_teams() {
+    let team = head.key.as_deref().and_then(|k| context.table.team_of(k));
+    if team.is_some() || route.anonymous || !context.table.has_teams() {
         return Ok(team);
     }
-    Err(judged.refuse(StatusCode::UNAUTHORIZED, "unknown key"))
+    Err(context.refuse(StatusCode::UNAUTHORIZED, "unknown key"))
 }
 
-async fn read_body(judged: &Judged<'_>, req: &mut salvo::Request) -> Result<Bytes, Refusal> {
-    let most = judged.table.limits().body_bytes;
-    let body = Limited::new(req.take_body(), most);
+async fn read_body(
+    context: &RequestContext<'_>,
+    req: &mut salvo::Request,
+) -> Result<Bytes, Refusal> {
+    let max_bytes = context.table.limits().body_bytes;
+    let body = Limited::new(req.take_body(), max_bytes);
     match tokio::time::timeout(BODY_TIMEOUT, body.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(judged.refuse(StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
+            Err(context.refuse(StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
         }
-        Ok(Err(_)) => Err(judged.refuse(StatusCode::BAD_REQUEST, "body broken off")),
-        Err(_) => Err(judged.refuse(StatusCode::REQUEST_TIMEOUT, "body too slow")),
+        Ok(Err(_)) => Err(context.refuse(StatusCode::BAD_REQUEST, "body broken off")),
+        Err(_) => Err(context.refuse(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     }
 }
 
 /// Draws a service by the weights of the route's targets.
-fn choose_service<'a>(judged: &Judged<'a>, route: &Route) -> Result<&'a Service, Refusal> {
+fn choose_service<'a>(context: &RequestContext<'a>, route: &Route) -> Result<&'a Service, Refusal> {
     let total: u32 = route.targets.iter().map(|t| t.weight).sum();
     let mut drawn = rand::rng().random_range(0..total.max(1));
     let mut chosen = route.targets.first();
@@ -175,11 +178,13 @@
         }
         drawn -= target.weight;
     }
-    let service = chosen.and_then(|t| judged.table.service(&t.service));
-    service.ok_or_else(|| judged.come_back(NO_CONFIGURATION_RETRY, "service not defined"))
+    let service = chosen.and_then(|t| context.table.service(&t.service));
+    service.ok_or_else(|| {
+        context.refuse_with_retry_after(NO_CONFIGURATION_RETRY, "service not defined")
+    })
 }
 
-fn for_upstream(headers: &HeaderMap) -> HeaderMap {
+fn upstream_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = end_to_end(headers.clone());
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
--- a/crates/kelpworks-relay/src/relay/mod.rs
+++ b/crates/kelpworks-relay/src/relay/mod.rs
@@ -3,7 +3,7 @@
 mod call;
 mod events;
 mod incoming;
-mod outcome;
+mod reply;
 mod stream;
 
 use std::marker::PhantomData;
@@ -37,13 +37,13 @@
 use crate::crashes::Fingerprint;
 use crate::pool::Body;
 use crate::shared::Shared;
-use outcome::Outcome;
+use reply::Reply;
 
-pub(crate) use outcome::Refusal;
+pub(crate) use reply::Refusal;
 
 /// A caller's request, read whole and admitted.
 #[derive(Debug)]
-struct Ticket {
+struct InboundRequest {
     /// Id for logs; the caller's own.
     id: Box<str>,
     route: Route,
@@ -63,8 +63,8 @@
     version: u64,
 }
 
-impl Ticket {
-    fn left(&self) -> Duration {
+impl InboundRequest {
+    fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -84,15 +84,18 @@
 #[derive(Debug)]
 pub(crate) struct Relay<D, E> {
     shared: Arc<Shared>,
-    engines: Arc<E>,
+    engine_api: Arc<E>,
     adapter: PhantomData<D>,
 }
 
 /// Routes of the callers' address: everything goes to the relay.
-pub(crate) fn router<D: Adapter, E: EngineApi>(shared: &Arc<Shared>, engines: &Arc<E>) -> Router {
+pub(crate) fn router<D: Adapter, E: EngineApi>(
+    shared: &Arc<Shared>,
+    engine_api: &Arc<E>,
+) -> Router {
     let relay: Relay<D, E> = Relay {
         shared: Arc::clone(shared),
-        engines: Arc::clone(engines),
+        engine_api: Arc::clone(engine_api),
         adapter: PhantomData,
     };
     Router::with_path("{**rest}").goal(relay)
@@ -107,16 +110,16 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let counted = Counted::new(&self.shared);
+        let in_flight_guard = InFlightGuard::new(&self.shared);
         let arrived = Instant::now();
-        let outcome = match incoming::admit::<D>(&self.shared, req, arrived).await {
-            Ok(ticket) => self.forward(ticket, counted).await,
+        let reply = match incoming::admit::<D>(&self.shared, req, arrived).await {
+            Ok(inbound) => self.forward(inbound, in_flight_guard).await,
             Err(refusal) => {
                 log_refusal(&refusal);
-                Outcome::Refused(refusal)
+                Reply::Refused(refusal)
             }
         };
-        outcome.write(res);
+        reply.write(res);
         if self.shared.stopping.load(Ordering::Relaxed) {
             let close = HeaderValue::from_static("close");
             res.headers_mut().insert(header::CONNECTION, close);
@@ -125,18 +128,18 @@
 }
 
 impl<D: Adapter, E: EngineApi> Relay<D, E> {
-    async fn forward(&self, ticket: Ticket, counted: Counted) -> Outcome {
+    async fn forward(&self, inbound: InboundRequest, in_flight_guard: InFlightGuard) -> Reply {
         let shared = Arc::clone(&self.shared);
         {
-            let mut repeats = shared.retry_budget();
-            repeats.record_request(&ticket.service.name, ticket.arrived);
+            let mut budget = shared.retry_budget();
+            budget.record_request(&inbound.service.name, inbound.arrived);
         }
-        match ticket.route.kind {
+        match inbound.route.kind {
             RouteKind::Stream { .. } => {
-                let engines = Arc::clone(&self.engines);
-                stream::serve::<D, E>(shared, engines, ticket, counted).await
+                let engine_api = Arc::clone(&self.engine_api);
+                stream::serve::<D, E>(shared, engine_api, inbound, in_flight_guard).await
             }
-            _ => call::serve::<D>(&shared, &ticket).await,
+            _ => call::serve::<D>(&shared, &inbound).await,
         }
     }
 }
@@ -146,30 +149,30 @@
         target: "decision",
         request:% = refusal.request_id,
         status = refusal.status.as_u16(),
-        why:% = refusal.why,
+        why:% = refusal.reason,
         config_version = refusal.version;
         "request refused"
     );
-    let labels = [("why", refusal.why)];
+    let labels = [("why", refusal.reason)];
     metrics::counter!("kelpworks_refused_total", &labels).increment(1);
 }
 
 /// A request in flight, for as long as it lives.
 #[derive(Debug)]
-struct Counted {
+struct InFlightGuard {
     shared: Arc<Shared>,
 }
 
-impl Counted {
-    fn new(shared: &Arc<Shared>) -> Counted {
+impl InFlightGuard {
+    fn new(shared: &Arc<Shared>) -> InFlightGuard {
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
-        Counted {
+        InFlightGuard {
             shared: Arc::clone(shared),
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/kelpworks-relay/src/relay/outcome.rs
+++ b/crates/kelpworks-relay/src/relay/reply.rs
@@ -14,7 +14,7 @@
 
 /// Pieces of a streamed answer; an error breaks the connection off, so that the answer does not
 /// look complete.
-pub(super) type Pieces = BoxStream<'static, std::io::Result<Bytes>>;
+pub(super) type BodyChunks = BoxStream<'static, std::io::Result<Bytes>>;
 
 /// An answer of the daemon's own.
 #[derive(Clone, Debug)]
@@ -26,15 +26,15 @@
     /// When to come back.
     pub(crate) retry_after: Option<Duration>,
     /// Why, as a label of few values.
-    pub(crate) why: &'static str,
+    pub(crate) reason: &'static str,
     /// Version of the configuration that it was decided by.
     pub(crate) version: u64,
 }
 
 /// What a request came to.
-pub(super) enum Outcome {
+pub(super) enum Reply {
     /// An upstream's answer, whole.
-    Whole {
+    Buffered {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
@@ -43,16 +43,16 @@
     Streamed {
         status: StatusCode,
         headers: HeaderMap,
-        pieces: Pieces,
+        chunks: BodyChunks,
     },
     /// The daemon's own answer.
     Refused(Refusal),
 }
 
-impl Outcome {
+impl Reply {
     pub(super) fn write(self, res: &mut Response) {
         match self {
-            Outcome::Whole {
+            Reply::Buffered {
                 status,
                 headers,
                 body,
@@ -61,16 +61,16 @@
                 *res.headers_mut() = end_to_end(headers);
                 res.body(ResBody::Once(body));
             }
-            Outcome::Streamed {
+            Reply::Streamed {
                 status,
                 headers,
-                pieces,
+                chunks,
             } => {
                 res.status_code(status);
                 *res.headers_mut() = end_to_end(headers);
-                res.stream(pieces);
+                res.stream(chunks);
             }
-            Outcome::Refused(refusal) => refusal.write(res),
+            Reply::Refused(refusal) => refusal.write(res),
         }
     }
 }
@@ -84,7 +84,7 @@
                 res.headers_mut().insert(header::RETRY_AFTER, value);
             }
         }
-        let body = serde_json::json!({ "error": self.why }).to_string();
+        let body = serde_json::json!({ "error": self.reason }).to_string();
         let json = HeaderValue::from_static("application/json");
         res.headers_mut().insert(header::CONTENT_TYPE, json);
         res.body(ResBody::Once(body.into()));
@@ -105,14 +105,14 @@
 
 /// Takes out the headers that concern one connection only, with those that `connection` names.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let hop_by_hop: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in CONNECTION_HEADERS.iter().chain(&named) {
+    for name in CONNECTION_HEADERS.iter().chain(&hop_by_hop) {
         headers.remove(name);
     }
     headers
--- a/crates/kelpworks-relay/src/relay/stream.rs
+++ b/crates/kelpworks-relay/src/relay/stream.rs
@@ -6,9 +6,9 @@
 //! within the same answer.
 
 mod attempt;
-mod pace;
 mod reroute;
-mod silence;
+mod stall;
+mod timings;
 mod trace;
 
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 use log::info;
 use tokio::time::Instant;
 
-use super::Counted;
+use super::InFlightGuard;
+use super::InboundRequest;
 use super::Refusal;
-use super::Ticket;
-use super::call::give_up;
-use super::events::Cutter;
-use super::outcome::Outcome;
+use super::call::final_refusal;
+use super::events::EventSplitter;
+use super::reply::Reply;
 use crate::adapter::Adapter;
 use crate::adapter::EngineApi;
 use crate::adapter::LayerRange;
@@ -45,17 +45,17 @@
 use crate::sync::lock;
 use attempt::RanAt;
 use attempt::Reservation;
-use pace::Pace;
+use timings::Timings;
 
 /// Least time left for a further attempt: reading a usual prompt again.
-const WORTH_TRYING: Duration = Duration::from_millis(50);
+const MIN_RETRY_TIME: Duration = Duration::from_millis(50);
 /// Attempts of one request, with those that were refused without having run.
 const MAX_ATTEMPTS: u32 = 6;
 /// Pause before an attempt that follows a refusal; doubled with each one.
-const REFUSED_PAUSE: Duration = Duration::from_millis(25);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(25);
 /// Part of a route's gap target from which a pause is a reason to ask the engines of the path how
 /// slow they are: more than any pause of a calm fleet (40 ms of 250), and still on time.
-const LATE_PART: f64 = 0.6;
+const LATE_GAP_FRACTION: f64 = 0.6;
 /// Largest event that is waited for.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
@@ -63,74 +63,74 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Failure {
     verdict: Verdict,
-    why: &'static str,
+    reason: &'static str,
     /// Whether it looks as if the request had crashed an engine.
     crash: bool,
     /// Whether the next attempt was asked for and allowed already.
-    permitted: bool,
+    retry_permitted: bool,
     /// Whether there was no path, so that nothing was sent and no repeat was used.
-    unsent: bool,
+    no_path_found: bool,
 }
 
 impl Failure {
-    fn new(verdict: Verdict, why: &'static str) -> Failure {
+    fn new(verdict: Verdict, reason: &'static str) -> Failure {
         Failure {
             verdict,
-            why,
+            reason,
             crash: false,
-            permitted: false,
-            unsent: false,
+            retry_permitted: false,
+            no_path_found: false,
         }
     }
 
-    fn no_path(why: &'static str) -> Failure {
+    fn no_path(reason: &'static str) -> Failure {
         Failure {
-            unsent: true,
-            ..Failure::new(Verdict::NotRun, why)
+            no_path_found: true,
+            ..Failure::new(Verdict::NotRun, reason)
         }
     }
 
-    fn crash(why: &'static str) -> Failure {
+    fn crash(reason: &'static str) -> Failure {
         Failure {
             crash: true,
-            ..Failure::new(Verdict::MayHaveRun, why)
+            ..Failure::new(Verdict::MayHaveRun, reason)
         }
     }
 }
 
 /// A stream that is being read.
-struct Reading {
+struct ActiveStream {
     body: Incoming,
     connection: Connection,
-    course: Course,
-    cutter: Cutter,
+    running_path: RunningPath,
+    splitter: EventSplitter,
     /// When this attempt last brought something; when it was sent, before that.
-    heard: Instant,
-    begun: bool,
+    last_received: Instant,
+    started: bool,
 }
 
 /// The engines that work on a request, and what it is counted for there.
-struct Course {
+struct RunningPath {
     parts: Vec<(UpstreamKey, LayerRange)>,
     /// Times that the path was changed while the request ran.
     reroutes: u32,
     /// When it was last looked whether it passes slow engines.
-    looked: Option<Instant>,
+    last_slowness_check: Option<Instant>,
     _reservation: Reservation,
 }
 
 /// A request to engines, over all its attempts.
-struct Relayed<D, E> {
+struct StreamRelay<D, E> {
     shared: Arc<Shared>,
     /// Where orders to change the path of a running request go.
-    orders: Arc<E>,
-    ticket: Ticket,
-    engines: Option<Arc<EngineProfile>>,
+    engine_api: Arc<E>,
+    inbound: InboundRequest,
+    profile: Option<Arc<EngineProfile>>,
     /// First engines of the attempts that may have run, as far as they have not ended.
     ran_at: Vec<RanAt>,
     attempts: u32,
     /// Whether an attempt may have reached an engine, so that any other is a repeat.
-    reached: bool,
+    may_have_reached: bool,
     /// Leave for the next attempt, where it was asked for already.
     permit: Mutex<Option<Permit>>,
     /// Attempts refused in a row.
@@ -138,63 +138,65 @@
     /// Id of the last event that the caller has, or had before.
     last_event: Option<u64>,
     weight_version: Option<u64>,
-    reading: Option<Reading>,
+    active: Option<ActiveStream>,
     /// The stream that fell silent last; it may still go on.
-    silent: Option<Reading>,
+    stalled: Option<ActiveStream>,
     /// What the caller has seen of the stream's pace.
-    pace: Pace,
+    timings: Timings,
     done: bool,
-    _counted: Counted,
+    _in_flight_guard: InFlightGuard,
     _adapter: std::marker::PhantomData<D>,
 }
 
 /// Forwards a streamed request; the answer begins with its first event.
 pub(super) async fn serve<D: Adapter, E: EngineApi>(
     shared: Arc<Shared>,
-    orders: Arc<E>,
-    ticket: Ticket,
-    counted: Counted,
-) -> Outcome {
-    let mut relayed: Relayed<D, E> = Relayed {
-        engines: ticket.service.engines.clone(),
-        last_event: ticket.head.last_event,
+    engine_api: Arc<E>,
+    inbound: InboundRequest,
+    in_flight_guard: InFlightGuard,
+) -> Reply {
+    let mut stream_relay: StreamRelay<D, E> = StreamRelay {
+        profile: inbound.service.engines.clone(),
+        last_event: inbound.head.last_event,
         shared,
-        orders,
-        ticket,
+        engine_api,
+        inbound,
         ran_at: Vec::new(),
         attempts: 0,
-        reached: false,
+        may_have_reached: false,
         permit: Mutex::default(),
         refusals: 0,
         weight_version: None,
-        reading: None,
-        silent: None,
-        pace: Pace::default(),
+        active: None,
+        stalled: None,
+        timings: Timings::default(),
         done: false,
-        _counted: counted,
+        _in_flight_guard: in_flight_guard,
         _adapter: std::marker::PhantomData,
     };
-    let (status, headers, first) = match relayed.begin().await {
-        Ok(begun) => begun,
-        Err(refusal) => return Outcome::Refused(refusal),
+    let (status, headers, first) = match stream_relay.start().await {
+        Ok(started) => started,
+        Err(refusal) => return Reply::Refused(refusal),
     };
-    let arrived = relayed.ticket.arrived;
-    relayed.pace.passed_on(arrived, Instant::now());
-    let rest = stream::unfold(relayed, |mut relayed| async move {
-        let piece = relayed.next().await?;
-        Some((piece, relayed))
+    let arrived = stream_relay.inbound.arrived;
+    stream_relay
+        .timings
+        .record_forwarded(arrived, Instant::now());
+    let rest = stream::unfold(stream_relay, |mut stream_relay| async move {
+        let piece = stream_relay.next().await?;
+        Some((piece, stream_relay))
     });
-    let pieces = stream::iter([Ok(first)]).chain(rest).boxed();
-    Outcome::Streamed {
+    let chunks = stream::iter([Ok(first)]).chain(rest).boxed();
+    Reply::Streamed {
         status,
         headers,
-        pieces,
+        chunks,
     }
 }
 
-impl<D: Adapter, E: EngineApi> Relayed<D, E> {
+impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
     /// Makes attempts until the first event is there.
-    async fn begin(&mut self) -> Result<(StatusCode, HeaderMap, Bytes), Refusal> {
+    async fn start(&mut self) -> Result<(StatusCode, HeaderMap, Bytes), Refusal> {
         let mut verdict = Verdict::NotRun;
         loop {
             let failure = match self.attempt().await {
@@ -205,12 +207,12 @@
                 Err(failure) => failure,
             };
             verdict = verdict.max(failure.verdict);
-            self.failed(failure);
+            self.record_failure(failure);
             // Without a path it has waited for one; the caller is told to come back.
-            if failure.unsent || (!failure.permitted && !self.may_go_on(verdict)) {
-                return Err(give_up(&self.ticket, verdict, failure.why));
+            if failure.no_path_found || (!failure.retry_permitted && !self.may_retry(verdict)) {
+                return Err(final_refusal(&self.inbound, verdict, failure.reason));
             }
-            self.pause(failure).await;
+            self.back_off(failure).await;
         }
     }
 
@@ -222,7 +224,8 @@
         loop {
             let failure = match self.read().await {
                 Ok(Some(events)) => {
-                    self.pace.passed_on(self.ticket.arrived, Instant::now());
+                    self.timings
+                        .record_forwarded(self.inbound.arrived, Instant::now());
                     return Some(Ok(events));
                 }
                 Ok(None) => {
@@ -231,10 +234,10 @@
                 }
                 Err(failure) => failure,
             };
-            if let Err(why) = self.resume(failure).await {
+            if let Err(reason) = self.resume(failure).await {
                 self.done = true;
-                self.log_end("broken off", why);
-                return Some(Err(std::io::Error::other(why)));
+                self.log_end("broken off", reason);
+                return Some(Err(std::io::Error::other(reason)));
             }
         }
     }
@@ -242,20 +245,20 @@
     /// Goes on by another path after the last event. A stream that was only silent is kept until the
     /// new one has begun, and is gone back to when none begins.
     async fn resume(&mut self, failure: Failure) -> Result<(), &'static str> {
-        let silent = self.silent.take();
+        let stalled = self.stalled.take();
         let mut failure = failure;
         loop {
-            self.failed(failure);
+            self.record_failure(failure);
             // A repeat that found no path was not used, and is still there.
-            let unused = failure.unsent && self.refusals < MAX_ATTEMPTS;
-            if !unused && !failure.permitted && !self.may_go_on(Verdict::MayHaveRun) {
-                self.reading = silent;
-                return match self.reading {
+            let unused_retry = failure.no_path_found && self.refusals < MAX_ATTEMPTS;
+            if !unused_retry && !failure.retry_permitted && !self.may_retry(Verdict::MayHaveRun) {
+                self.active = stalled;
+                return match self.active {
                     Some(_) => Ok(()),
-                    None => Err(failure.why),
+                    None => Err(failure.reason),
                 };
             }
-            self.pause(failure).await;
+            self.back_off(failure).await;
             match self.attempt().await {
                 Ok(_) => return Ok(()),
                 Err(next) => failure = next,
@@ -264,108 +267,109 @@
     }
 
     /// Waits a little after a refusal, since what refused is busy.
-    async fn pause(&mut self, failure: Failure) {
+    async fn back_off(&mut self, failure: Failure) {
         if failure.verdict == Verdict::MayHaveRun {
             self.refusals = 0;
             return;
         }
-        let pause = REFUSED_PAUSE * 2u32.pow(self.refusals.min(4));
+        let pause = REFUSAL_BACKOFF * 2u32.pow(self.refusals.min(4));
         self.refusals += 1;
-        tokio::time::sleep(pause.min(self.ticket.left())).await;
+        tokio::time::sleep(pause.min(self.inbound.remaining())).await;
     }
 
     fn finish(&mut self) {
         self.done = true;
-        self.shared.crashes().clear(self.ticket.fingerprint);
+        self.shared.crashes().clear(self.inbound.fingerprint);
         self.log_end("finished", "end of the stream");
     }
 
     /// Whether a further attempt is allowed by the route, the time left and the fleet's bound.
-    fn may_go_on(&self, verdict: Verdict) -> bool {
-        let kind = self.ticket.route.kind;
+    fn may_retry(&self, verdict: Verdict) -> bool {
+        let kind = self.inbound.route.kind;
         let resumable = matches!(kind, RouteKind::Stream { resumable: true });
-        let repeatable = verdict == Verdict::NotRun || resumable;
+        let retryable = verdict == Verdict::NotRun || resumable;
         let now = Instant::now();
-        if !repeatable || self.attempts >= MAX_ATTEMPTS || self.ticket.left() < WORTH_TRYING {
+        if !retryable || self.attempts >= MAX_ATTEMPTS || self.inbound.remaining() < MIN_RETRY_TIME
+        {
             return false;
         }
         if self
             .shared
             .crashes()
-            .is_refused(self.ticket.fingerprint, now)
+            .is_refused(self.inbound.fingerprint, now)
         {
             return false;
         }
         let mut permit = lock(&self.permit);
-        if self.reached && permit.is_none() {
-            *permit = self.shared.permit_retry(&self.ticket.service.name, now);
+        if self.may_have_reached && permit.is_none() {
+            *permit = self.shared.permit_retry(&self.inbound.service.name, now);
         }
-        !self.reached || permit.is_some()
+        !self.may_have_reached || permit.is_some()
     }
 
     /// Permission for an attempt that begins now, at an engine that admits it.
-    fn permit(&mut self, admitted: AdmissionGuard) -> Result<Permit, Failure> {
-        let permit = match self.reached {
+    fn permit(&mut self, admission: AdmissionGuard) -> Result<Permit, Failure> {
+        let permit = match self.may_have_reached {
             false => Some(Permit::first()),
             true => lock(&self.permit).take(),
         };
         match permit {
-            Some(permit) => Ok(permit.with_admission(admitted)),
+            Some(permit) => Ok(permit.with_admission(admission)),
             None => {
-                admitted.refund();
+                admission.refund();
                 Err(Failure::no_path("no repeat left"))
             }
         }
     }
 
     /// Notes a failed attempt.
-    fn failed(&mut self, failure: Failure) {
-        self.reading = None;
+    fn record_failure(&mut self, failure: Failure) {
+        self.active = None;
         let mut crashes = 0;
         if failure.crash {
             let now = Instant::now();
             crashes = self
                 .shared
                 .crashes()
-                .record_crash(self.ticket.fingerprint, now);
+                .record_crash(self.inbound.fingerprint, now);
         }
         info!(
             target: "decision",
-            request:% = self.ticket.id,
+            request:% = self.inbound.id,
             attempt = self.attempts,
             verdict:% = failure.verdict,
             last_event = self.last_event.unwrap_or(0),
             crashes,
-            left_ms = self.ticket.left().as_millis() as u64,
-            why:% = failure.why;
+            left_ms = self.inbound.remaining().as_millis() as u64,
+            why:% = failure.reason;
             "attempt failed"
         );
-        let labels = [("why", failure.why)];
+        let labels = [("why", failure.reason)];
         metrics::counter!("kelpworks_failed_attempts_total", &labels).increment(1);
     }
 
     /// Reads on to the next whole events; `None` at the end of the stream.
     async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
-        let Some(mut reading) = self.reading.take() else {
+        let Some(mut active) = self.active.take() else {
             return Err(Failure::new(Verdict::MayHaveRun, "no attempt under way"));
         };
         loop {
-            let since = reading.heard;
-            let waited = match reading.begun {
+            let since = active.last_received;
+            let waited = match active.started {
                 true => {
-                    let frame = reading.body.frame();
-                    self.wait_for_more(frame, &mut reading.course, since).await
+                    let frame = active.body.frame();
+                    self.wait_for_more(frame, &mut active.running_path, since)
+                        .await
                 }
                 false => {
-                    let parts = &reading.course.parts;
-                    self.wait_for_first(reading.body.frame(), parts, since)
-                        .await
+                    let parts = &active.running_path.parts;
+                    self.wait_for_first(active.body.frame(), parts, since).await
                 }
             };
             let frame = match waited {
                 Ok(frame) => frame,
                 Err(failure) => {
-                    self.silent = (failure.permitted && reading.begun).then_some(reading);
+                    self.stalled = (failure.retry_permitted && active.started).then_some(active);
                     return Err(failure);
                 }
             };
@@ -375,44 +379,45 @@
                     let Ok(bytes) = frame.into_data() else {
                         continue;
                     };
-                    let pause = now.duration_since(reading.heard);
-                    if reading.begun {
+                    let pause = now.duration_since(active.last_received);
+                    if active.started {
                         self.shared.record_pause(pause);
                     }
-                    if pause > self.ticket.route.gap_target.mul_f64(LATE_PART) {
-                        let keys = reading.course.parts.iter().map(|&(key, _)| key);
+                    if pause > self.inbound.route.gap_target.mul_f64(LATE_GAP_FRACTION) {
+                        let keys = active.running_path.parts.iter().map(|&(key, _)| key);
                         self.shared.suspects().suspect(keys);
                     }
-                    reading.heard = now;
-                    reading.begun = true;
-                    self.confirm(&reading.course.parts, now);
-                    reading.cutter.push(&bytes);
-                    let events = reading.cutter.take(self.last_event);
+                    active.last_received = now;
+                    active.started = true;
+                    self.record_progress(&active.running_path.parts, now);
+                    active.splitter.push(&bytes);
+                    let events = active.splitter.take_events(self.last_event);
                     self.last_event = events.last_id.or(self.last_event);
-                    if reading.cutter.rest() > MAX_EVENT_BYTES {
+                    if active.splitter.pending_len() > MAX_EVENT_BYTES {
                         return Err(Failure::new(Verdict::MayHaveRun, "event too large"));
                     }
                     if events.bytes.is_empty() {
                         continue;
                     }
-                    self.leave_slow_engines(&mut reading.course, now).await;
-                    self.reading = Some(reading);
+                    self.reroute_around_slow_engines(&mut active.running_path, now)
+                        .await;
+                    self.active = Some(active);
                     return Ok(Some(events.bytes));
                 }
-                Some(Err(_)) => return Err(self.broken(&reading)),
-                None if reading.cutter.rest() > 0 => return Err(self.broken(&reading)),
+                Some(Err(_)) => return Err(self.record_break(&active)),
+                None if active.splitter.pending_len() > 0 => return Err(self.record_break(&active)),
                 None => {
-                    if let Some(&(first, _)) = reading.course.parts.first() {
+                    if let Some(&(first, _)) = active.running_path.parts.first() {
                         self.shared.fleet().record_outcome(first, false);
                     }
-                    self.shared.pool.keep(reading.connection);
+                    self.shared.pool.keep(active.connection);
                     return Ok(None);
                 }
             }
         }
     }
 
-    fn confirm(&self, parts: &[(UpstreamKey, LayerRange)], now: Instant) {
+    fn record_progress(&self, parts: &[(UpstreamKey, LayerRange)], now: Instant) {
         let mut fleet = self.shared.fleet();
         for &(key, _) in parts {
             fleet.record_success(key, now);
@@ -421,8 +426,8 @@
 
     /// A stream that broke off. The engine that closed it may live: then the next attempts show it, and
     /// a dead one takes no connections.
-    fn broken(&self, reading: &Reading) -> Failure {
-        if let Some(&(first, _)) = reading.course.parts.first() {
+    fn record_break(&self, active: &ActiveStream) -> Failure {
+        if let Some(&(first, _)) = active.running_path.parts.first() {
             self.shared.fleet().record_outcome(first, true);
         }
         Failure::crash("stream broken off")
--- a/crates/kelpworks-relay/src/relay/stream/reroute.rs
+++ b/crates/kelpworks-relay/src/relay/stream/reroute.rs
@@ -12,10 +12,10 @@
 use log::info;
 use tokio::time::Instant;
 
-use super::Course;
-use super::Relayed;
+use super::RunningPath;
+use super::StreamRelay;
 use super::attempt::Reservation;
-use super::trace::text_of;
+use super::trace::format_path;
 use crate::adapter::Adapter;
 use crate::adapter::EngineApi;
 use crate::adapter::Hop;
@@ -27,50 +27,60 @@
 use crate::path;
 
 /// Time between two looks for slow engines on a stream's path.
-const LOOK_AGAIN: Duration = Duration::from_millis(400);
+const SLOWNESS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Changes of path that one attempt may see; each costs an order, and a stream that needs more is
 /// better off elsewhere.
 const MAX_REROUTES: u32 = 3;
 
 /// A path without the engines that stopped.
-struct Detour {
+struct ReplacementPath {
     parts: Vec<(UpstreamKey, LayerRange)>,
     /// The same as engines are told.
     hops: Vec<Hop>,
 }
 
-impl<D: Adapter, E: EngineApi> Relayed<D, E> {
+impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
     /// Changes the path of a stream that passes engines which have turned slow, where others can take
     /// their layers over.
-    pub(super) async fn leave_slow_engines(&self, course: &mut Course, now: Instant) {
-        let is_due = course
-            .looked
-            .is_none_or(|at| now.duration_since(at) >= LOOK_AGAIN);
+    pub(super) async fn reroute_around_slow_engines(
+        &self,
+        running_path: &mut RunningPath,
+        now: Instant,
+    ) {
+        let is_due = running_path
+            .last_slowness_check
+            .is_none_or(|at| now.duration_since(at) >= SLOWNESS_CHECK_INTERVAL);
         if !is_due {
             return;
         }
-        course.looked = Some(now);
+        running_path.last_slowness_check = Some(now);
         let slow: Vec<UpstreamKey> = {
             let fleet = self.shared.fleet();
             let is_slow = |key: UpstreamKey| {
                 let slowness = fleet.get(key).map_or(1.0, |u| u.slowness(now));
                 slowness >= REROUTE_SLOWNESS
             };
-            let keys = course.parts.iter().map(|&(key, _)| key);
+            let keys = running_path.parts.iter().map(|&(key, _)| key);
             keys.filter(|&key| is_slow(key)).collect()
         };
-        self.reroute(course, &slow).await;
+        self.reroute(running_path, &slow).await;
     }
 
     /// Replaces the parts of a path that stopped; whether the first engine accepted it.
-    pub(super) async fn reroute(&self, course: &mut Course, culprits: &[UpstreamKey]) -> bool {
-        if culprits.is_empty() || course.reroutes >= MAX_REROUTES {
+    pub(super) async fn reroute(
+        &self,
+        running_path: &mut RunningPath,
+        faulty: &[UpstreamKey],
+    ) -> bool {
+        if faulty.is_empty() || running_path.reroutes >= MAX_REROUTES {
             return false;
         }
-        let Some(Detour { parts, hops }) = self.detour(&course.parts, culprits) else {
+        let Some(ReplacementPath { parts, hops }) =
+            self.replacement_path(&running_path.parts, faulty)
+        else {
             return false;
         };
-        course.reroutes += 1;
+        running_path.reroutes += 1;
         let (first, id) = {
             let fleet = self.shared.fleet();
             let Some(first) = fleet.get(parts[0].0) else {
@@ -80,71 +90,72 @@
         };
         let order = RerouteOrder {
             id: &id,
-            request: &self.ticket.id,
+            request: &self.inbound.id,
             path: &hops,
         };
-        let reply = self.orders.reroute(first, order).await;
-        self.log_reroute(&hops, culprits, reply);
+        let reply = self.engine_api.reroute(first, order).await;
+        self.log_reroute(&hops, faulty, reply);
         if reply != OrderReply::Accepted {
             return false;
         }
-        course._reservation = Reservation::take(&self.shared, &parts, self.tokens());
-        course.parts = parts;
+        running_path._reservation = Reservation::acquire(&self.shared, &parts, self.tokens());
+        running_path.parts = parts;
         true
     }
 
     /// A path with other engines in place of the culprits, if there is one that does not leave the
     /// failure domain of the engines before: what crosses is every token so far.
-    fn detour(
+    fn replacement_path(
         &self,
         parts: &[(UpstreamKey, LayerRange)],
-        culprits: &[UpstreamKey],
-    ) -> Option<Detour> {
-        let engines = self.engines.as_ref()?;
+        faulty: &[UpstreamKey],
+    ) -> Option<ReplacementPath> {
+        let profile = self.profile.as_ref()?;
         let fleet = self.shared.fleet();
-        let mut taken: Vec<UpstreamKey> = parts.iter().map(|&(key, _)| key).collect();
+        let mut excluded: Vec<UpstreamKey> = parts.iter().map(|&(key, _)| key).collect();
         let mut new: Vec<(UpstreamKey, LayerRange)> = Vec::with_capacity(parts.len());
         for &(key, layers) in parts {
-            if !culprits.contains(&key) {
+            if !faulty.contains(&key) {
                 new.push((key, layers));
                 continue;
             }
-            let &(before, _) = new.last()?;
-            let domain = Arc::clone(&fleet.get(before)?.entry.domain);
-            let ask = path::PathQuery {
-                service: &self.ticket.service.name,
+            let &(previous, _) = new.last()?;
+            let domain = Arc::clone(&fleet.get(previous)?.entry.domain);
+            let query = path::PathQuery {
+                service: &self.inbound.service.name,
                 tokens: self.tokens(),
                 domain: &domain,
                 layers,
-                avoid: &taken,
+                avoid: &excluded,
                 first: &[],
                 now: Instant::now(),
             };
-            let found = path::search(&fleet, engines, &ask, &mut rand::rng()).ok()?;
-            let stays = |k: UpstreamKey| fleet.get(k).is_some_and(|u| u.entry.domain == domain);
-            if !found.keys().all(stays) {
+            let found = path::search(&fleet, profile, &query, &mut rand::rng()).ok()?;
+            let is_in_domain =
+                |k: UpstreamKey| fleet.get(k).is_some_and(|u| u.entry.domain == domain);
+            if !found.keys().all(is_in_domain) {
                 return None;
             }
-            taken.extend(found.keys());
+            excluded.extend(found.keys());
             new.extend(found.parts);
         }
         if new.len() > path::MAX_HOPS {
             return None;
         }
         let hops = path::hops(&fleet, &new)?;
-        Some(Detour { parts: new, hops })
+        Some(ReplacementPath { parts: new, hops })
     }
 
-    fn log_reroute(&self, hops: &[Hop], culprits: &[UpstreamKey], reply: OrderReply) {
+    fn log_reroute(&self, hops: &[Hop], faulty: &[UpstreamKey], reply: OrderReply) {
         let fleet = self.shared.fleet();
         let name = |key: &UpstreamKey| fleet.get(*key).map(|u| u.entry.instance.to_string());
-        let stopped: Vec<String> = culprits.iter().filter_map(name).collect();
+        let stopped: Vec<String> = faulty.iter().filter_map(name).collect();
         info!(
             target: "decision",
-            request:% = self.ticket.id,
+            request:% = self.inbound.id,
             stopped:% = stopped.join(","),
             last_event = self.last_event.unwrap_or(0),
-            path:% = text_of(hops),
+            path:% = format_path(hops),
             fleet_version:% = fleet.version(),
             outcome:% = reply.as_str();
             "path changed"
--- a/crates/kelpworks-relay/src/relay/stream/pace.rs
+++ b/crates/kelpworks-relay/src/relay/stream/timings.rs
@@ -9,28 +9,30 @@
 
 /// Pace of one stream.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Pace {
+pub(super) struct Timings {
     /// Time from the request's arrival to its first events; `None` before them.
-    pub(super) first: Option<Duration>,
+    pub(super) first_event: Option<Duration>,
     /// Longest time between two pieces after it.
     pub(super) longest_pause: Duration,
-    last: Option<Instant>,
+    last_forwarded: Option<Instant>,
 }
 
-impl Pace {
+impl Timings {
     /// Notes that events of a request that arrived then go to the caller now.
-    pub(super) fn passed_on(&mut self, arrived: Instant, now: Instant) {
-        match self.last {
-            Some(last) => self.longest_pause = self.longest_pause.max(now.duration_since(last)),
-            None => self.first = Some(now.duration_since(arrived)),
+    pub(super) fn record_forwarded(&mut self, arrived: Instant, now: Instant) {
+        match self.last_forwarded {
+            Some(last_forwarded) => {
+                self.longest_pause = self.longest_pause.max(now.duration_since(last_forwarded))
+            }
+            None => self.first_event = Some(now.duration_since(arrived)),
         }
-        self.last = Some(now);
+        self.last_forwarded = Some(now);
     }
 
     /// Records it once the stream has ended.
     pub(super) fn record(&self) {
-        if let Some(first) = self.first {
-            metrics::histogram!("kelpworks_first_event_seconds").record(first.as_secs_f64());
+        if let Some(first_event) = self.first_event {
+            metrics::histogram!("kelpworks_first_event_seconds").record(first_event.as_secs_f64());
             let pause = self.longest_pause.as_secs_f64();
             metrics::histogram!("kelpworks_longest_pause_seconds").record(pause);
         }
--- a/crates/kelpworks-relay/tests/assignments.rs
+++ b/crates/kelpworks-relay/tests/assignments.rs
@@ -39,7 +39,7 @@
     fleet.get(fleet.key_of(instance)?)?.layers
 }
 
-fn holding(orders: u64, layers: LayerRange, loaded: bool) -> LayerAssignment {
+fn assignment(orders: u64, layers: LayerRange, loaded: bool) -> LayerAssignment {
     LayerAssignment {
         orders,
         layers,
@@ -48,14 +48,14 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_loads_can_do_no_work_and_then_does_before_it_registers_that() {
+async fn layers_are_unusable_while_loading_and_usable_once_loaded_before_registration() {
     let (old, new) = (range(0, 9), range(20, 29));
     let (mut fleet, engine) = fleet(Some(old));
     let now = Instant::now();
     assert_eq!(usable(&fleet, &engine), Some(old));
-    assert!(fleet.learn_assignment(&engine, holding(2, new, false), NO_AGE, now));
+    assert!(fleet.learn_assignment(&engine, assignment(2, new, false), NO_AGE, now));
     assert_eq!(usable(&fleet, &engine), None);
-    assert!(fleet.learn_assignment(&engine, holding(2, new, true), NO_AGE, now));
+    assert!(fleet.learn_assignment(&engine, assignment(2, new, true), NO_AGE, now));
     assert_eq!(usable(&fleet, &engine), Some(new));
     register(&mut fleet, old, 2);
     assert_eq!(
@@ -70,14 +70,14 @@
 
 /// Seen once: engines that had long registered their layers counted as loading for twelve seconds.
 #[rstest]
-#[case::word_first(true)]
+#[case::report_first(true)]
 #[case::registration_first(false)]
 #[tokio::test]
-async fn a_registration_shows_that_an_engine_has_loaded(#[case] word_first: bool) {
+async fn registration_overrides_loading_report(#[case] report_first: bool) {
     let (mut fleet, engine) = fleet(None);
     let now = Instant::now();
-    let loading = holding(1, range(0, 9), false);
-    if word_first {
+    let loading = assignment(1, range(0, 9), false);
+    if report_first {
         fleet.learn_assignment(&engine, loading, NO_AGE, now);
         assert_eq!(usable(&fleet, &engine), None);
     }
@@ -87,48 +87,49 @@
 }
 
 #[rstest]
-#[case::older_order(holding(1, range(3, 6), true))]
-#[case::same_order_loading(holding(2, range(20, 29), false))]
-#[case::same_word(holding(2, range(20, 29), true))]
+#[case::older_order(assignment(1, range(3, 6), true))]
+#[case::same_order_loading(assignment(2, range(20, 29), false))]
+#[case::same_report(assignment(2, range(20, 29), true))]
 #[tokio::test]
-async fn a_late_copy_of_a_word_is_no_news_also_after_it_was_confirmed(
-    #[case] late: LayerAssignment,
-) {
+async fn stale_report_is_ignored_after_later_registrations(#[case] late: LayerAssignment) {
     let (mut fleet, engine) = fleet(Some(range(0, 9)));
     let now = Instant::now();
-    let told = holding(2, range(20, 29), true);
-    fleet.learn_assignment(&engine, told, NO_AGE, now);
-    register(&mut fleet, told.layers, 2);
+    let reported = assignment(2, range(20, 29), true);
+    fleet.learn_assignment(&engine, reported, NO_AGE, now);
+    register(&mut fleet, reported.layers, 2);
     register(&mut fleet, range(40, 49), 3);
     assert!(!fleet.learn_assignment(&engine, late, NO_AGE, now));
     assert_eq!(usable(&fleet, &engine), Some(range(40, 49)));
 }
 
 #[rstest]
-#[case::loading_that_never_ends(false, false, Some(range(0, 9)))]
-#[case::loaded_while_no_registrations_come(true, false, Some(range(20, 29)))]
-#[case::loaded_and_never_registered(true, true, Some(range(0, 9)))]
+#[case::loading_never_finishes(false, false, Some(range(0, 9)))]
+#[case::loaded_while_registrations_are_unavailable(true, false, Some(range(20, 29)))]
+#[case::loaded_but_not_registered_in_time(true, true, Some(range(0, 9)))]
 #[tokio::test]
-async fn a_word_that_no_registration_confirms_is_given_up(
+async fn unconfirmed_report_expires(
     #[case] loaded: bool,
-    #[case] registrations_come: bool,
+    #[case] registrations_arrive: bool,
     #[case] expected: Option<LayerRange>,
 ) {
     let (mut fleet, engine) = fleet(Some(range(0, 9)));
     let now = Instant::now();
-    fleet.learn_assignment(&engine, holding(2, range(20, 29), loaded), NO_AGE, now);
-    fleet.expire_assignments(registrations_come, now + REPORT_TTL);
+    fleet.learn_assignment(&engine, assignment(2, range(20, 29), loaded), NO_AGE, now);
+    fleet.expire_assignments(registrations_arrive, now + REPORT_TTL);
     assert_eq!(usable(&fleet, &engine), expected);
 }
 
 #[tokio::test]
-async fn words_that_go_round_among_daemons_end() {
+async fn report_relayed_between_daemons_expires_by_its_total_age() {
     let (mut fleet, engine) = fleet(None);
     let now = Instant::now();
-    let word = holding(1, range(0, 9), true);
-    fleet.learn_assignment(&engine, word, REPORT_TTL / 2, now);
+    let report = assignment(1, range(0, 9), true);
+    fleet.learn_assignment(&engine, report, REPORT_TTL / 2, now);
     let later = now + REPORT_TTL / 4;
-    let told = fleet.assignments().unconfirmed_reports(8, later);
-    assert_eq!(told, [(Arc::clone(&engine), word, REPORT_TTL / 4 * 3)]);
-    assert!(!fleet.learn_assignment(&engine, holding(2, range(0, 9), true), REPORT_TTL, now));
+    let reported = fleet.assignments().unconfirmed_reports(8, later);
+    assert_eq!(
+        reported,
+        [(Arc::clone(&engine), report, REPORT_TTL / 4 * 3)]
+    );
+    assert!(!fleet.learn_assignment(&engine, assignment(2, range(0, 9), true), REPORT_TTL, now));
 }
--- a/crates/kelpworks-relay/tests/bounds.rs
+++ b/crates/kelpworks-relay/tests/bounds.rs
@@ -15,66 +15,72 @@
 use kelpworks_relay::retry_budget::RetryLimit;
 use kelpworks_relay::settings::Settings;
 
-const BOUND: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     window: Duration::from_secs(10),
     ratio: 0.2,
     allowance: 70.0,
 };
 
 /// Repeats that are given out at once.
-fn given(repeats: &mut RetryBudget, service: &Arc<str>, now: Instant) -> usize {
+fn acquired_retries(budget: &mut RetryBudget, service: &Arc<str>, now: Instant) -> usize {
     (0..1_000)
-        .take_while(|_| repeats.try_acquire(service, now))
+        .take_while(|_| budget.try_acquire(service, now))
         .count()
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_daemons_together_stay_below_the_bound() {
+async fn all_daemons_together_stay_within_the_retry_limit() {
     let service: Arc<str> = Arc::from("llm");
     let started = Instant::now();
-    tokio::time::advance(BOUND.window).await;
+    tokio::time::advance(LIMIT.window).await;
     let now = Instant::now();
     let mut total = 0;
     for requests in [0, 5, 50, 100, 200, 300, 400] {
-        let mut repeats = RetryBudget::new(BOUND, 7, started);
+        let mut budget = RetryBudget::new(LIMIT, 7, started);
         for _ in 0..requests {
-            repeats.record_request(&service, now);
+            budget.record_request(&service, now);
         }
-        total += given(&mut repeats, &service, now);
+        total += acquired_retries(&mut budget, &service, now);
     }
-    let allowed = BOUND.allowance + BOUND.ratio * 1_055.0;
+    let allowed = LIMIT.allowance + LIMIT.ratio * 1_055.0;
     assert!(total as f64 <= allowed, "{total} of {allowed}");
     assert!(total as f64 >= allowed * 0.8, "{total} of {allowed}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn repeats_come_back_when_the_window_has_passed() {
+async fn retries_are_available_again_after_one_window() {
     let service: Arc<str> = Arc::from("llm");
-    let mut repeats = RetryBudget::new(BOUND, 7, Instant::now());
-    tokio::time::advance(BOUND.window).await;
-    let first = given(&mut repeats, &service, Instant::now());
-    assert_eq!(given(&mut repeats, &service, Instant::now()), 0);
+    let mut budget = RetryBudget::new(LIMIT, 7, Instant::now());
+    tokio::time::advance(LIMIT.window).await;
+    let first = acquired_retries(&mut budget, &service, Instant::now());
+    assert_eq!(acquired_retries(&mut budget, &service, Instant::now()), 0);
     tokio::time::advance(Duration::from_millis(10_001)).await;
-    assert_eq!(given(&mut repeats, &service, Instant::now()), first);
+    assert_eq!(
+        acquired_retries(&mut budget, &service, Instant::now()),
+        first
+    );
 }
 
 /// The bound was once broken by two: a daemon that was killed had its part again at once.
 #[tokio::test(start_paused = true)]
-async fn a_daemon_that_starts_again_has_its_part_after_one_window() {
+async fn restarted_daemon_gets_its_share_after_one_window() {
     let service: Arc<str> = Arc::from("llm");
-    let mut before = RetryBudget::new(BOUND, 7, Instant::now());
-    tokio::time::advance(BOUND.window).await;
-    let part = given(&mut before, &service, Instant::now());
-    let mut after = RetryBudget::new(BOUND, 7, Instant::now());
-    assert_eq!(given(&mut after, &service, Instant::now()), 0);
-    tokio::time::advance(BOUND.window - Duration::from_millis(1)).await;
-    assert_eq!(given(&mut after, &service, Instant::now()), 0);
+    let mut before = RetryBudget::new(LIMIT, 7, Instant::now());
+    tokio::time::advance(LIMIT.window).await;
+    let share = acquired_retries(&mut before, &service, Instant::now());
+    let mut after = RetryBudget::new(LIMIT, 7, Instant::now());
+    assert_eq!(acquired_retries(&mut after, &service, Instant::now()), 0);
+    tokio::time::advance(LIMIT.window - Duration::from_millis(1)).await;
+    assert_eq!(acquired_retries(&mut after, &service, Instant::now()), 0);
     tokio::time::advance(Duration::from_millis(1)).await;
-    assert_eq!(given(&mut after, &service, Instant::now()), part);
+    assert_eq!(
+        acquired_retries(&mut after, &service, Instant::now()),
+        share
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_crashes_upstreams_is_refused_also_by_word_of_peers() {
+async fn crashing_request_is_refused_locally_and_by_peers_that_learn_of_it() {
     let now = Instant::now();
     let request = Fingerprint(7);
     let mut here = Crashes::default();
@@ -93,7 +99,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_clears_a_request() {
+async fn completed_request_clears_its_crash_count() {
     let now = Instant::now();
     let mut crashes = Crashes::default();
     crashes.record_crash(Fingerprint(7), now);
@@ -124,15 +130,19 @@
 "#;
 
 #[rstest]
-#[case::missing("failure_domain = \"hall-a\"\n", "", "failure_domain")]
-#[case::half_written("ratio = 0.2\nslack = 198.0\n", "ratio = ", "settings")]
+#[case::missing_key("failure_domain = \"hall-a\"\n", "", "failure_domain")]
+#[case::truncated("ratio = 0.2\nslack = 198.0\n", "ratio = ", "settings")]
 #[case::unknown_key("[stop]\n", "[stop]\nhaste = 1\n", "haste")]
-#[case::no_address("10.0.1.1:8000", "the store", "address")]
-#[case::no_name("\"entry-1\"", "\"\"", "name")]
-#[case::negative("slack = 198.0", "slack = -1.0", "repeats.slack")]
-#[case::no_window("\"10 s\"", "\"0 s\"", "repeats.window")]
-#[case::no_grace("\"8 s\"", "\"0 s\"", "stop.grace")]
-fn bad_settings_are_named(#[case] good: &str, #[case] bad: &str, #[case] named: &str) {
+#[case::invalid_address("10.0.1.1:8000", "the store", "address")]
+#[case::empty_name("\"entry-1\"", "\"\"", "name")]
+#[case::negative_allowance("slack = 198.0", "slack = -1.0", "repeats.slack")]
+#[case::zero_window("\"10 s\"", "\"0 s\"", "repeats.window")]
+#[case::zero_grace("\"8 s\"", "\"0 s\"", "stop.grace")]
+fn invalid_setting_is_named_in_the_error(
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] named: &str,
+) {
     assert!(Settings::parse(SETTINGS).is_ok());
     let text = SETTINGS.replacen(good, bad, 1);
     let error = Settings::parse(&text)
@@ -143,25 +153,25 @@
 
 /// Repeats that were not written to a connection once used a daemon's part up.
 #[tokio::test(start_paused = true)]
-async fn a_permit_that_was_not_used_goes_back() {
+async fn unused_permit_refunds_its_retry() {
     let service: Arc<str> = Arc::from("llm");
-    let repeats = Arc::new(Mutex::new(RetryBudget::new(BOUND, 7, Instant::now())));
-    tokio::time::advance(BOUND.window).await;
+    let budget = Arc::new(Mutex::new(RetryBudget::new(LIMIT, 7, Instant::now())));
+    tokio::time::advance(LIMIT.window).await;
     let now = Instant::now();
-    let permit = || Permit::retry(&repeats, &service, now);
-    let all: Vec<Permit> = std::iter::from_fn(permit).collect();
-    let part = all.len();
-    assert!(part > 2);
-    assert!(permit().is_none());
+    let try_permit = || Permit::retry(&budget, &service, now);
+    let all: Vec<Permit> = std::iter::from_fn(try_permit).collect();
+    let share = all.len();
+    assert!(share > 2);
+    assert!(try_permit().is_none());
     let mut all = all.into_iter();
     drop(all.next());
-    let again = permit().expect("the unused one");
-    assert!(permit().is_none());
-    drop(again.spend().undo());
-    let again = permit().expect("one that came out not to be written");
-    again.spend();
-    for permit in all {
-        permit.spend();
+    let refunded = try_permit().expect("the unused one");
+    assert!(try_permit().is_none());
+    drop(refunded.spend().undo());
+    let refunded = try_permit().expect("one that came out not to be written");
+    refunded.spend();
+    for try_permit in all {
+        try_permit.spend();
     }
-    assert!(permit().is_none(), "all others were used");
+    assert!(try_permit().is_none(), "all others were used");
 }
--- a/crates/kelpworks-relay/tests/fleet_support/mod.rs
+++ b/crates/kelpworks-relay/tests/fleet_support/mod.rs
@@ -67,7 +67,7 @@
 }
 
 /// A fleet of these engines, holding what the layout gives them.
-pub(crate) fn placed(mut hosts: Vec<EngineState>) -> Fleet {
+pub(crate) fn fleet_with_planned_layers(mut hosts: Vec<EngineState>) -> Fleet {
     for order in plan(&engines(), &hosts) {
         let host = hosts.iter_mut().find(|h| h.instance == order.instance);
         host.expect("a known engine").layers = Some(order.layers);
--- a/crates/kelpworks-relay/tests/layout.rs
+++ b/crates/kelpworks-relay/tests/layout.rs
@@ -19,7 +19,7 @@
 use kelpworks_relay::layout::plan;
 
 /// Carries the orders of a plan out.
-fn carry_out(hosts: &mut [EngineState]) -> usize {
+fn apply_plan(hosts: &mut [EngineState]) -> usize {
     let orders = plan(&engines(), hosts);
     for order in &orders {
         let host = hosts.iter_mut().find(|h| h.instance == order.instance);
@@ -29,29 +29,29 @@
 }
 
 /// Layers that a domain lacks.
-fn lacks(hosts: &[EngineState], domain: &str) -> usize {
-    let held = |l: u16| {
+fn missing_layers(hosts: &[EngineState], domain: &str) -> usize {
+    let loaded = |l: u16| {
         let mut here = hosts.iter().filter(|h| &*h.domain == domain);
         here.any(|h| h.layers.is_some_and(|r| r.contains(l)))
     };
-    (0..LAYERS).filter(|&l| !held(l)).count()
+    (0..LAYERS).filter(|&l| !loaded(l)).count()
 }
 
 #[test]
-fn each_domain_covers_the_model() {
+fn plan_covers_the_model_in_each_domain_and_is_stable() {
     let mut hosts = empty_hosts(&["a", "b", "c"]);
-    carry_out(&mut hosts);
+    apply_plan(&mut hosts);
     for domain in ["a", "b", "c"] {
-        assert_eq!(lacks(&hosts, domain), 0, "domain {domain}");
+        assert_eq!(missing_layers(&hosts, domain), 0, "domain {domain}");
     }
-    assert_eq!(carry_out(&mut hosts), 0, "what stands is kept");
+    assert_eq!(apply_plan(&mut hosts), 0, "what stands is kept");
 }
 
 #[rstest]
 #[case("large")]
 #[case("middle")]
 #[case("slow")]
-fn layers_leave_room_for_requests_and_fit(#[case] kind: &str) {
+fn layers_fit_in_memory_with_capacity_for_requests(#[case] kind: &str) {
     let engines = engines();
     let kind = engines.kind(kind).expect("a kind");
     let layers = layers_for(&engines, kind, 85.0);
@@ -62,30 +62,30 @@
 }
 
 #[test]
-fn the_loss_of_the_largest_engine_leaves_its_domain_whole() {
+fn domain_stays_covered_after_losing_its_largest_engine() {
     let mut hosts = empty_hosts(&["a"]);
-    carry_out(&mut hosts);
+    apply_plan(&mut hosts);
     hosts.retain(|h| &*h.kind != "large");
-    carry_out(&mut hosts);
-    assert_eq!(lacks(&hosts, "a"), 0);
+    apply_plan(&mut hosts);
+    assert_eq!(missing_layers(&hosts, "a"), 0);
 }
 
 #[test]
-fn an_engine_that_comes_back_empty_fills_the_hole() {
+fn empty_engine_gets_the_missing_layers() {
     let mut hosts = empty_hosts(&["a", "b"]);
-    carry_out(&mut hosts);
-    let held = hosts[1].layers.take().expect("layers");
+    apply_plan(&mut hosts);
+    let loaded = hosts[1].layers.take().expect("layers");
     let orders = plan(&engines(), &hosts);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].instance, hosts[1].instance);
-    assert_eq!(orders[0].layers, held);
+    assert_eq!(orders[0].layers, loaded);
     assert!(!orders[0].moves);
 }
 
 #[test]
-fn the_engine_with_the_least_work_moves_into_a_hole() {
+fn least_loaded_engine_moves_to_missing_layers() {
     let mut hosts = empty_hosts(&["a"]);
-    carry_out(&mut hosts);
+    apply_plan(&mut hosts);
     let lost = hosts
         .iter()
         .position(|h| &*h.kind == "middle")
@@ -109,9 +109,9 @@
 /// Seen once: the only engine of a failure domain that held the first layer took three requests a second, and
 /// no other was given that layer.
 #[test]
-fn a_first_layer_that_only_a_limited_engine_holds_is_placed_once_more() {
+fn first_layer_held_only_by_rate_limited_engines_gets_another_copy() {
     let mut hosts = empty_hosts(&["a"]);
-    carry_out(&mut hosts);
+    apply_plan(&mut hosts);
     let holds_first = |h: &&mut EngineState| h.layers.is_some_and(|r| r.contains(0));
     for host in hosts.iter_mut().filter(holds_first) {
         host.limited = true;
@@ -121,13 +121,13 @@
         panic!("one move: {orders:?}");
     };
     assert!(order.moves && order.layers.contains(0), "{order:?}");
-    carry_out(&mut hosts);
-    assert_eq!(carry_out(&mut hosts), 0, "one is enough");
-    assert_eq!(lacks(&hosts, "a"), 0);
+    apply_plan(&mut hosts);
+    assert_eq!(apply_plan(&mut hosts), 0, "one is enough");
+    assert_eq!(missing_layers(&hosts, "a"), 0);
 }
 
 /// Orders fit into the memory of their engines, and plans end.
-fn check_plans(mut hosts: Vec<EngineState>) -> Result<(), TestCaseError> {
+fn check_plans_fit_and_converge(mut hosts: Vec<EngineState>) -> Result<(), TestCaseError> {
     let engines = engines();
     let mut orders = 0;
     while orders < 200 {
@@ -137,11 +137,11 @@
             prop_assert!(f64::from(order.layers.len()) * engines.layer_mb <= kind.memory_mb);
             prop_assert!(order.layers.to <= LAYERS && !order.layers.is_empty());
         }
-        let given = carry_out(&mut hosts);
-        if given == 0 {
+        let applied = apply_plan(&mut hosts);
+        if applied == 0 {
             return Ok(());
         }
-        orders += given;
+        orders += applied;
     }
     prop_assert!(false, "plans don't end");
     Ok(())
@@ -150,32 +150,32 @@
 proptest! {
     /// Whatever engines there are, none is ordered more than its memory holds, and plans end.
     #[test]
-    fn orders_fit_and_end(kept in proptest::collection::vec(any::<bool>(), 39)) {
+    fn orders_fit_in_memory_and_plans_converge(keep_flags in proptest::collection::vec(any::<bool>(), 39)) {
         let mut hosts = empty_hosts(&["a", "b", "c"]);
-        let mut keep = kept.iter();
+        let mut keep = keep_flags.iter();
         hosts.retain(|_| *keep.next().expect("as many"));
-        check_plans(hosts)?;
+        check_plans_fit_and_converge(hosts)?;
     }
 
     /// The same while some of them limit the requests that they take, from the start or later.
     #[test]
-    fn orders_fit_and_end_beside_limits(
+    fn orders_fit_in_memory_and_plans_converge_with_rate_limits(
         limited in proptest::collection::vec(any::<bool>(), 39),
-        is_placed in any::<bool>(),
+        has_initial_plan in any::<bool>(),
     ) {
         let mut hosts = empty_hosts(&["a", "b", "c"]);
-        if is_placed {
-            carry_out(&mut hosts);
+        if has_initial_plan {
+            apply_plan(&mut hosts);
         }
         for (host, limited) in hosts.iter_mut().zip(limited) {
             host.limited = limited;
         }
-        check_plans(hosts)?;
+        check_plans_fit_and_converge(hosts)?;
     }
 }
 
 #[test]
-fn an_unknown_kind_is_left_alone() {
+fn engine_of_unknown_kind_gets_no_order() {
     let mut hosts = empty_hosts(&["a"]);
     hosts[0].kind = Arc::from("unheard-of");
     let orders = plan(&engines(), &hosts);
@@ -185,14 +185,14 @@
 /// A domain with copies to spare gives its engines more room in their place; one without keeps its
 /// copies. The larger one has what an hour of much traffic needs, the smaller one what a loss needs.
 #[rstest]
-#[case::few(1, 8, 4, 85.0)]
-#[case::nearly(2, 20, 10, 85.0)]
-#[case::many(3, 24, 12, 130.0)]
-fn room_follows_the_engines_of_a_domain(
+#[case::few_engines(1, 8, 4, 85.0)]
+#[case::just_below_spare_copies(2, 20, 10, 85.0)]
+#[case::many_engines(3, 24, 12, 130.0)]
+fn request_capacity_grows_with_the_engines_of_a_domain(
     #[case] large: usize,
     #[case] middle: usize,
     #[case] slow: usize,
-    #[case] room: f64,
+    #[case] capacity: f64,
 ) {
     let engines = engines();
     let host = |kind: &str, i| EngineState {
@@ -208,18 +208,20 @@
         .iter()
         .flat_map(|&(kind, n)| (0..n).map(move |i| host(kind, i)))
         .collect();
-    assert_eq!(capacity_requests_for(&engines, &hosts, "a"), room);
+    assert_eq!(capacity_requests_for(&engines, &hosts, "a"), capacity);
     let kind = |h: &EngineState| engines.kind(&h.kind).expect("known");
-    let held = hosts.iter().map(|h| layers_for(&engines, kind(h), room));
-    let copies = f64::from(held.sum::<u16>()) / f64::from(LAYERS);
-    assert!(copies >= 3.0 || room == 85.0, "{copies}");
+    let loaded = hosts
+        .iter()
+        .map(|h| layers_for(&engines, kind(h), capacity));
+    let copies = f64::from(loaded.sum::<u16>()) / f64::from(LAYERS);
+    assert!(copies >= 3.0 || capacity == 85.0, "{copies}");
 }
 
 /// Of two slow kinds that are nearly as fast, one has memory for more layers. Each hop of a path costs a
 /// token more than the difference, so that kind fills what the fast engines leave. The pattern is usual
 /// traffic on a fleet of few fast engines.
 #[test]
-fn paths_have_few_hops_where_slow_engines_fill_gaps() {
+fn slow_engines_with_more_memory_fill_gaps_left_by_fast_ones() {
     let kind = |name: &str, memory_mb, step_factor| Accelerator {
         name: Arc::from(name),
         memory_mb,
@@ -249,11 +251,11 @@
         let host = hosts.iter_mut().find(|h| h.instance == order.instance);
         host.expect("a known engine").layers = Some(order.layers);
     }
-    let holds = |wanted: &str, layer: u16| {
-        let mut of_kind = hosts.iter().filter(|h| *h.kind == *wanted);
+    let holds = |kind_name: &str, layer: u16| {
+        let mut of_kind = hosts.iter().filter(|h| *h.kind == *kind_name);
         of_kind.any(|h| h.layers.is_some_and(|r| r.contains(layer)))
     };
     let gaps = (0..LAYERS).filter(|&l| !holds("fast", l));
-    let by_small_alone: Vec<u16> = gaps.filter(|&l| !holds("roomy", l)).collect();
-    assert!(by_small_alone.is_empty(), "{by_small_alone:?}");
+    let only_on_small: Vec<u16> = gaps.filter(|&l| !holds("roomy", l)).collect();
+    assert!(only_on_small.is_empty(), "{only_on_small:?}");
 }
--- a/crates/kelpworks-relay/tests/limits.rs
+++ b/crates/kelpworks-relay/tests/limits.rs
@@ -29,12 +29,12 @@
 #[case::negative(-0.1)]
 #[case::not_a_number(f64::NAN)]
 #[case::infinite(f64::INFINITY)]
-fn what_is_no_rate(#[case] number: f64) {
+fn invalid_rate_is_rejected(#[case] number: f64) {
     assert_eq!(Rate::per_second(number), None);
 }
 
 #[test]
-fn an_upstream_without_a_limit_admits_everything() {
+fn upstream_without_limit_admits_every_request() {
     let now = Instant::now();
     let mut limiter = Limiter::default();
     for _ in 0..1_000 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_limit_admits_nothing_at_once_and_then_its_rate() {
+fn new_limit_admits_no_burst_and_then_nine_tenths_of_its_rate() {
     let start = Instant::now();
     let mut limiter = limiter(10.0, start);
     let times = (0..2_000).map(|ms| after(start, ms));
@@ -58,28 +58,28 @@
 }
 
 #[test]
-fn a_lower_limit_counts_at_once_and_a_higher_one_after_a_later_request() {
+fn lower_limit_applies_at_once_and_higher_limit_only_to_later_requests() {
     let start = Instant::now();
     let mut limiter = limiter(5.0, start);
-    let heard = after(start, 50);
+    let received = after(start, 50);
     let lower = Announcement::Limited(rate(2.0));
     let higher = Announcement::Limited(rate(8.0));
-    limiter.on_answer(higher, start, heard);
+    limiter.on_answer(higher, start, received);
     assert_eq!(limiter.rate(), Some(rate(5.0)), "it was overtaken");
-    limiter.on_answer(lower, start, heard);
+    limiter.on_answer(lower, start, received);
     assert_eq!(limiter.rate(), Some(rate(2.0)));
-    limiter.on_answer(higher, after(heard, 1), after(heard, 60));
+    limiter.on_answer(higher, after(received, 1), after(received, 60));
     assert_eq!(limiter.rate(), Some(rate(8.0)));
 }
 
 #[test]
-fn an_answer_that_was_overtaken_does_not_end_a_limit() {
+fn stale_answer_does_not_end_a_limit() {
     let start = Instant::now();
     let mut limiter = limiter(5.0, start);
-    let overtaken = start
+    let stale = start
         .checked_sub(Duration::from_millis(1))
         .expect("a moment");
-    limiter.on_answer(Announcement::Unlimited, overtaken, after(start, 10));
+    limiter.on_answer(Announcement::Unlimited, stale, after(start, 10));
     assert_eq!(limiter.rate(), Some(rate(5.0)));
     limiter.on_answer(Announcement::Unreadable, after(start, 11), after(start, 20));
     assert_eq!(limiter.rate(), Some(rate(5.0)));
@@ -89,7 +89,7 @@
 
 /// What is no limit any more is not reported for ever.
 #[test]
-fn the_end_of_a_limit_is_dated_by_the_answer_that_ended_it() {
+fn end_of_limit_keeps_the_time_of_the_answer_that_ended_it() {
     let start = Instant::now();
     let mut limiter = limiter(5.0, start);
     let ended = after(start, 20);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_latest_announcement_counts_whoever_tells_it() {
+fn latest_announcement_wins_regardless_of_its_source() {
     let start = Instant::now();
     let mut limiter = limiter(5.0, start);
     let now = after(start, 500);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_sent_goes_back() {
+fn refund_of_an_unsent_request_frees_its_admission() {
     let start = Instant::now();
     let mut limiter = limiter(1.0, start);
     let at = after(start, 1_200);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_earlier_request_that_was_not_sent_does_not_undo_a_later_one() {
+fn refund_of_an_earlier_admission_keeps_a_later_one() {
     let start = Instant::now();
     let mut limiter = limiter(1.0, start);
     let first = limiter.admit(after(start, 1_200)).expect("the first");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_daemon_without_a_share_sends_nothing_and_saves_nothing_up() {
+fn daemon_without_share_sends_nothing_and_accrues_no_credit() {
     let start = Instant::now();
     let mut limiter = limiter(1.0, start);
     limiter.set_share(0.0, start);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_upstream_that_takes_nothing_is_asked_now_and_then() {
+fn upstream_with_zero_rate_is_probed_periodically() {
     let start = Instant::now();
     let limiter = limiter(0.0, start);
     assert!(!limiter.admits(after(start, 11_000)));
--- a/crates/kelpworks-relay/tests/owners.rs
+++ b/crates/kelpworks-relay/tests/owners.rs
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn a_new_start_under_an_old_id_begins_with_nothing() {
+fn new_incarnation_inherits_no_state_from_the_old_one() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
-    let held = Some(range(0, 9));
+    let loaded = Some(range(0, 9));
     fleet.replace(
-        vec![engine("e", 1, Some(100), held)],
+        vec![engine("e", 1, Some(100), loaded)],
         Version::initial(1),
         now,
     );
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_older_start_never_wins() {
+fn older_start_time_never_replaces_a_newer_one() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     fleet.replace(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_engines_own_word_on_its_start_goes_before_its_entry() {
+fn start_time_reported_by_engine_takes_precedence_over_its_entry() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     let old = engine("e", 1, Some(100), Some(range(0, 9)));
@@ -153,14 +153,14 @@
 
 /// Two entries at one address: which one counts. `seen_first` is the one that this daemon saw before.
 #[rstest]
-#[case::by_start(Some(100), Some(200), "new")]
-#[case::by_start_whatever_was_seen_first(Some(300), Some(200), "old")]
-#[case::seen_later(None, None, "new")]
-#[case::one_start_tells_nothing(Some(900), None, "new")]
-fn of_two_entries_at_one_address_one_counts(
+#[case::newer_start_wins(Some(100), Some(200), "new")]
+#[case::newer_start_wins_even_if_seen_first(Some(300), Some(200), "old")]
+#[case::later_seen_wins_without_start_times(None, None, "new")]
+#[case::later_seen_wins_with_one_start_time_missing(Some(900), None, "new")]
+fn one_of_two_entries_at_one_address_is_active(
     #[case] old: Option<u64>,
     #[case] new: Option<u64>,
-    #[case] counts: &str,
+    #[case] expected: &str,
 ) {
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
@@ -171,9 +171,9 @@
     fleet.replace(vec![new.clone(), old.clone()], Version::initial(2), later);
     let names = names(&fleet);
     assert_eq!(names.len(), 1);
-    assert!(names[0].starts_with(counts), "{names:?}");
+    assert!(names[0].starts_with(expected), "{names:?}");
     // With that one gone, the other counts again.
-    let other = if counts == "new" { old } else { new };
+    let other = if expected == "new" { old } else { new };
     fleet.replace(vec![other.clone()], Version::initial(3), later);
     assert_eq!(self::names(&fleet), [&*other.instance]);
 }
@@ -181,7 +181,7 @@
 /// An engine that is cut off crashes and starts again under another id; its old entry lapses, and is
 /// back for some seconds once the store is reached.
 #[test]
-fn an_id_that_comes_back_is_the_older_one() {
+fn reappearing_id_does_not_displace_the_current_owner() {
     let at = |s| Instant::now() + Duration::from_secs(s);
     let mut fleet = Fleet::default();
     let old = engine("old", 1, None, Some(range(0, 9)));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn an_answer_from_the_address_settles_it() {
+fn answer_from_the_address_decides_its_owner() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     let a = engine("a", 1, None, Some(range(0, 9)));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn an_entry_whose_address_is_anothers_names_nobody() {
+fn entry_at_an_address_owned_by_another_id_is_inactive() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     let gone = engine("gone", 1, None, Some(range(0, 9)));
--- a/crates/kelpworks-relay/tests/path.rs
+++ b/crates/kelpworks-relay/tests/path.rs
@@ -14,7 +14,7 @@
 use fleet_support::empty_hosts;
 use fleet_support::engines;
 use fleet_support::entry;
-use fleet_support::placed;
+use fleet_support::fleet_with_planned_layers;
 use fleet_support::range;
 use kelpworks_coord::id::Version;
 use kelpworks_relay::adapter::Lifecycle;
@@ -27,10 +27,10 @@
 
 /// A fleet as the layout makes it.
 fn fleet(domains: &[&str]) -> Fleet {
-    placed(empty_hosts(domains))
+    fleet_with_planned_layers(empty_hosts(domains))
 }
 
-fn ask<'a>(domain: &'a str, first: &'a [UpstreamKey]) -> PathQuery<'a> {
+fn query<'a>(domain: &'a str, first: &'a [UpstreamKey]) -> PathQuery<'a> {
     PathQuery {
         service: "llm",
         tokens: 984.0,
@@ -42,16 +42,16 @@
     }
 }
 
-fn find(fleet: &Fleet, ask: &PathQuery<'_>, seed: u64) -> Result<Path, NoPath> {
-    search(fleet, &engines(), ask, &mut StdRng::seed_from_u64(seed))
+fn find(fleet: &Fleet, query: &PathQuery<'_>, seed: u64) -> Result<Path, NoPath> {
+    search(fleet, &engines(), query, &mut StdRng::seed_from_u64(seed))
 }
 
-fn assert_whole(fleet: &Fleet, path: &Path) {
+fn assert_covers_all_layers(fleet: &Fleet, path: &Path) {
     let mut next = 0;
     for (i, &(key, layers)) in path.parts.iter().enumerate() {
         assert_eq!(layers.from, next);
-        let held = fleet.get(key).and_then(|u| u.entry.layers).expect("layers");
-        assert!(held.from <= layers.from && layers.to <= held.to);
+        let loaded = fleet.get(key).and_then(|u| u.entry.layers).expect("layers");
+        assert!(loaded.from <= layers.from && layers.to <= loaded.to);
         assert!(
             path.parts[..i].iter().all(|&(k, _)| k != key),
             "twice on a path"
@@ -62,11 +62,11 @@
 }
 
 #[tokio::test]
-async fn a_path_stays_in_the_domain_of_its_daemon() {
+async fn path_stays_in_the_failure_domain_of_its_daemon() {
     let fleet = fleet(&["a", "b"]);
     for seed in 0..20 {
-        let path = find(&fleet, &ask("b", &[]), seed).expect("a path");
-        assert_whole(&fleet, &path);
+        let path = find(&fleet, &query("b", &[]), seed).expect("a path");
+        assert_covers_all_layers(&fleet, &path);
         let domain = |k| &*fleet.get(k).expect("known").entry.domain;
         assert!(path.keys().all(|k| domain(k) == "b"));
         assert_eq!(path.crossings, 0);
@@ -74,27 +74,27 @@
 }
 
 #[tokio::test]
-async fn a_domain_that_lacks_a_layer_is_left_as_a_whole() {
+async fn domain_that_lacks_a_layer_is_not_used_for_any_layer() {
     let mut fleet = fleet(&["a", "b"]);
     let at = |u: &kelpworks_relay::fleet::Upstream| {
         let holds = u.entry.layers.is_some_and(|r| r.contains(70));
         holds && &*u.entry.domain == "b"
     };
-    let rest = fleet
+    let remaining = fleet
         .iter()
         .filter(|(_, u)| !at(u))
         .map(|(_, u)| u.entry.clone());
-    let rest = rest.collect();
-    fleet.replace(rest, Version::initial(2), Instant::now());
-    let path = find(&fleet, &ask("b", &[]), 1).expect("a path");
-    assert_whole(&fleet, &path);
+    let remaining = remaining.collect();
+    fleet.replace(remaining, Version::initial(2), Instant::now());
+    let path = find(&fleet, &query("b", &[]), 1).expect("a path");
+    assert_covers_all_layers(&fleet, &path);
     assert_eq!(path.crossings, 0, "activations don't cross");
 }
 
 /// Seen once: the only engine with room had left without a word, and 50 to 85 requests a second were
 /// sent to it and refused.
 #[tokio::test]
-async fn an_engine_that_failed_is_not_tried_where_others_are_only_full() {
+async fn ejected_engine_is_not_used_while_others_are_only_full() {
     let mut fleet = fleet(&["a", "b"]);
     let holders: Vec<UpstreamKey> = fleet
         .iter()
@@ -107,13 +107,13 @@
     for &key in full {
         fleet.reserve(key, 1e12);
     }
-    let path = find(&fleet, &ask("a", &[]), 1);
+    let path = find(&fleet, &query("a", &[]), 1);
     assert!(matches!(path, Err(NoPath::Full(_))), "{path:?}");
     for &key in full {
         fleet.eject(key, now);
         fleet.release(key, 1e12);
     }
-    let path = find(&fleet, &ask("a", &[]), 1).expect("the last resort");
+    let path = find(&fleet, &query("a", &[]), 1).expect("the last resort");
     assert!(path.keys().any(|k| holders.contains(&k)));
 }
 
@@ -122,7 +122,7 @@
 /// Daemons once sent 407 requests in eight seconds to engines that took no connection, since no other
 /// engine held their layers; callers waited for each.
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_to_an_engine_that_takes_no_work() {
+async fn unreachable_engine_is_not_used_even_as_last_resort() {
     let mut fleet = fleet(&["a"]);
     let now = Instant::now();
     let holders: Vec<UpstreamKey> = fleet
@@ -133,17 +133,17 @@
     for &key in &holders {
         fleet.eject(key, now);
     }
-    let silent = find(&fleet, &ask("a", &[]), 1);
-    assert!(silent.is_ok(), "a silent engine is better than none");
+    let after_timeout = find(&fleet, &query("a", &[]), 1);
+    assert!(after_timeout.is_ok(), "a silent engine is better than none");
     for &key in &holders {
         fleet.eject_unreachable(key, now);
     }
-    let gone = find(&fleet, &ask("a", &[]), 1);
-    assert_eq!(gone, Err(NoPath::Uncovered(0)));
+    let after_unreachable = find(&fleet, &query("a", &[]), 1);
+    assert_eq!(after_unreachable, Err(NoPath::Uncovered(0)));
 }
 
 #[tokio::test]
-async fn an_engine_that_refuses_is_passed_over_until_it_accepts() {
+async fn refusing_engine_is_ejected_until_it_accepts() {
     let mut fleet = fleet(&["a", "b"]);
     let (key, _) = fleet.iter().next().expect("an engine");
     let start = Instant::now();
@@ -167,33 +167,33 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_turned_slow_is_left_while_its_word_is_fresh() {
+async fn slow_engine_is_avoided_until_its_report_is_stale() {
     let mut fleet = fleet(&["a", "b"]);
-    let before = find(&fleet, &ask("a", &[]), 1).expect("a path");
+    let before = find(&fleet, &query("a", &[]), 1).expect("a path");
     let slow = before.parts[0].0;
     let now = Instant::now();
     assert!(fleet.learn_slowness(slow, 12.0, now));
     assert!(!fleet.learn_slowness(slow, 1.0, now), "no later word");
-    let without = find(&fleet, &ask("a", &[]), 1).expect("a path");
+    let without = find(&fleet, &query("a", &[]), 1).expect("a path");
     assert!(without.keys().all(|k| k != slow));
     let later = PathQuery {
         now: now + Duration::from_secs(3),
-        ..ask("a", &[])
+        ..query("a", &[])
     };
     let mut paths = (0..20).map(|seed| find(&fleet, &later, seed).expect("a path"));
     assert!(paths.any(|p| p.keys().any(|k| k == slow)), "an old word");
 }
 
 #[tokio::test]
-async fn a_part_of_a_path_is_replaced_without_the_engines_that_are_on_it() {
+async fn replacement_of_a_path_part_avoids_engines_on_the_path() {
     let fleet = fleet(&["a", "b"]);
-    let whole = find(&fleet, &ask("a", &[]), 1).expect("a path");
-    let taken: Vec<UpstreamKey> = whole.keys().collect();
+    let whole = find(&fleet, &query("a", &[]), 1).expect("a path");
+    let on_path: Vec<UpstreamKey> = whole.keys().collect();
     for &(_, layers) in &whole.parts {
         let part = PathQuery {
             layers,
-            avoid: &taken,
-            ..ask("a", &[])
+            avoid: &on_path,
+            ..query("a", &[])
         };
         let Ok(path) = find(&fleet, &part, 1) else {
             continue;
@@ -201,51 +201,51 @@
         let (first, last) = (path.parts[0].1, path.parts[path.parts.len() - 1].1);
         assert_eq!((first.from, last.to), (layers.from, layers.to));
         assert!(path.parts.windows(2).all(|w| w[0].1.to == w[1].1.from));
-        assert!(path.keys().all(|k| !taken.contains(&k)));
+        assert!(path.keys().all(|k| !on_path.contains(&k)));
     }
     let part = PathQuery {
         layers: range(20, 30),
-        avoid: &taken,
-        ..ask("a", &[])
+        avoid: &on_path,
+        ..query("a", &[])
     };
     assert!(find(&fleet, &part, 1).is_ok(), "layers held twice");
 }
 
 #[tokio::test]
-async fn an_engine_that_failed_is_passed_over_where_others_hold_its_layers() {
+async fn ejected_engine_is_avoided_while_others_hold_its_layers() {
     let mut fleet = fleet(&["a", "b"]);
-    let before = find(&fleet, &ask("a", &[]), 1).expect("a path");
+    let before = find(&fleet, &query("a", &[]), 1).expect("a path");
     let now = Instant::now();
     let failed = before.parts[0].0;
     fleet.eject(failed, now);
     for seed in 0..20 {
-        let path = find(&fleet, &ask("a", &[]), seed).expect("a path");
+        let path = find(&fleet, &query("a", &[]), seed).expect("a path");
         assert!(path.keys().all(|k| k != failed));
     }
     fleet.record_success(failed, now);
-    let after = find(&fleet, &ask("a", &[]), 1).expect("a path");
+    let after = find(&fleet, &query("a", &[]), 1).expect("a path");
     assert_eq!(after, before);
 }
 
 #[tokio::test]
-async fn the_first_engine_can_be_given() {
+async fn required_first_engine_is_used() {
     let fleet = fleet(&["a", "b"]);
-    let elsewhere = find(&fleet, &ask("b", &[]), 1).expect("a path").parts[0].0;
-    let path = find(&fleet, &ask("a", &[elsewhere]), 1).expect("a path");
+    let elsewhere = find(&fleet, &query("b", &[]), 1).expect("a path").parts[0].0;
+    let path = find(&fleet, &query("a", &[elsewhere]), 1).expect("a path");
     assert_eq!(path.parts[0].0, elsewhere);
-    assert_whole(&fleet, &path);
+    assert_covers_all_layers(&fleet, &path);
 }
 
 #[rstest]
-#[case::held_by_none(false)]
-#[case::held_but_promised(true)]
+#[case::layer_not_held(false)]
+#[case::layer_held_but_memory_reserved(true)]
 #[tokio::test]
-async fn what_stands_in_the_way_is_named(#[case] held: bool) {
+async fn missing_path_names_the_blocking_layer(#[case] is_held: bool) {
     let mut fleet = fleet(&["a"]);
     let entries = fleet.entries().into_iter();
     let holds =
         |r: Option<_>| r.is_some_and(|r: kelpworks_relay::adapter::LayerRange| r.contains(79));
-    if held {
+    if is_held {
         let keys: Vec<UpstreamKey> = fleet
             .iter()
             .filter(|(_, u)| holds(u.entry.layers))
@@ -254,20 +254,23 @@
         for key in keys {
             fleet.reserve(key, 1e9);
         }
-        let why = find(&fleet, &ask("a", &[]), 1);
-        assert!(matches!(why, Err(NoPath::Full(71..=79))), "{why:?}");
+        let reason = find(&fleet, &query("a", &[]), 1);
+        assert!(matches!(reason, Err(NoPath::Full(71..=79))), "{reason:?}");
         return;
     }
-    let rest = entries.filter(|e| !holds(e.layers)).collect();
-    fleet.replace(rest, Version::initial(2), Instant::now());
-    let why = find(&fleet, &ask("a", &[]), 1);
-    assert!(matches!(why, Err(NoPath::Uncovered(71..=79))), "{why:?}");
+    let remaining = entries.filter(|e| !holds(e.layers)).collect();
+    fleet.replace(remaining, Version::initial(2), Instant::now());
+    let reason = find(&fleet, &query("a", &[]), 1);
+    assert!(
+        matches!(reason, Err(NoPath::Uncovered(71..=79))),
+        "{reason:?}"
+    );
 }
 
 #[tokio::test]
-async fn a_leaving_engine_gets_no_new_work() {
+async fn leaving_engine_gets_no_new_work() {
     let mut fleet = fleet(&["a", "b"]);
-    let first = find(&fleet, &ask("a", &[]), 1).expect("a path").id;
+    let first = find(&fleet, &query("a", &[]), 1).expect("a path").id;
     let mut entries = fleet.entries();
     for entry in &mut entries {
         if entry.instance == first {
@@ -277,17 +280,17 @@
     let changes = fleet.replace(entries, Version::initial(2), Instant::now());
     assert_eq!(changes.leaving, [std::sync::Arc::clone(&first)]);
     for seed in 0..20 {
-        let path = find(&fleet, &ask("a", &[]), seed).expect("a path");
+        let path = find(&fleet, &query("a", &[]), seed).expect("a path");
         assert_ne!(path.id, first);
     }
 }
 
 /// Seen once: an event that was on its way when its engine died hid the death for 1.2 s.
 #[tokio::test(start_paused = true)]
-async fn an_event_on_its_way_does_not_show_that_an_engine_lives() {
+async fn event_in_transit_does_not_clear_a_dead_engine() {
     let mut fleet = fleet(&["a"]);
-    let path = find(&fleet, &ask("a", &[]), 1).expect("a path");
-    let silent_since = Instant::now();
+    let path = find(&fleet, &query("a", &[]), 1).expect("a path");
+    let stalled_since = Instant::now();
     let dead = path.parts[1].0;
     tokio::time::advance(Duration::from_millis(45)).await;
     fleet.record_success(dead, Instant::now());
@@ -296,15 +299,15 @@
     for &(key, _) in path.parts.iter().filter(|p| p.0 != dead) {
         fleet.record_success(key, now);
     }
-    let suspects = fleet.unconfirmed(&path.parts, silent_since, now);
+    let suspects = fleet.unconfirmed(&path.parts, stalled_since, now);
     assert_eq!(suspects, [dead]);
 }
 
 /// Seen once: engines left while the store was down, so that no entry said so.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_fails_again_and_again_is_presumed_lost() {
+async fn engine_that_fails_repeatedly_is_presumed_lost() {
     let mut fleet = fleet(&["a"]);
-    let key = find(&fleet, &ask("a", &[]), 1).expect("a path").parts[0].0;
+    let key = find(&fleet, &query("a", &[]), 1).expect("a path").parts[0].0;
     let is_lost = |fleet: &Fleet| {
         fleet
             .get(key)
@@ -323,9 +326,9 @@
 }
 
 #[tokio::test]
-async fn the_engine_that_most_silent_streams_share_is_blamed() {
+async fn engine_shared_by_most_stalled_streams_is_at_fault() {
     let mut fleet = fleet(&["a"]);
-    let path = find(&fleet, &ask("a", &[]), 1).expect("a path");
+    let path = find(&fleet, &query("a", &[]), 1).expect("a path");
     let keys: Vec<UpstreamKey> = path.keys().collect();
     for &key in &keys[..3] {
         fleet.count_stalled_stream(key, 1);
@@ -337,7 +340,7 @@
 proptest! {
     /// Any holdings: a path that is found runs every layer once and in order.
     #[test]
-    fn paths_are_whole(
+    fn paths_cover_every_layer_once_in_order(
         cuts in proptest::collection::vec((0u16..80, 1u16..40, 0usize..3), 1..30),
         seed in any::<u64>(),
     ) {
@@ -352,8 +355,8 @@
         fleet.replace(entries, Version::initial(1), Instant::now());
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
         runtime.expect("a runtime").block_on(async {
-            if let Ok(path) = find(&fleet, &ask("a", &[]), seed) {
-                assert_whole(&fleet, &path);
+            if let Ok(path) = find(&fleet, &query("a", &[]), seed) {
+                assert_covers_all_layers(&fleet, &path);
             }
         });
     }
--- a/crates/kelpworks-relay/tests/restored.rs
+++ b/crates/kelpworks-relay/tests/restored.rs
@@ -49,14 +49,14 @@
 }
 
 /// What the fleet takes to be so: id, layers, whether it takes work.
-fn shown(fleet: &Fleet) -> Vec<(String, u16, bool)> {
+fn visible_entries(fleet: &Fleet) -> Vec<(String, u16, bool)> {
     let of = |e: &UpstreamEntry| {
         let from = e.layers.map_or(0, |l| l.from);
         (e.id.to_string(), from, e.lifecycle == Lifecycle::Ready)
     };
-    let mut shown: Vec<_> = fleet.entries().iter().map(of).collect();
-    shown.sort();
-    shown
+    let mut visible_entries: Vec<_> = fleet.entries().iter().map(of).collect();
+    visible_entries.sort();
+    visible_entries
 }
 
 fn row(id: &str, from: u16, ready: bool) -> (String, u16, bool) {
@@ -68,32 +68,35 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_register_again() {
+async fn upstream_missing_from_restored_copy_is_kept_for_two_seconds() {
     let mut fleet = Fleet::default();
     let (a, b) = (engine("a", 1, (0, 9)), engine("b", 2, (9, 18)));
     fleet.replace(vec![a.clone(), b], BEFORE, Instant::now());
     let changes = fleet.replace(vec![a], RESTORED, Instant::now());
     assert!(changes.is_empty());
     assert!(fleet.expire_restored(after(1_999)).is_none());
-    assert_eq!(shown(&fleet), [row("a", 0, true), row("b", 9, true)]);
+    assert_eq!(
+        visible_entries(&fleet),
+        [row("a", 0, true), row("b", 9, true)]
+    );
     let changes = fleet
         .expire_restored(after(2_000))
         .expect("its time is over");
     assert_eq!(changes.removed.len(), 1);
-    assert_eq!(shown(&fleet), [row("a", 0, true)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, true)]);
     assert!(fleet.expire_restored(after(9_000)).is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_upstream_that_said_it_leaves_goes_on_leaving() {
+async fn leaving_upstream_stays_leaving_after_restore() {
     let mut fleet = Fleet::default();
     let a = engine("a", 1, (0, 9));
     fleet.replace(vec![leaving(a.clone())], BEFORE, Instant::now());
     fleet.replace(vec![a.clone()], RESTORED, Instant::now());
-    assert_eq!(shown(&fleet), [row("a", 0, false)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, false)]);
     fleet.expire_restored(after(2_000));
     assert_eq!(
-        shown(&fleet),
+        visible_entries(&fleet),
         [row("a", 0, false)],
         "its entry still stands"
     );
@@ -103,37 +106,49 @@
         ..a
     };
     fleet.replace(vec![restarted], REWRITTEN, Instant::now());
-    assert_eq!(shown(&fleet), [row("a", 0, true)], "another incarnation");
+    assert_eq!(
+        visible_entries(&fleet),
+        [row("a", 0, true)],
+        "another incarnation"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn layers_are_those_known_last_until_they_are_registered_again() {
+async fn layers_keep_their_latest_value_until_registered_again() {
     let mut fleet = Fleet::default();
     fleet.replace(vec![engine("a", 1, (40, 49))], BEFORE, Instant::now());
     fleet.replace(vec![engine("a", 1, (0, 9))], RESTORED, Instant::now());
-    assert_eq!(shown(&fleet), [row("a", 40, true)], "the copy is older");
+    assert_eq!(
+        visible_entries(&fleet),
+        [row("a", 40, true)],
+        "the copy is older"
+    );
     fleet.replace(vec![engine("a", 1, (60, 69))], REWRITTEN, Instant::now());
-    assert_eq!(shown(&fleet), [row("a", 60, true)], "written since");
+    assert_eq!(
+        visible_entries(&fleet),
+        [row("a", 60, true)],
+        "written since"
+    );
     let mut fleet = Fleet::default();
     fleet.replace(vec![engine("a", 1, (40, 49))], BEFORE, Instant::now());
     fleet.replace(vec![engine("a", 1, (0, 9))], RESTORED, Instant::now());
     fleet.expire_restored(after(2_000));
-    assert_eq!(shown(&fleet), [row("a", 0, true)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, true)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_upstream_that_is_removed_in_the_new_era_is_gone_at_once() {
+async fn upstream_removed_in_the_new_era_is_dropped_at_once() {
     let mut fleet = Fleet::default();
     let (a, b) = (engine("a", 1, (0, 9)), engine("b", 2, (9, 18)));
     fleet.replace(vec![a.clone(), b.clone()], BEFORE, Instant::now());
     fleet.replace(vec![a.clone(), b], RESTORED, Instant::now());
     let changes = fleet.replace(vec![a], REWRITTEN, Instant::now());
     assert_eq!(changes.removed.len(), 1);
-    assert_eq!(shown(&fleet), [row("a", 0, true)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, true)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_start_in_the_copy_does_not_come_back() {
+async fn older_start_time_in_restored_copy_is_ignored() {
     let mut fleet = Fleet::default();
     let old = engine("a", 1, (0, 9));
     let new = UpstreamEntry {
@@ -146,14 +161,14 @@
     assert!(changes.is_empty());
     fleet.expire_restored(after(2_000));
     assert_eq!(
-        shown(&fleet),
+        visible_entries(&fleet),
         [row("a", 40, true)],
         "the older start is over"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_second_copy_within_two_seconds_hides_nothing_either() {
+async fn second_restore_within_two_seconds_keeps_missing_upstreams() {
     let mut fleet = Fleet::default();
     let (a, b) = (engine("a", 1, (0, 9)), engine("b", 2, (9, 18)));
     fleet.replace(vec![leaving(a.clone()), b.clone()], BEFORE, Instant::now());
@@ -161,16 +176,19 @@
     tokio::time::advance(Duration::from_secs(1)).await;
     let again = Version::new(Era(2), 60);
     fleet.replace(vec![a], again, Instant::now());
-    assert_eq!(shown(&fleet), [row("a", 0, false), row("b", 9, true)]);
+    assert_eq!(
+        visible_entries(&fleet),
+        [row("a", 0, false), row("b", 9, true)]
+    );
     fleet.expire_restored(after(2_000));
-    assert_eq!(shown(&fleet), [row("a", 0, false)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, false)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_of_an_earlier_era_changes_nothing_whatever_its_revision() {
+async fn list_of_an_earlier_era_is_ignored_at_any_revision() {
     let mut fleet = Fleet::default();
     fleet.replace(vec![engine("a", 1, (0, 9))], RESTORED, Instant::now());
     let changes = fleet.replace(Vec::new(), Version::initial(5_000), Instant::now());
     assert!(changes.is_empty());
-    assert_eq!(shown(&fleet), [row("a", 0, true)]);
+    assert_eq!(visible_entries(&fleet), [row("a", 0, true)]);
 }
--- a/crates/kelpworks-relay/tests/traffic_plan.rs
+++ b/crates/kelpworks-relay/tests/traffic_plan.rs
@@ -16,7 +16,7 @@
 use fleet_support::LAYERS;
 use fleet_support::empty_hosts;
 use fleet_support::engines;
-use fleet_support::placed;
+use fleet_support::fleet_with_planned_layers;
 use fleet_support::range;
 use kelpworks_relay::adapter::LayerRange;
 use kelpworks_relay::fleet::Fleet;
@@ -39,10 +39,10 @@
             hosts.push(host);
         }
     }
-    placed(hosts)
+    fleet_with_planned_layers(hosts)
 }
 
-fn ask(domain: &str) -> PathQuery<'_> {
+fn query(domain: &str) -> PathQuery<'_> {
     PathQuery {
         service: "llm",
         tokens: TOKENS,
@@ -55,29 +55,29 @@
 }
 
 /// So many usual requests from each domain.
-fn demand(each: f64) -> Vec<Demand> {
+fn demand(requests: f64) -> Vec<Demand> {
     let of = |domain: &&str| Demand {
         domain: Arc::from(*domain),
-        token_layers: each * TOKENS * f64::from(LAYERS),
+        token_layers: requests * TOKENS * f64::from(LAYERS),
     };
     DOMAINS.iter().map(of).collect()
 }
 
 /// Token-layers at each engine, over its room.
-fn fills(fleet: &Fleet, held: &HashMap<UpstreamKey, f64>) -> Vec<f64> {
+fn utilizations(fleet: &Fleet, reserved: &HashMap<UpstreamKey, f64>) -> Vec<f64> {
     let engines = engines();
-    let fill = |(&key, reserved): (&UpstreamKey, &f64)| {
+    let utilization = |(&key, reserved): (&UpstreamKey, &f64)| {
         let u = fleet.get(key).expect("known");
         let kind = engines.kind(u.entry.kind.as_deref().expect("a kind"));
         let layers = u.layers.expect("layers").len();
         reserved / engines.kv_capacity(kind.expect("known"), layers)
     };
-    held.iter().map(fill).collect()
+    reserved.iter().map(utilization).collect()
 }
 
-fn hold(held: &mut HashMap<UpstreamKey, f64>, parts: &[(UpstreamKey, LayerRange)]) {
+fn add_reservations(reserved: &mut HashMap<UpstreamKey, f64>, parts: &[(UpstreamKey, LayerRange)]) {
     for &(key, layers) in parts {
-        *held.entry(key).or_default() += TOKENS * f64::from(layers.len());
+        *reserved.entry(key).or_default() += TOKENS * f64::from(layers.len());
     }
 }
 
@@ -86,50 +86,54 @@
 /// at once: what the fullest engine is promised, over its room, is 0.36 and 0.65 by drawn paths, 0.64 and
 /// 1.28 by the cheapest.
 #[rstest]
-#[case::a_second_of_usual_traffic(90)]
-#[case::all_back_at_once(180)]
+#[case::one_second_of_typical_traffic(90)]
+#[case::all_callers_return_at_once(180)]
 #[tokio::test]
-async fn daemons_that_know_nothing_of_each_other_dont_overfill_engines(#[case] each: usize) {
+async fn drawn_paths_do_not_overfill_engines_without_shared_load(#[case] requests: usize) {
     let fleet = fleet(3);
     let engines = engines();
     let mut rng = StdRng::seed_from_u64(7);
     let mut drawn: HashMap<UpstreamKey, f64> = HashMap::new();
     let mut cheapest: HashMap<UpstreamKey, f64> = HashMap::new();
     for domain in DOMAINS {
-        let ask = ask(domain);
-        let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(each as f64));
-        assert_eq!(spread.placed_fraction(), 1.0, "there is room for all");
-        for _ in 0..each {
-            let parts = spread.draw(&fleet, &engines, &ask, &mut rng);
-            hold(&mut drawn, parts.expect("a path"));
-            let path = search(&fleet, &engines, &ask, &mut rng).expect("a path");
-            hold(&mut cheapest, &path.parts);
+        let query = query(domain);
+        let traffic_plan = TrafficPlan::plan(&fleet, &engines, &query, &demand(requests as f64));
+        assert_eq!(traffic_plan.placed_fraction(), 1.0, "there is room for all");
+        for _ in 0..requests {
+            let parts = traffic_plan.draw(&fleet, &engines, &query, &mut rng);
+            add_reservations(&mut drawn, parts.expect("a path"));
+            let path = search(&fleet, &engines, &query, &mut rng).expect("a path");
+            add_reservations(&mut cheapest, &path.parts);
         }
     }
-    let most = |held| fills(&fleet, held).into_iter().fold(0.0, f64::max);
-    let (drawn, cheapest) = (most(&drawn), most(&cheapest));
+    let max_utilization = |reserved| {
+        utilizations(&fleet, reserved)
+            .into_iter()
+            .fold(0.0, f64::max)
+    };
+    let (drawn, cheapest) = (max_utilization(&drawn), max_utilization(&cheapest));
     assert!(drawn <= 1.0, "{drawn}");
     assert!(cheapest > 1.5 * drawn, "{cheapest} against {drawn}");
 }
 
 #[tokio::test]
-async fn every_planned_path_is_whole_and_stays_in_one_domain_while_there_is_room() {
+async fn planned_paths_cover_all_layers_within_one_domain_while_capacity_lasts() {
     let fleet = fleet(1);
     let engines = engines();
-    let ask = ask("b");
-    let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
+    let query = query("b");
+    let traffic_plan = TrafficPlan::plan(&fleet, &engines, &query, &demand(60.0));
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..100 {
-        let parts = spread
-            .draw(&fleet, &engines, &ask, &mut rng)
+        let parts = traffic_plan
+            .draw(&fleet, &engines, &query, &mut rng)
             .expect("a path");
         let mut next = 0;
         let first = fleet.get(parts[0].0).expect("known");
         for &(key, layers) in parts {
             let upstream = fleet.get(key).expect("known");
             assert_eq!(upstream.entry.domain, first.entry.domain);
-            let held = upstream.layers.expect("layers");
-            assert!(held.from <= layers.from && layers.to <= held.to);
+            let reserved = upstream.layers.expect("layers");
+            assert!(reserved.from <= layers.from && layers.to <= reserved.to);
             assert_eq!(layers.from, next);
             next = layers.to;
         }
@@ -139,13 +143,13 @@
 
 /// More than the fleet can hold: the plan says what part there is room for.
 #[tokio::test]
-async fn load_beyond_the_room_is_not_placed() {
+async fn load_beyond_capacity_is_not_placed() {
     let fleet = fleet(1);
-    let spread = TrafficPlan::plan(&fleet, &engines(), &ask("a"), &demand(5_000.0));
+    let traffic_plan = TrafficPlan::plan(&fleet, &engines(), &query("a"), &demand(5_000.0));
     assert!(
-        spread.placed_fraction() < 0.2,
+        traffic_plan.placed_fraction() < 0.2,
         "{}",
-        spread.placed_fraction()
+        traffic_plan.placed_fraction()
     );
 }
 
@@ -154,73 +158,79 @@
 #[case::failed(true)]
 #[case::full(false)]
 #[tokio::test]
-async fn engines_that_may_not_be_used_now_are_not_drawn(#[case] failed: bool) {
+async fn ejected_and_full_engines_are_not_drawn(#[case] failed: bool) {
     let mut fleet = fleet(1);
     let engines = engines();
-    let ask = ask("a");
-    let spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
+    let query = query("a");
+    let traffic_plan = TrafficPlan::plan(&fleet, &engines, &query, &demand(60.0));
     let mut rng = StdRng::seed_from_u64(3);
-    let parts = spread
-        .draw(&fleet, &engines, &ask, &mut rng)
+    let parts = traffic_plan
+        .draw(&fleet, &engines, &query, &mut rng)
         .expect("a path");
-    let gone = parts[1].0;
+    let avoided = parts[1].0;
     match failed {
-        true => fleet.eject(gone, ask.now),
-        false => fleet.reserve(gone, 1e12),
+        true => fleet.eject(avoided, query.now),
+        false => fleet.reserve(avoided, 1e12),
     }
     for _ in 0..200 {
-        let parts = spread.draw(&fleet, &engines, &ask, &mut rng);
-        assert!(parts.is_none_or(|p| p.iter().all(|&(k, _)| k != gone)));
+        let parts = traffic_plan.draw(&fleet, &engines, &query, &mut rng);
+        assert!(parts.is_none_or(|p| p.iter().all(|&(k, _)| k != avoided)));
     }
 }
 
 /// An engine that turned slow gets no more than before, and little: other domains hold its layers.
 #[tokio::test]
-async fn an_engine_that_turned_slow_gets_less() {
+async fn slow_engine_gets_less_load() {
     let mut fleet = fleet(1);
     let engines = engines();
-    let ask = ask("a");
+    let query = query("a");
     let share = |fleet: &Fleet, slow: UpstreamKey| {
-        let spread = TrafficPlan::plan(fleet, &engines, &ask, &demand(60.0));
+        let traffic_plan = TrafficPlan::plan(fleet, &engines, &query, &demand(60.0));
         let mut rng = StdRng::seed_from_u64(5);
-        let draws = (0..400).filter_map(|_| spread.draw(fleet, &engines, &ask, &mut rng));
+        let draws = (0..400).filter_map(|_| traffic_plan.draw(fleet, &engines, &query, &mut rng));
         draws.filter(|p| p.iter().any(|&(k, _)| k == slow)).count()
     };
     let of_middle = fleet
         .iter()
         .filter(|(_, u)| u.entry.kind.as_deref() == Some("middle"));
     let middle: Vec<UpstreamKey> = of_middle.map(|(k, _)| k).collect();
-    let mut left = 0;
+    let mut reduced = 0;
     for (i, key) in middle.into_iter().enumerate() {
         let before = share(&fleet, key);
-        let at = ask.now + std::time::Duration::from_micros(i as u64);
+        let at = query.now + std::time::Duration::from_micros(i as u64);
         fleet.learn_slowness(key, 40.0, at);
         let after = share(&fleet, key);
         fleet.learn_slowness(key, 1.0, at + std::time::Duration::from_nanos(1));
         // What the others give up may reach it, but no more than one part of a plan.
         assert!(after <= before.max(400 / 12), "{before} to {after}");
-        left += usize::from(before > 50 && after * 4 < before);
+        reduced += usize::from(before > 50 && after * 4 < before);
     }
-    assert!(left >= 3, "only {left} engines were left");
+    assert!(reduced >= 3, "only {reduced} engines were left");
 }
 
 /// Thousands of engines register one by one, and each registration changes the fleet. The pattern is the
 /// start of a fleet of hundreds of daemons on small hosts.
 #[tokio::test(start_paused = true)]
-async fn a_plan_that_was_costly_is_used_for_longer_whatever_changes() {
+async fn plan_with_long_planning_time_is_reused_longer_despite_fleet_changes() {
     let mut fleet = fleet(1);
     let engines = engines();
-    let ask = ask("a");
-    let mut spread = TrafficPlan::plan(&fleet, &engines, &ask, &demand(60.0));
-    let after = |ms| ask.now + Duration::from_millis(ms);
-    assert!(spread.is_fresh(&fleet, after(499)));
-    assert!(!spread.is_fresh(&fleet, after(500)));
+    let query = query("a");
+    let mut traffic_plan = TrafficPlan::plan(&fleet, &engines, &query, &demand(60.0));
+    let after = |ms| query.now + Duration::from_millis(ms);
+    assert!(traffic_plan.is_fresh(&fleet, after(499)));
+    assert!(!traffic_plan.is_fresh(&fleet, after(500)));
     let entries = fleet.entries();
-    fleet.replace(entries, Version::initial(2), ask.now);
-    assert!(!spread.is_fresh(&fleet, after(1)), "the fleet has changed");
-    spread.set_planning_time(Duration::from_millis(8));
-    assert!(spread.is_fresh(&fleet, after(79)));
-    assert!(!spread.is_fresh(&fleet, after(80)));
-    spread.set_planning_time(Duration::from_secs(2));
-    assert!(!spread.is_fresh(&fleet, after(10_000)), "not for ever");
+    fleet.replace(entries, Version::initial(2), query.now);
+    assert!(
+        !traffic_plan.is_fresh(&fleet, after(1)),
+        "the fleet has changed"
+    );
+    traffic_plan.set_planning_time(Duration::from_millis(8));
+    assert!(traffic_plan.is_fresh(&fleet, after(79)));
+    assert!(!traffic_plan.is_fresh(&fleet, after(80)));
+    traffic_plan.set_planning_time(Duration::from_secs(2));
+    assert!(
+        !traffic_plan.is_fresh(&fleet, after(10_000)),
+        "not for ever"
+    );
 }
