--- a/crates/kelpworks-relay/src/relay/call.rs
+++ b/crates/kelpworks-relay/src/relay/call.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services: one whole answer.
+//! Requests to plain services, whose responses are read whole before they are passed on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,53 +32,53 @@
 use crate::pool::Reuse;
 use crate::shared::Shared;
 
-/// Largest answer that is read whole; the services answer with a few kilobytes.
+/// Largest response body that is accepted; typical ones have a few kilobytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// How much dearer an upstream counts that fails all its attempts.
+/// Added to the cost factor of an upstream in proportion to its failure rate.
 const FAILURE_COST_FACTOR: f64 = 6.0;
-/// Least time left for a further attempt: a round trip and the usual work of a call.
+/// Minimum time left for another attempt: a round trip and the typical work of a call.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(20);
-/// Attempts beyond the route's own that may follow a proof that nothing has run.
+/// Attempts beyond the route's `max_attempts` while it is proven that no attempt has run.
 const EXTRA_NOT_RUN_ATTEMPTS: u32 = 1;
-/// An attempt that may be repeated is given up after this many usual answer times.
+/// A retryable attempt times out after this many typical response times of its upstream.
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 6.0;
-/// Not sooner than this: answers of these services vary by a factor of five.
+/// Lower bound of that timeout: response times of these services vary by a factor of five.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
-/// When to come back after a refusal, at least: what stands in the way is a lost engine or too many
-/// requests, and either takes seconds to pass. A caller that comes back sooner is refused again and
-/// does not come a third time.
+/// Minimum `Retry-After` of a refusal. Its cause is a lost engine or too many requests, and either
+/// takes seconds to clear. A caller that retries sooner is refused again and does not try a third
+/// time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1_500);
-/// Added to it at random, so that callers don't come back together.
+/// Upper bound of the random addition to `MIN_RETRY_AFTER`, so that callers don't retry in step.
 const RETRY_AFTER_JITTER: Duration = Duration::from_millis(2_000);
 
-/// Part of a route's latency target for which a call waits until an upstream's limit allows it.
+/// Fraction of a route's latency target for which a call waits until an upstream's limit allows it.
 const LIMIT_WAIT_FRACTION: f64 = 0.5;
-/// Shortest such wait: another request may take the turn that this one waited for.
+/// Minimum time between two tries: another request may take the admission this one waited for.
 const MIN_LIMIT_WAIT: Duration = Duration::from_millis(5);
 
-/// Why a request is refused that no upstream's limit allows.
+/// Refusal reason when no upstream's limit admits the request in time.
 const LIMITED: &str = "the limits of the upstreams are used up";
-/// Why an attempt failed that was not written to a connection.
+/// Failure reason of an attempt that was not written to a connection.
 pub(super) const NOT_SENT: &str = "not sent";
 
-/// How an attempt ended.
+/// Result of one attempt.
 enum Attempt {
-    /// With an answer to pass on.
+    /// The upstream's response is passed on to the caller.
     Completed {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     },
-    /// Without one.
+    /// The attempt failed; another may follow.
     Failed {
         verdict: Verdict,
         reason: &'static str,
-        /// The upstream's own failure, to be passed on if nothing better comes.
+        /// The upstream's error response, passed on if no later attempt succeeds.
         error_response: Option<(StatusCode, HeaderMap, Bytes)>,
     },
 }
 
-/// Counts a request at its upstream for as long as it lives.
+/// Releases the request's reservation at its upstream when dropped.
 struct RunningGuard<'a> {
     shared: &'a Shared,
     upstream: UpstreamKey,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Forwards a request until it is answered, may not be sent again, or its time is over.
+/// Forwards a request, with retries, until it is answered, must not be retried, or times out.
 pub(super) async fn serve<D: Adapter>(shared: &Arc<Shared>, inbound: &InboundRequest) -> Reply {
     let mut tried: Vec<UpstreamKey> = Vec::new();
     let mut verdict = Verdict::NotRun;
@@ -156,7 +156,7 @@
     Reply::Refused(final_refusal(inbound, verdict, reason))
 }
 
-/// The final answer of a request that is not sent again.
+/// Returns, and logs, the refusal of a request that is not retried any more.
 pub(super) fn final_refusal(
     inbound: &InboundRequest,
     verdict: Verdict,
@@ -182,26 +182,26 @@
     refusal
 }
 
-/// When a caller should come back: after what stands in the way has passed, but with most of its
-/// time left.
+/// Returns the `Retry-After` of a busy refusal: long enough for the cause to clear, and at most a
+/// quarter of the caller's remaining time.
 fn busy_retry_after(inbound: &InboundRequest) -> Duration {
     let jitter = RETRY_AFTER_JITTER.mul_f64(rand::rng().random_range(0.0..1.0));
     (MIN_RETRY_AFTER + jitter).min(inbound.remaining() / 4)
 }
 
-/// What becomes of a request next.
+/// Decision on the next attempt of a request.
 enum NextAttempt {
-    /// It is sent to an upstream.
+    /// Send the request to this upstream.
     Send(UpstreamKey, Permit),
-    /// Every upstream gets as many requests as its limit allows; one of them takes the next in so long, if this
-    /// daemon may send it any.
+    /// The limits of all untried upstreams are used up. Holds the time until one admits the next
+    /// request; `None` if this daemon has no share of any limit.
     Limited(Option<Duration>),
-    /// It is not sent.
+    /// Make no further attempt.
     Abandon,
 }
 
-/// Chooses the upstream for the next attempt. `reached` tells whether the request may have reached an
-/// upstream before.
+/// Chooses the upstream for the next attempt. An attempt of a request that `may_have_reached` an
+/// upstream before needs a retry from the service's budget.
 fn next_upstream(
     shared: &Shared,
     inbound: &InboundRequest,
@@ -251,7 +251,8 @@
     }
 }
 
-/// The upstream with the least work for its speed among those that did not fail lately.
+/// Returns the untried upstream with the lowest expected response time, judged by its running
+/// requests, latency and failure rate; ejected upstreams only when there is no other.
 fn choose(fleet: &Fleet, service: &str, tried: &[UpstreamKey]) -> Option<UpstreamKey> {
     let now = Instant::now();
     let ready = fleet.of_service(service).filter(|(key, u)| {
@@ -349,14 +350,14 @@
     }
 }
 
-/// Where a request was sent, and when.
+/// Destination of an attempt, and when it was sent.
 struct Target {
     upstream: UpstreamKey,
     address: SocketAddr,
     sent: Instant,
 }
 
-/// Judges an answer and reads it whole.
+/// Checks the head of a response and reads its body.
 async fn read<D: Adapter>(
     shared: &Shared,
     inbound: &InboundRequest,
@@ -401,7 +402,8 @@
     }
 }
 
-/// Id of the upstream that refused a request since it was meant for another.
+/// Returns the id of the upstream that owns the address, if it refused the request as meant for
+/// another upstream (status 421).
 pub(super) fn address_owner_id<'a>(
     response: &Response<Incoming>,
     head: &'a AnswerHead,
@@ -410,8 +412,8 @@
     head.id.as_deref().filter(|_| is_misdirected)
 }
 
-/// What an answer says of the limit of the upstream at an address; `None` where it says nothing of that
-/// upstream.
+/// Returns what a response announces about the request limit of the upstream at `address`; `None`
+/// if it may come from another upstream.
 pub(super) fn announcement(
     inbound: &InboundRequest,
     response: &Response<Incoming>,
@@ -426,11 +428,12 @@
         return None;
     }
     let is_own_head = (head.signed || head.not_run) && head.at_fault.is_none_or(|at| at == address);
-    // A limit is named by its upstream alone; a head without one may be another's.
+    // Only the upstream itself states a limit; a head without a limit may come from another one.
     (is_own_head || head.limit != Announcement::Unlimited).then_some(head.limit)
 }
 
-/// What is wrong with an answer's head, and what that says of the request.
+/// Returns why a response can't be passed on, and whether the request may have run; `None` for a
+/// valid response.
 pub(super) fn detect_fault(
     inbound: &InboundRequest,
     response: &Response<Incoming>,
@@ -455,7 +458,8 @@
         StatusCode::SERVICE_UNAVAILABLE,
     ];
     if not_run_statuses.contains(&response.status()) {
-        // To callers these statuses promise that nothing ran, which this answer does not.
+        // To callers these statuses guarantee that the request has not run, which this response
+        // does not prove.
         return Some((Verdict::MayHaveRun, "failed without a proof"));
     }
     None
--- a/crates/kelpworks-relay/src/relay/events.rs
+++ b/crates/kelpworks-relay/src/relay/events.rs
@@ -1,6 +1,6 @@
-//! Events of a stream, cut at their ends.
+//! Splits a byte stream into server-sent events.
 //!
-//! An upstream may stop in the middle of an event; what is passed on is whole events only, so that
+//! An upstream may stop in the middle of an event. Only complete events are passed on, so that
 //! another upstream can continue after the last one.
 
 #[cfg(test)]
@@ -9,33 +9,34 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Whole events and what they say.
+/// Complete events in stream order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct WholeEvents {
     /// The events' bytes, with their closing blank lines.
     pub(super) bytes: Bytes,
-    /// Id of the last one that has one.
+    /// Id of the last event that has one.
     pub(super) last_id: Option<u64>,
 }
 
-/// Cuts bytes into events.
+/// Buffers received bytes and splits them into events.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EventSplitter {
     buf: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Bytes of an event that is not whole.
+    /// Returns the number of buffered bytes of an incomplete event.
     pub(super) fn pending_len(&self) -> usize {
         self.buf.len()
     }
 
-    /// The whole events so far; those with an id up to `after` are left out.
+    /// Removes and returns the complete events. Drops those whose id is at most `after`, or,
+    /// without `after`, at most that of the event before.
     pub(super) fn take_events(&mut self, after: Option<u64>) -> WholeEvents {
         let mut out = BytesMut::new();
         let mut last_id = None;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Length of the first event with the blank line that closes it.
+/// Returns the length of the first event, including the blank line that ends it.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(n) = buf[start..].iter().position(|&b| b == b'\n') {
--- a/crates/kelpworks-relay/src/relay/events/tests.rs
+++ b/crates/kelpworks-relay/src/relay/events/tests.rs
@@ -1,4 +1,4 @@
-//! Cutting a stream into events.
+//! Tests of splitting a stream into events.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -36,7 +36,6 @@
 }
 
 proptest! {
-    /// However the bytes come, the same events go out.
     #[test]
     fn output_does_not_depend_on_chunk_boundaries(cuts in proptest::collection::vec(0usize..STREAM.len(), 0..8)) {
         let mut cuts = cuts;
--- a/crates/kelpworks-relay/src/relay/incoming.rs
+++ b/crates/kelpworks-relay/src/relay/incoming.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request, and whether it may go on.
+//! Reads a caller's request and decides whether it is admitted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,14 +26,14 @@
 use crate::crashes::Fingerprint;
 use crate::shared::Shared;
 
-/// Longest time for a body: as long as for a head would do, but bodies are larger.
+/// Longest time for reading a request body; longer than a head needs, since bodies are larger.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back to a daemon that knows no configuration yet.
+/// `Retry-After` of a daemon that has no usable configuration yet.
 const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
-/// When to come back with a request that crashes upstreams.
+/// `Retry-After` for a request that crashes upstreams.
 const CRASHING_RETRY: Duration = Duration::from_secs(60);
 
-/// A request's head with what it is judged by.
+/// Request id and the routing table that the request is checked against.
 struct RequestContext<'a> {
     table: &'a RoutingTable,
     id: Box<str>,
@@ -126,7 +126,7 @@
         .sum::<usize>()
 }
 
-/// The host name asked for, without a port.
+/// Returns the requested host name in lower case, without a port.
 fn host_of(req: &salvo::Request) -> Option<String> {
     let field = req.headers().get(header::HOST);
     let host = match field.and_then(|v| v.to_str().ok()) {
@@ -137,7 +137,8 @@
     Some(name.to_ascii_lowercase())
 }
 
-/// The caller's team; `None` where the route needs none.
+/// Returns the caller's team; `None` if its key names none, but the route is open to anonymous
+/// callers or the configuration defines no teams.
 fn team_of<'a>(
     context: &RequestContext<'a>,
     route: &Route,
@@ -191,7 +192,7 @@
     headers
 }
 
-/// What is the same when a caller sends a request again.
+/// Returns a hash of team, target and body, which stay the same when a caller retries a request.
 fn fingerprint(team: Option<&str>, target: &PathAndQuery, body: &[u8]) -> Fingerprint {
     let mut hash = Xxh3::new();
     for part in [
--- a/crates/kelpworks-relay/src/relay/mod.rs
+++ b/crates/kelpworks-relay/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: a request is matched to its route and team, read whole, and forwarded.
+//! HTTP handler for callers: reads each request whole, matches its route and team, and forwards it.
 
 mod call;
 mod events;
@@ -41,10 +41,10 @@
 
 pub(crate) use reply::Refusal;
 
-/// A caller's request, read whole and admitted.
+/// A caller's request that was read whole and admitted.
 #[derive(Debug)]
 struct InboundRequest {
-    /// Id for logs; the caller's own.
+    /// Request id sent by the caller; empty if it sent none.
     id: Box<str>,
     route: Route,
     service: Service,
@@ -59,7 +59,7 @@
     arrived: Instant,
     /// The earlier of the caller's deadline and the route's timeout.
     deadline: Instant,
-    /// Version of the configuration that admitted it.
+    /// Version of the configuration that the request was admitted under.
     version: u64,
 }
 
@@ -68,7 +68,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The request as an upstream gets it.
+    /// Builds the request that is sent to an upstream.
     fn to_request<D: Adapter>(&self, forwarded: &ForwardedHead<'_>) -> Request<Body> {
         let mut headers = self.headers.clone();
         D::set_upstream_headers(&mut headers, forwarded);
@@ -80,7 +80,7 @@
     }
 }
 
-/// Serves callers.
+/// Handler of the callers' address.
 #[derive(Debug)]
 pub(crate) struct Relay<D, E> {
     shared: Arc<Shared>,
@@ -88,7 +88,7 @@
     adapter: PhantomData<D>,
 }
 
-/// Routes of the callers' address: everything goes to the relay.
+/// Returns the router of the callers' address, which passes every path to [`Relay`].
 pub(crate) fn router<D: Adapter, E: EngineApi>(
     shared: &Arc<Shared>,
     engine_api: &Arc<E>,
@@ -157,7 +157,7 @@
     metrics::counter!("kelpworks_refused_total", &labels).increment(1);
 }
 
-/// A request in flight, for as long as it lives.
+/// Counts a request in `Shared::in_flight` until dropped.
 #[derive(Debug)]
 struct InFlightGuard {
     shared: Arc<Shared>,
--- a/crates/kelpworks-relay/src/relay/reply.rs
+++ b/crates/kelpworks-relay/src/relay/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Replies to callers: responses of upstreams and the daemon's own refusals.
 
 use std::time::Duration;
 
@@ -12,40 +12,40 @@
 use salvo::Response;
 use salvo::http::ResBody;
 
-/// Pieces of a streamed answer; an error breaks the connection off, so that the answer does not
-/// look complete.
+/// Chunks of a streamed body; an error aborts the connection, so that the response does not look
+/// complete.
 pub(super) type BodyChunks = BoxStream<'static, std::io::Result<Bytes>>;
 
-/// An answer of the daemon's own.
+/// Refusal of a request by the daemon itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
-    /// Id of the request, empty where it has none.
+    /// Id of the request; empty if the caller sent none.
     pub(crate) request_id: Box<str>,
-    /// Status. 408, 421, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status. 408, 421, 429 and 503 guarantee that the request has not run and never will.
     pub(crate) status: StatusCode,
-    /// When to come back.
+    /// Value of the `Retry-After` header, sent with two decimals; `None` omits the header.
     pub(crate) retry_after: Option<Duration>,
-    /// Why, as a label of few values.
+    /// Reason, sent in the body and used as a metric label, so with few distinct values.
     pub(crate) reason: &'static str,
-    /// Version of the configuration that it was decided by.
+    /// Version of the configuration that the decision was based on.
     pub(crate) version: u64,
 }
 
-/// What a request came to.
+/// Reply to a request.
 pub(super) enum Reply {
-    /// An upstream's answer, whole.
+    /// An upstream's response, read whole.
     Buffered {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     },
-    /// An upstream's answer as it comes.
+    /// An upstream's response, passed on as it arrives.
     Streamed {
         status: StatusCode,
         headers: HeaderMap,
         chunks: BodyChunks,
     },
-    /// The daemon's own answer.
+    /// A refusal by the daemon.
     Refused(Refusal),
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -103,7 +103,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes out the headers that concern one connection only, with those that `connection` names.
+/// Removes the hop-by-hop headers, including those that `connection` names.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let hop_by_hop: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/kelpworks-relay/src/relay/stream.rs
+++ b/crates/kelpworks-relay/src/relay/stream.rs
@@ -1,9 +1,9 @@
 //! Streams of events from engines that pass activations on along a path.
 //!
-//! The daemon chooses a path, sends the request to its first engine and passes whole events on.
-//! When the stream falls silent, the engines of the path that nothing has confirmed since are passed
-//! over, and where the route allows it the stream is continued on another path after the last event,
-//! within the same answer.
+//! The daemon chooses a path, sends the request to its first engine and passes complete events on.
+//! When the stream stalls, the likely engines among those of the path that have shown no progress
+//! since are ejected. Where the route allows it, the stream is resumed on another path after the
+//! last event, within the same response.
 
 mod attempt;
 mod reroute;
@@ -47,28 +47,28 @@
 use attempt::Reservation;
 use timings::Timings;
 
-/// Least time left for a further attempt: reading a usual prompt again.
+/// Minimum time left for another attempt: reading a typical prompt again.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(50);
-/// Attempts of one request, with those that were refused without having run.
+/// Maximum attempts of one request, including those that were refused without having run.
 const MAX_ATTEMPTS: u32 = 6;
-/// Pause before an attempt that follows a refusal; doubled with each one.
+/// Backoff after the first refusal, doubled with each further one in a row (at most 16 times this).
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(25);
-/// Part of a route's gap target from which a pause is a reason to ask the engines of the path how
-/// slow they are: more than any pause of a calm fleet (40 ms of 250), and still on time.
+/// Fraction of a route's gap target above which a pause makes the daemon query the slowness of the
+/// engines of the path: more than any pause of a fault-free fleet (40 ms of 250), and still on time.
 const LATE_GAP_FRACTION: f64 = 0.6;
-/// Largest event that is waited for.
+/// Largest incomplete event that is buffered.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// Why an attempt ended before the stream did.
+/// Failure of an attempt before the end of the stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Failure {
     verdict: Verdict,
     reason: &'static str,
-    /// Whether it looks as if the request had crashed an engine.
+    /// Whether the request may have crashed an engine.
     crash: bool,
-    /// Whether the next attempt was asked for and allowed already.
+    /// Whether `may_retry` has already allowed the next attempt.
     retry_permitted: bool,
-    /// Whether there was no path, so that nothing was sent and no repeat was used.
+    /// Whether there was no path, so that nothing was sent and no retry was used.
     no_path_found: bool,
 }
 
@@ -98,57 +98,57 @@
     }
 }
 
-/// A stream that is being read.
+/// The response stream of one attempt.
 struct ActiveStream {
     body: Incoming,
     connection: Connection,
     running_path: RunningPath,
     splitter: EventSplitter,
-    /// When this attempt last brought something; when it was sent, before that.
+    /// When data last arrived; when the request was sent, before any did.
     last_received: Instant,
     started: bool,
 }
 
-/// The engines that work on a request, and what it is counted for there.
+/// Path of a running request, with its reservations at the engines.
 struct RunningPath {
     parts: Vec<(UpstreamKey, LayerRange)>,
-    /// Times that the path was changed while the request ran.
+    /// Number of reroute attempts since this attempt began.
     reroutes: u32,
-    /// When it was last looked whether it passes slow engines.
+    /// When the path was last checked for slow engines.
     last_slowness_check: Option<Instant>,
     _reservation: Reservation,
 }
 
-/// A request to engines, over all its attempts.
+/// State of a streamed request over all its attempts.
 struct StreamRelay<D, E> {
     shared: Arc<Shared>,
-    /// Where orders to change the path of a running request go.
+    /// Sends the orders that change the path of a running request.
     engine_api: Arc<E>,
     inbound: InboundRequest,
     profile: Option<Arc<EngineProfile>>,
-    /// First engines of the attempts that may have run, as far as they have not ended.
+    /// First engines of the attempts that may have run, without engines known to have ended.
     ran_at: Vec<RanAt>,
     attempts: u32,
-    /// Whether an attempt may have reached an engine, so that any other is a repeat.
+    /// Whether an attempt may have reached an engine, so that any further one is a retry.
     may_have_reached: bool,
-    /// Leave for the next attempt, where it was asked for already.
+    /// Permit that `may_retry` has acquired for the next attempt.
     permit: Mutex<Option<Permit>>,
-    /// Attempts refused in a row.
+    /// Failed attempts in a row that had not run.
     refusals: u32,
-    /// Id of the last event that the caller has, or had before.
+    /// Id of the last event sent to the caller, or named by it when it resumed the stream.
     last_event: Option<u64>,
     weight_version: Option<u64>,
     active: Option<ActiveStream>,
-    /// The stream that fell silent last; it may still go on.
+    /// The stream that stalled last; it may still continue.
     stalled: Option<ActiveStream>,
-    /// What the caller has seen of the stream's pace.
+    /// Event timings as the caller sees them.
     timings: Timings,
     done: bool,
     _in_flight_guard: InFlightGuard,
     _adapter: std::marker::PhantomData<D>,
 }
 
-/// Forwards a streamed request; the answer begins with its first event.
+/// Forwards a streamed request; returns once the first events have arrived.
 pub(super) async fn serve<D: Adapter, E: EngineApi>(
     shared: Arc<Shared>,
     engine_api: Arc<E>,
@@ -195,7 +195,7 @@
 }
 
 impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
-    /// Makes attempts until the first event is there.
+    /// Makes attempts until the first events arrive.
     async fn start(&mut self) -> Result<(StatusCode, HeaderMap, Bytes), Refusal> {
         let mut verdict = Verdict::NotRun;
         loop {
@@ -208,7 +208,7 @@
             };
             verdict = verdict.max(failure.verdict);
             self.record_failure(failure);
-            // Without a path it has waited for one; the caller is told to come back.
+            // The attempt has already waited for a path. The refusal has a `Retry-After` if nothing ran.
             if failure.no_path_found || (!failure.retry_permitted && !self.may_retry(verdict)) {
                 return Err(final_refusal(&self.inbound, verdict, failure.reason));
             }
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The next piece; `None` after the end.
+    /// Returns the next chunk; `None` after the end.
     async fn next(&mut self) -> Option<std::io::Result<Bytes>> {
         if self.done {
             return None;
@@ -242,14 +242,14 @@
         }
     }
 
-    /// Goes on by another path after the last event. A stream that was only silent is kept until the
-    /// new one has begun, and is gone back to when none begins.
+    /// Resumes the stream on another path after the last event. A stream that has only stalled is
+    /// kept until the new one has started, and is read on if none does.
     async fn resume(&mut self, failure: Failure) -> Result<(), &'static str> {
         let stalled = self.stalled.take();
         let mut failure = failure;
         loop {
             self.record_failure(failure);
-            // A repeat that found no path was not used, and is still there.
+            // An attempt that found no path did not use its permit, which is still available.
             let unused_retry = failure.no_path_found && self.refusals < MAX_ATTEMPTS;
             if !unused_retry && !failure.retry_permitted && !self.may_retry(Verdict::MayHaveRun) {
                 self.active = stalled;
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Waits a little after a refusal, since what refused is busy.
+    /// Waits after a refusal, since the engine that refused is busy.
     async fn back_off(&mut self, failure: Failure) {
         if failure.verdict == Verdict::MayHaveRun {
             self.refusals = 0;
@@ -283,7 +283,8 @@
         self.log_end("finished", "end of the stream");
     }
 
-    /// Whether a further attempt is allowed by the route, the time left and the fleet's bound.
+    /// Returns whether the route, the time left, the crash counts and the retry budget allow
+    /// another attempt; acquires its permit where it is a retry.
     fn may_retry(&self, verdict: Verdict) -> bool {
         let kind = self.inbound.route.kind;
         let resumable = matches!(kind, RouteKind::Stream { resumable: true });
@@ -307,7 +308,7 @@
         !self.may_have_reached || permit.is_some()
     }
 
-    /// Permission for an attempt that begins now, at an engine that admits it.
+    /// Returns the permit for an attempt that starts now at an engine that admits it.
     fn permit(&mut self, admission: AdmissionGuard) -> Result<Permit, Failure> {
         let permit = match self.may_have_reached {
             false => Some(Permit::first()),
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt and drops its stream.
     fn record_failure(&mut self, failure: Failure) {
         self.active = None;
         let mut crashes = 0;
@@ -348,7 +349,7 @@
         metrics::counter!("kelpworks_failed_attempts_total", &labels).increment(1);
     }
 
-    /// Reads on to the next whole events; `None` at the end of the stream.
+    /// Reads the next complete events; `None` at the end of the stream.
     async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
         let Some(mut active) = self.active.take() else {
             return Err(Failure::new(Verdict::MayHaveRun, "no attempt under way"));
@@ -424,8 +425,8 @@
         }
     }
 
-    /// A stream that broke off. The engine that closed it may live: then the next attempts show it, and
-    /// a dead one takes no connections.
+    /// Records a stream that ended early. The engine that closed it is not ejected, since it may
+    /// still be alive: the next attempts show whether it is, as a dead one accepts no connections.
     fn record_break(&self, active: &ActiveStream) -> Failure {
         if let Some(&(first, _)) = active.running_path.parts.first() {
             self.shared.fleet().record_outcome(first, true);
--- a/crates/kelpworks-relay/src/relay/stream/attempt.rs
+++ b/crates/kelpworks-relay/src/relay/stream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the path that is chosen, the memory that is promised, the head of the answer.
+//! One attempt: choosing a path, reserving memory, and checking the head of the response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,14 +39,14 @@
 use crate::relay::call::detect_fault;
 use crate::shared::Shared;
 
-/// Part of a route's latency target for which a request waits for room.
+/// Fraction of a route's latency target for which a request waits for capacity.
 const CAPACITY_WAIT_FRACTION: f64 = 0.12;
-/// Time between two looks for room.
+/// Time between two searches for a path while a request waits for capacity.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Tokens to expect of an answer whose caller says nothing about it.
+/// Expected answer length in tokens where the caller gives no length.
 const DEFAULT_ANSWER_TOKENS: f64 = 256.0;
 
-/// Memory and places that a request is counted for, until dropped.
+/// Reserved memory (in token-layers) and running count of a request at engines; released on drop.
 pub(super) struct Reservation {
     shared: Arc<Shared>,
     parts: Vec<(UpstreamKey, f64)>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// An engine at which a request may have run.
+/// First engine of an attempt that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RanAt {
     key: UpstreamKey,
@@ -94,13 +94,14 @@
 }
 
 impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
-    /// Whether a further attempt has to go to an engine that the request was sent to before.
+    /// Whether another attempt has to start at an engine where the request may already have run.
     fn must_reuse_first_engine(&self) -> bool {
         self.ran_at.len() as u32 >= self.inbound.route.max_attempts
     }
 
-    /// Strikes out engines that have ended since the request ran there: they are registered no
-    /// more and take no connections. One that merely left the registration may still be working.
+    /// Removes engines from `ran_at` that have ended since: none of them is registered and they
+    /// accept no connections. An engine that is only missing from the registrations may still be
+    /// working.
     async fn forget_ended_engines(&mut self) {
         if !self.must_reuse_first_engine() {
             return;
@@ -118,7 +119,7 @@
         self.ran_at = left;
     }
 
-    /// Tokens that the request may come to hold.
+    /// Returns the expected number of tokens of prompt and answer.
     pub(super) fn tokens(&self) -> f64 {
         let head = &self.inbound.head;
         let prompt = f64::from(head.prompt_tokens.unwrap_or(0));
@@ -128,7 +129,8 @@
         prompt + max_answer.map_or(answer, |m| answer.min(m))
     }
 
-    /// Chooses a path; one part with all layers for engines without a description.
+    /// Chooses a path; a single engine with the whole model where the service has no engine
+    /// profile.
     pub(super) fn choose(&self) -> Result<Path, NoPath> {
         let fleet = self.shared.fleet();
         let Some(profile) = &self.profile else {
@@ -162,8 +164,8 @@
         path::search(&fleet, profile, &query, &mut rand::rng())
     }
 
-    /// Chooses a path, and waits a little for one where there is none: requests end all the time, and
-    /// one that begins within its latency target is served in full.
+    /// Chooses a path; if there is none, polls for one for a fraction of the latency target.
+    /// Requests end all the time, and one that starts within its latency target is served in full.
     async fn choose_or_wait(&self) -> Result<(Path, AdmissionGuard), &'static str> {
         let is_covered = |_: &Shared| !matches!(self.choose(), Err(NoPath::Uncovered(_)));
         self.shared
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Whether it is no use to wait for a path until a moment.
+    /// Whether waiting for a path until `until` can't succeed.
     fn is_waiting_useless(&self, reason: NoPath, until: Instant) -> bool {
         let now = Instant::now();
         if now >= until || self.inbound.remaining().is_zero() {
@@ -209,13 +211,13 @@
         Ok((path, admission))
     }
 
-    /// Sends the request along a new path and waits for the answer's head.
+    /// Sends the request along a new path and waits for the head of the response.
     pub(super) async fn attempt(&mut self) -> Result<(StatusCode, HeaderMap), Failure> {
         self.forget_ended_engines().await;
         let chosen = self.choose_or_wait().await;
         let (path, admission) = chosen.map_err(Failure::no_path)?;
         let permit = self.permit(admission)?;
-        // Whoever gives this attempt up while it is under way can't know that it did not arrive.
+        // If this future is dropped during the attempt, the request may have arrived.
         let had_possibly_reached = std::mem::replace(&mut self.may_have_reached, true);
         self.attempts += 1;
         let (first, _) = path.parts[0];
@@ -240,7 +242,7 @@
             self.may_have_reached = had_possibly_reached;
         }
         match &answer {
-            // It takes no connections, so it has ended or is cut off.
+            // The engine accepts no connections, so it has ended or is unreachable.
             Err(f) if f.reason == NOT_SENT => self.ran_at.retain(|r| r.key != first),
             Err(f) if f.verdict == Verdict::NotRun => {}
             _ if self.ran_at.iter().any(|r| r.key == first) => {}
@@ -273,7 +275,7 @@
         Ok((parts.status, parts.headers))
     }
 
-    /// Waits for the head of an answer and judges it.
+    /// Waits for the head of a response and checks it.
     async fn wait_for_head(
         &self,
         sending: impl Future<Output = pool::Result<Exchange>>,
@@ -311,7 +313,8 @@
         }
     }
 
-    /// Judges an answer's head; blames the engine that it names, or else the first.
+    /// Checks the head of a response; attributes a fault to the engine that it names, or else the
+    /// first.
     fn check_head(
         &self,
         first: UpstreamKey,
@@ -331,8 +334,8 @@
             at.next().map(|(_, key)| key)
         });
         let faulty = named.unwrap_or(first);
-        // Whoever names itself in a refusal of its own is at the address that the request was sent to. A
-        // refusal that a later engine gave says nothing of that address.
+        // An engine that refuses on its own behalf owns the address that the request was sent to. A
+        // refusal by a later engine says nothing about that address.
         let is_own_head = head.at_fault.is_none_or(|at| at == path.address);
         if let Some(id) = address_owner_id(response, head).filter(|_| is_own_head)
             && id != &*path.id
@@ -360,7 +363,7 @@
     }
 }
 
-/// An engine that holds a whole model, by the least work.
+/// Returns a path of one engine with the whole model: the untried one with the fewest requests.
 fn whole_model_path(fleet: &Fleet, service: &str, tried: &[UpstreamKey]) -> Option<Path> {
     let now = Instant::now();
     let is_candidate = |u: &Upstream| u.is_ready() && u.limiter.admits(now);
--- a/crates/kelpworks-relay/src/relay/stream/reroute.rs
+++ b/crates/kelpworks-relay/src/relay/stream/reroute.rs
@@ -1,10 +1,10 @@
-//! Changing the path of a stream while it runs.
+//! Changes the path of a running stream.
 //!
 //! When an engine in the middle of a path stops, the others still hold the request's KV cache. An
 //! order to the first engine replaces the parts that stopped: the new parts read all tokens so far
-//! through their layers alone, nothing is sent again, and so no repeat is used. Where the first
-//! engine itself stopped, or no engine of its neighbourhood can take the layers over, the stream has
-//! to go on by another attempt.
+//! through their layers alone. The request is not sent again, so no retry is used. If the first
+//! engine itself stopped, or no engine in the same failure domain can take over the layers, the
+//! stream has to be resumed by another attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,22 +26,22 @@
 use crate::fleet::UpstreamKey;
 use crate::path;
 
-/// Time between two looks for slow engines on a stream's path.
+/// Time between two checks for slow engines on a stream's path.
 const SLOWNESS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Changes of path that one attempt may see; each costs an order, and a stream that needs more is
-/// better off elsewhere.
+/// Maximum reroutes of one attempt. Each costs an order, and a stream that needs more is better
+/// served by another attempt.
 const MAX_REROUTES: u32 = 3;
 
-/// A path without the engines that stopped.
+/// A path in which other engines replace the faulty ones.
 struct ReplacementPath {
     parts: Vec<(UpstreamKey, LayerRange)>,
-    /// The same as engines are told.
+    /// `parts` in the form that is sent to the engines.
     hops: Vec<Hop>,
 }
 
 impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
-    /// Changes the path of a stream that passes engines which have turned slow, where others can take
-    /// their layers over.
+    /// Reroutes a stream around engines whose slowness is at least `REROUTE_SLOWNESS`, if others
+    /// can take over their layers.
     pub(super) async fn reroute_around_slow_engines(
         &self,
         running_path: &mut RunningPath,
@@ -66,7 +66,8 @@
         self.reroute(running_path, &slow).await;
     }
 
-    /// Replaces the parts of a path that stopped; whether the first engine accepted it.
+    /// Replaces the faulty engines of a path; returns whether the first engine accepted the new
+    /// path.
     pub(super) async fn reroute(
         &self,
         running_path: &mut RunningPath,
@@ -103,8 +104,9 @@
         true
     }
 
-    /// A path with other engines in place of the culprits, if there is one that does not leave the
-    /// failure domain of the engines before: what crosses is every token so far.
+    /// Returns a path with other engines in place of the faulty ones. A replacement has to be in
+    /// the failure domain of the engine before it, since it is sent the activations of all tokens
+    /// so far.
     fn replacement_path(
         &self,
         parts: &[(UpstreamKey, LayerRange)],
--- a/crates/kelpworks-relay/src/relay/stream/stall.rs
+++ b/crates/kelpworks-relay/src/relay/stream/stall.rs
@@ -1,4 +1,4 @@
-//! Waiting for a stream, and what its silence says about the engines of its path.
+//! Waits for data of a stream, and attributes a stall to engines of its path.
 
 use std::time::Duration;
 
@@ -14,22 +14,23 @@
 use crate::fleet::UpstreamKey;
 use crate::shared::Shared;
 
-/// Silence after which a stream counts against the unconfirmed engines of its path: more than two
-/// usual pauses between events (20 to 30 ms).
+/// Time without data after which a stream counts as stalled at the engines of its path that have
+/// shown no progress since: more than two typical pauses between events (20 to 30 ms).
 const STALL_COUNTED_AFTER: Duration = Duration::from_millis(70);
-/// Silence after which the engines with the most silent streams are suspected: early enough that
-/// another path can go on within a pause of 250 ms. Both are stretched while all streams are slow:
-/// moving them then would only add prompts to be read again.
+/// Time without data after which the engines with the most stalled streams are ejected, and between
+/// further checks: early enough that another path can continue within a pause of 250 ms. This and
+/// `STALL_COUNTED_AFTER` are scaled up while all streams are slow, when moving streams would only
+/// add prompts to be read again.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(130);
-/// Added to both before the first event: reading a prompt over slow engines takes up to this.
+/// Added to both times before the first event: reading a prompt on slow engines takes up to this.
 const PROMPT_ALLOWANCE: Duration = Duration::from_millis(80);
-/// Added for each token of the prompt, in microseconds.
+/// Further allowance for each token of the prompt, in microseconds.
 const PROMPT_ALLOWANCE_PER_TOKEN_US: u64 = 60;
-/// Silence after which a stream moves although all engines of its path work for others; callers
-/// leave after 2 s.
+/// Time without data after which a stream is moved although all engines of its path make progress
+/// for other streams; callers leave after 2 s.
 const MAX_STALL: Duration = Duration::from_millis(1_200);
 
-/// What a wait came to.
+/// Result of a wait.
 enum WaitResult<T> {
     Done(T),
     Stalled(Stall),
@@ -37,25 +38,25 @@
 
 /// A stream that seems to have stopped.
 pub(super) struct Stall {
-    /// Engines that are likely to blame; none where all seem to work for others.
+    /// Engines that are likely at fault; empty if all make progress for other streams.
     pub(super) faulty: Vec<UpstreamKey>,
     reason: &'static str,
 }
 
-/// How long a silence is borne.
+/// Times at which a stall is counted and checked.
 struct StallTimer {
-    /// When something last came.
+    /// When data last arrived, or the request or a reroute order was sent.
     since: Instant,
-    /// From then on it counts against engines.
+    /// When the stream starts to count as stalled.
     count_at: Instant,
-    /// When engines are suspected next.
+    /// When engines are next checked for fault.
     next_check: Instant,
-    /// Time between two looks for the engines to blame.
+    /// Time between two of these checks.
     check_interval: Duration,
 }
 
 impl StallTimer {
-    /// From a moment on, with an allowance for reading a prompt.
+    /// Starts at `since`, with an allowance for reading a prompt.
     fn new(shared: &Shared, since: Instant, prompt_time: Duration) -> StallTimer {
         let slowness = shared.slowness();
         let check_interval = STALL_CHECK_INTERVAL.mul_f64(slowness);
@@ -69,7 +70,7 @@
     }
 }
 
-/// Engines that a silent stream counts against, until dropped.
+/// Counts a stalled stream at the suspect engines until dropped.
 struct StallCount<'a> {
     shared: &'a Shared,
     suspects: Vec<UpstreamKey>,
@@ -95,8 +96,8 @@
 }
 
 impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
-    /// Waits for the first word of an attempt. Fails when engines of the path seem to have stopped
-    /// and another attempt is allowed; without one, waiting on is all that is left.
+    /// Waits for the first data of an attempt. Fails when the stream has stalled and another
+    /// attempt is allowed; otherwise keeps waiting.
     pub(super) async fn wait_for_first<T>(
         &self,
         work: impl Future<Output = T>,
@@ -116,9 +117,8 @@
         }
     }
 
-    /// Waits for the next events of a stream. When engines of the path seem to have stopped, the path
-    /// is changed while the request runs; where that can't be done, it fails if another attempt is
-    /// allowed.
+    /// Waits for more data of a stream. When the stream has stalled, it is rerouted around the
+    /// faulty engines; if that is not possible, fails if another attempt is allowed.
     pub(super) async fn wait_for_more<T>(
         &self,
         work: impl Future<Output = T>,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Waits until engines of the path seem to have stopped.
+    /// Waits for `work` to finish, or for a stall.
     async fn wait_until_stalled<T>(
         &self,
         work: &mut (impl Future<Output = T> + Unpin),
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Waits until a moment; `None` when it comes first.
+    /// Waits for `work` until `at`; `None` at `at`, an error once the request's deadline has
+    /// passed.
     async fn wait_until<T>(
         &self,
         work: &mut (impl Future<Output = T> + Unpin),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Passes the likely culprits of a silence over; `None` when there is none yet.
+    /// Ejects the engines likely at fault for a stall; `None` if there are none before `MAX_STALL`.
     fn eject_suspects(&self, parts: &[(UpstreamKey, LayerRange)], since: Instant) -> Option<Stall> {
         let now = Instant::now();
         let is_over_limit = now.duration_since(since) >= MAX_STALL;
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Fails when the request is to go on by another attempt, which is allowed then.
+    /// Fails if there is a path for another attempt and it is allowed; its permit is then acquired.
     fn fail_if_retry_allowed(&self, stall: &Stall) -> Result<(), Failure> {
         if self.choose().is_ok() && self.may_retry(Verdict::MayHaveRun) {
             return Err(Failure {
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// Time that reading the prompt may take before the first event.
+    /// Returns the time that reading the prompt may take.
     fn prompt_allowance(&self) -> Duration {
         let tokens = u64::from(self.inbound.head.prompt_tokens.unwrap_or(0));
         PROMPT_ALLOWANCE + Duration::from_micros(tokens * PROMPT_ALLOWANCE_PER_TOKEN_US)
--- a/crates/kelpworks-relay/src/relay/stream/trace.rs
+++ b/crates/kelpworks-relay/src/relay/stream/trace.rs
@@ -1,4 +1,4 @@
-//! The lines by which a streamed request can be followed in the log.
+//! Log lines that trace a streamed request.
 
 use log::info;
 
@@ -12,7 +12,7 @@
 use crate::path::Path;
 
 impl<D: Adapter, E: EngineApi> StreamRelay<D, E> {
-    /// Logs what stands in the way of a path: the engines that hold the layer and what they run.
+    /// Logs why there is no path: the blocking layer, the engines that hold it and their load.
     pub(super) fn log_no_path(&self, reason: NoPath) {
         let fleet = self.shared.fleet();
         let layer = reason.layer();
@@ -73,7 +73,7 @@
     }
 }
 
-/// A path as it stands in the log.
+/// Formats a path for the log as `address=from-to` parts, separated by commas.
 pub(super) fn format_path(path: &[Hop]) -> String {
     let part = |h: &Hop| format!("{}={}-{}", h.address, h.layers.from, h.layers.to);
     let parts: Vec<String> = path.iter().map(part).collect();
--- a/crates/kelpworks-relay/tests/assignments.rs
+++ b/crates/kelpworks-relay/tests/assignments.rs
@@ -1,4 +1,4 @@
-//! What engines say of their layers before their registrations do.
+//! Layer assignments that engines report before their registrations show them.
 
 mod fleet_support;
 
@@ -19,7 +19,7 @@
 
 const NO_AGE: Duration = Duration::ZERO;
 
-/// A fleet of one engine that registered these layers.
+/// Returns a fleet of one engine that registered `layers`, and its instance.
 fn fleet(layers: Option<LayerRange>) -> (Fleet, Arc<str>) {
     let mut host = empty_hosts(&["a"]).remove(0);
     host.layers = layers;
@@ -28,7 +28,7 @@
     (fleet, host.instance)
 }
 
-/// Takes a later registration of the same engine.
+/// Replaces the registration of the only engine by a later one.
 fn register(fleet: &mut Fleet, layers: LayerRange, revision: u64) {
     let mut entry = fleet.entries().remove(0);
     entry.layers = Some(layers);
@@ -61,14 +61,19 @@
     assert_eq!(
         usable(&fleet, &engine),
         Some(new),
-        "a registration of before"
+        "an earlier registration"
     );
     register(&mut fleet, new, 3);
     register(&mut fleet, range(40, 49), 4);
-    assert_eq!(usable(&fleet, &engine), Some(range(40, 49)), "a later one");
+    assert_eq!(
+        usable(&fleet, &engine),
+        Some(range(40, 49)),
+        "a later registration"
+    );
 }
 
-/// Seen once: engines that had long registered their layers counted as loading for twelve seconds.
+/// Guards against a fault in which engines whose layers were long registered counted as loading for
+/// twelve seconds, because a loading report outlived the registration.
 #[rstest]
 #[case::report_first(true)]
 #[case::registration_first(false)]
--- a/crates/kelpworks-relay/tests/bounds.rs
+++ b/crates/kelpworks-relay/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on repeats, requests that crash upstreams, and settings.
+//! The retry limit, refusal of requests that crash upstreams, and validation of settings.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
     allowance: 70.0,
 };
 
-/// Repeats that are given out at once.
+/// Number of retries that can be acquired at `now`, up to 1000.
 fn acquired_retries(budget: &mut RetryBudget, service: &Arc<str>, now: Instant) -> usize {
     (0..1_000)
         .take_while(|_| budget.try_acquire(service, now))
@@ -61,7 +61,8 @@
     );
 }
 
-/// The bound was once broken by two: a daemon that was killed had its part again at once.
+/// Guards against a fault in which the retry limit was exceeded by two, because a daemon that was
+/// killed and restarted had its full share again at once.
 #[tokio::test(start_paused = true)]
 async fn restarted_daemon_gets_its_share_after_one_window() {
     let service: Arc<str> = Arc::from("llm");
@@ -151,7 +152,7 @@
     assert!(error.contains(named), "{error}");
 }
 
-/// Repeats that were not written to a connection once used a daemon's part up.
+/// Guards against a fault in which retries that were never written used up a daemon's share.
 #[tokio::test(start_paused = true)]
 async fn unused_permit_refunds_its_retry() {
     let service: Arc<str> = Arc::from("llm");
@@ -165,10 +166,10 @@
     assert!(try_permit().is_none());
     let mut all = all.into_iter();
     drop(all.next());
-    let refunded = try_permit().expect("the unused one");
+    let refunded = try_permit().expect("the unused retry");
     assert!(try_permit().is_none());
     drop(refunded.spend().undo());
-    let refunded = try_permit().expect("one that came out not to be written");
+    let refunded = try_permit().expect("the retry that was not written");
     refunded.spend();
     for try_permit in all {
         try_permit.spend();
--- a/crates/kelpworks-relay/tests/fleet_support/mod.rs
+++ b/crates/kelpworks-relay/tests/fleet_support/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets for tests: engines of three kinds in failure domains.
+//! Test fleets with engines of three kinds in failure domains.
 
 #![allow(dead_code, reason = "each test crate uses a part")]
 
@@ -15,7 +15,7 @@
 use kelpworks_relay::layout::plan;
 use tokio::time::Instant;
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub(crate) const LAYERS: u16 = 80;
 
 /// A model of 80 layers on three kinds of accelerators.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Engines that hold nothing: one large, eight middle and four slow ones a domain.
+/// Returns engines without layers: one large, eight middle and four slow ones in each domain.
 pub(crate) fn empty_hosts(domains: &[&str]) -> Vec<EngineState> {
     let mut hosts = Vec::new();
     for domain in domains {
@@ -66,7 +66,7 @@
     hosts
 }
 
-/// A fleet of these engines, holding what the layout gives them.
+/// Returns a fleet of these engines with the layers that the layout plans for them.
 pub(crate) fn fleet_with_planned_layers(mut hosts: Vec<EngineState>) -> Fleet {
     for order in plan(&engines(), &hosts) {
         let host = hosts.iter_mut().find(|h| h.instance == order.instance);
@@ -78,7 +78,7 @@
     fleet
 }
 
-/// The registration of an engine.
+/// Returns the registration of an engine; `number` determines its address.
 pub(crate) fn entry(number: usize, host: &EngineState) -> UpstreamEntry {
     UpstreamEntry {
         instance: Arc::clone(&host.instance),
@@ -96,7 +96,6 @@
     }
 }
 
-/// A range.
 pub(crate) fn range(from: u16, to: u16) -> LayerRange {
     LayerRange { from, to }
 }
--- a/crates/kelpworks-relay/tests/layout.rs
+++ b/crates/kelpworks-relay/tests/layout.rs
@@ -1,4 +1,4 @@
-//! Which layers engines are given.
+//! Planning of layer assignments.
 
 mod fleet_support;
 
@@ -18,7 +18,7 @@
 use kelpworks_relay::layout::layers_for;
 use kelpworks_relay::layout::plan;
 
-/// Carries the orders of a plan out.
+/// Applies the orders of a plan; returns their number.
 fn apply_plan(hosts: &mut [EngineState]) -> usize {
     let orders = plan(&engines(), hosts);
     for order in &orders {
@@ -28,7 +28,7 @@
     orders.len()
 }
 
-/// Layers that a domain lacks.
+/// Number of layers that no engine of a domain holds.
 fn missing_layers(hosts: &[EngineState], domain: &str) -> usize {
     let loaded = |l: u16| {
         let mut here = hosts.iter().filter(|h| &*h.domain == domain);
@@ -44,7 +44,7 @@
     for domain in ["a", "b", "c"] {
         assert_eq!(missing_layers(&hosts, domain), 0, "domain {domain}");
     }
-    assert_eq!(apply_plan(&mut hosts), 0, "what stands is kept");
+    assert_eq!(apply_plan(&mut hosts), 0, "a second plan changes nothing");
 }
 
 #[rstest]
@@ -58,7 +58,7 @@
     assert!(layers >= 1);
     assert!(f64::from(layers) * engines.layer_mb < kind.memory_mb);
     let requests = engines.kv_capacity(kind, layers) / f64::from(layers) / 984.0;
-    assert!(requests >= 80.0, "room for {requests} requests");
+    assert!(requests >= 80.0, "capacity for {requests} requests");
 }
 
 #[test]
@@ -106,8 +106,8 @@
     assert_eq!(&*order.instance, "a-slow-2");
 }
 
-/// Seen once: the only engine of a failure domain that held the first layer took three requests a second, and
-/// no other was given that layer.
+/// Guards against a fault in which the only engine of a failure domain that held the first layer
+/// was limited to three requests per second, and no other engine was given that layer.
 #[test]
 fn first_layer_held_only_by_rate_limited_engines_gets_another_copy() {
     let mut hosts = empty_hosts(&["a"]);
@@ -126,7 +126,7 @@
     assert_eq!(missing_layers(&hosts, "a"), 0);
 }
 
-/// Orders fit into the memory of their engines, and plans end.
+/// Checks that orders fit in the memory of their engines and that planning converges.
 fn check_plans_fit_and_converge(mut hosts: Vec<EngineState>) -> Result<(), TestCaseError> {
     let engines = engines();
     let mut orders = 0;
@@ -143,12 +143,12 @@
         }
         orders += applied;
     }
-    prop_assert!(false, "plans don't end");
+    prop_assert!(false, "planning does not converge");
     Ok(())
 }
 
 proptest! {
-    /// Whatever engines there are, none is ordered more than its memory holds, and plans end.
+    /// Any subset of the engines.
     #[test]
     fn orders_fit_in_memory_and_plans_converge(keep_flags in proptest::collection::vec(any::<bool>(), 39)) {
         let mut hosts = empty_hosts(&["a", "b", "c"]);
@@ -157,7 +157,7 @@
         check_plans_fit_and_converge(hosts)?;
     }
 
-    /// The same while some of them limit the requests that they take, from the start or later.
+    /// Some engines limit their requests, from the start or after the initial plan.
     #[test]
     fn orders_fit_in_memory_and_plans_converge_with_rate_limits(
         limited in proptest::collection::vec(any::<bool>(), 39),
@@ -182,8 +182,9 @@
     assert!(orders.iter().all(|o| o.instance != hosts[0].instance));
 }
 
-/// A domain with copies to spare gives its engines more room in their place; one without keeps its
-/// copies. The larger one has what an hour of much traffic needs, the smaller one what a loss needs.
+/// A domain with more than three copies of the layers gives its engines request capacity in place
+/// of further copies; one with fewer keeps its copies. The larger domain has the capacity for an
+/// hour of heavy traffic, the smaller one the copies to survive the loss of an engine.
 #[rstest]
 #[case::few_engines(1, 8, 4, 85.0)]
 #[case::just_below_spare_copies(2, 20, 10, 85.0)]
@@ -217,9 +218,9 @@
     assert!(copies >= 3.0 || capacity == 85.0, "{copies}");
 }
 
-/// Of two slow kinds that are nearly as fast, one has memory for more layers. Each hop of a path costs a
-/// token more than the difference, so that kind fills what the fast engines leave. The pattern is usual
-/// traffic on a fleet of few fast engines.
+/// Of two slow kinds of nearly the same speed, one has memory for more layers. Each hop costs a
+/// token more time than the difference in speed, so that kind fills the gaps left by the fast
+/// engines. The scenario is typical traffic on a fleet with few fast engines.
 #[test]
 fn slow_engines_with_more_memory_fill_gaps_left_by_fast_ones() {
     let kind = |name: &str, memory_mb, step_factor| Accelerator {
--- a/crates/kelpworks-relay/tests/limits.rs
+++ b/crates/kelpworks-relay/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream's limit, and when it admits a request.
+//! The request limit of one upstream: announcements, and when it admits a request.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Rate::per_second(per_second).expect("a rate")
 }
 
-/// A limit that was announced at a moment, all of which this daemon may use.
+/// Returns a limit announced at `at`, with the whole rate as this daemon's share.
 fn limiter(per_second: f64, at: Instant) -> Limiter {
     let mut limiter = Limiter::default();
     limiter.on_answer(Announcement::Limited(rate(per_second)), at, at);
@@ -51,7 +51,7 @@
     assert_eq!(
         admitted.len(),
         17,
-        "nine in ten of twenty, from the first pause on"
+        "nine tenths of the rate, starting after one interval"
     );
     let pauses = admitted.windows(2).map(|w| w[1] - w[0]);
     assert!(pauses.min() >= Some(Duration::from_millis(111)));
@@ -65,7 +65,7 @@
     let lower = Announcement::Limited(rate(2.0));
     let higher = Announcement::Limited(rate(8.0));
     limiter.on_answer(higher, start, received);
-    assert_eq!(limiter.rate(), Some(rate(5.0)), "it was overtaken");
+    assert_eq!(limiter.rate(), Some(rate(5.0)), "the answer is stale");
     limiter.on_answer(lower, start, received);
     assert_eq!(limiter.rate(), Some(rate(2.0)));
     limiter.on_answer(higher, after(received, 1), after(received, 60));
@@ -87,7 +87,7 @@
     assert_eq!(limiter.rate(), None);
 }
 
-/// What is no limit any more is not reported for ever.
+/// Later answers without a limit must not renew the time, or peers would report the end forever.
 #[test]
 fn end_of_limit_keeps_the_time_of_the_answer_that_ended_it() {
     let start = Instant::now();
@@ -111,7 +111,7 @@
     limiter.on_report(None, after(start, 100), now);
     assert_eq!(limiter.rate(), None);
     limiter.on_report(Some(rate(5.0)), after(start, 90), now);
-    assert_eq!(limiter.rate(), None, "an older word");
+    assert_eq!(limiter.rate(), None, "an older report");
 }
 
 #[test]
--- a/crates/kelpworks-relay/tests/owners.rs
+++ b/crates/kelpworks-relay/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Which registrations name upstreams: several starts under one id, several ids at one address.
+//! Which registrations are active: several incarnations of one id, several ids at one address.
 
 mod fleet_support;
 
@@ -21,7 +21,7 @@
 use kelpworks_relay::fleet::AddressOwner;
 use kelpworks_relay::fleet::Fleet;
 
-/// An engine `id` at an address by number, started then.
+/// Returns the registration of engine `id` at the address with this number, started at `start`.
 fn engine(
     id: &str,
     address: usize,
@@ -86,7 +86,7 @@
 
     assert_eq!(names(&fleet), ["e@200"]);
     assert_eq!(changes.removed.len() + changes.added.len(), 2);
-    assert!(fleet.get(old).is_none(), "nothing goes by the old key");
+    assert!(fleet.get(old).is_none(), "the old key is invalid");
     let new = fleet.key_of("e@200").expect("registered");
     let upstream = fleet.get(new).expect("there");
     assert_eq!(upstream.layers, None);
@@ -94,11 +94,11 @@
     assert!(!upstream.is_ejected(now));
     assert_eq!(upstream.failure_rate, 0.0);
     assert_eq!(fleet.assignments().orders("e@200"), None);
-    // The end of a request to the old one takes nothing from the new one.
+    // Releasing a request to the old incarnation does not change the load of the new one.
     fleet.reserve(new, 10.0);
     fleet.release(old, 5_000.0);
     assert_eq!(fleet.get(new).expect("there").local_load.reserved, 10.0);
-    // Nor does a late word on the old one say anything of it.
+    // A late report on the old incarnation does not change the new one.
     assert!(!fleet.learn_assignment(&instance, loading, Duration::ZERO, now));
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(names(&fleet), ["e@200"]);
     let key = fleet.key_of("e@200").expect("there");
     assert_eq!(fleet.get(key).expect("there").layers, Some(range(0, 4)));
-    // With its entry gone, it is gone.
+    // Without its entry, the engine is removed.
     fleet.replace(Vec::new(), Version::initial(3), now);
     assert_eq!(names(&fleet), Vec::<String>::new());
 }
@@ -134,24 +134,24 @@
     let key = fleet.key_of("e@100").expect("there");
     assert_eq!(fleet.learn_start(key, StartTime(100)), None);
     assert_eq!(fleet.learn_start(key, StartTime(50)), None);
-    let changes = fleet.learn_start(key, StartTime(300)).expect("news");
+    let changes = fleet.learn_start(key, StartTime(300)).expect("a change");
     assert_eq!(&*changes.added[0], "e@300");
     let key = fleet.key_of("e@300").expect("there");
     assert_eq!(fleet.get(key).expect("there").layers, None);
-    // The entry of before the start comes once more.
+    // The entry from before the restart arrives once more.
     assert!(
         fleet
             .replace(vec![old], Version::initial(2), now)
             .is_empty()
     );
-    // And then its own.
+    // The entry of the new incarnation arrives.
     let own = engine("e", 1, Some(300), Some(range(3, 7)));
     let changes = fleet.replace(vec![own], Version::initial(3), now);
     assert!(changes.added.is_empty() && changes.removed.is_empty());
     assert_eq!(fleet.get(key).expect("there").layers, Some(range(3, 7)));
 }
 
-/// Two entries at one address: which one counts. `seen_first` is the one that this daemon saw before.
+/// The daemon sees the entry `old` first. `expected` is the id of the active entry.
 #[rstest]
 #[case::newer_start_wins(Some(100), Some(200), "new")]
 #[case::newer_start_wins_even_if_seen_first(Some(300), Some(200), "old")]
@@ -172,14 +172,14 @@
     let names = names(&fleet);
     assert_eq!(names.len(), 1);
     assert!(names[0].starts_with(expected), "{names:?}");
-    // With that one gone, the other counts again.
+    // Once that entry is removed, the other one becomes active.
     let other = if expected == "new" { old } else { new };
     fleet.replace(vec![other.clone()], Version::initial(3), later);
     assert_eq!(self::names(&fleet), [&*other.instance]);
 }
 
-/// An engine that is cut off crashes and starts again under another id; its old entry lapses, and is
-/// back for some seconds once the store is reached.
+/// An engine cut off from the store crashes and restarts under another id. Its old entry expires,
+/// and reappears for some seconds once the store is reachable.
 #[test]
 fn reappearing_id_does_not_displace_the_current_owner() {
     let at = |s| Instant::now() + Duration::from_secs(s);
@@ -201,33 +201,33 @@
     let a = engine("a", 1, None, Some(range(0, 9)));
     let b = engine("b", 1, None, None);
     let elsewhere = engine("c", 2, None, None);
-    // A daemon that starts sees both at once and can't tell.
+    // A starting daemon sees both entries at once and can't tell which one is current.
     fleet.replace(
         vec![a.clone(), b.clone(), elsewhere.clone()],
         Version::initial(1),
         now,
     );
     assert_eq!(names(&fleet), ["b", "c"]);
-    let changes = fleet.learn_owner(owner(&a, "a"), now).expect("news");
+    let changes = fleet.learn_owner(owner(&a, "a"), now).expect("a change");
     assert_eq!((&*changes.removed[0], &*changes.added[0]), ("b", "a"));
     assert_eq!(names(&fleet), ["a", "c"]);
     assert_eq!(
         fleet.learn_owner(owner(&a, "a"), now),
         None,
-        "no news twice"
+        "a repeated report changes nothing"
     );
     assert_eq!(fleet.recent_owners(8, now)[0].0, owner(&a, "a"));
-    // It holds while the entries stand as they are.
+    // The owner stays while the entries are unchanged.
     let changes = fleet.replace(
         vec![b.clone(), a.clone(), elsewhere],
         Version::initial(2),
         now,
     );
     assert!(changes.is_empty());
-    // An older word changes nothing.
+    // An older report changes nothing.
     let before = now - Duration::from_secs(1);
     assert_eq!(fleet.learn_owner(owner(&a, "b"), before), None);
-    // Who comes to the address later is another matter.
+    // An upstream that registers at the address later becomes its owner.
     let next = engine("next", 1, None, None);
     fleet.replace(
         vec![a, next],
@@ -243,7 +243,7 @@
     let mut fleet = Fleet::default();
     let gone = engine("gone", 1, None, Some(range(0, 9)));
     fleet.replace(vec![gone.clone()], Version::initial(1), now);
-    // Its address was given to an upstream of which no entry has come yet.
+    // The address now belongs to an upstream whose entry has not arrived yet.
     fleet.learn_owner(owner(&gone, "unknown"), now);
     assert_eq!(names(&fleet), Vec::<String>::new());
     let unknown = engine("unknown", 1, None, None);
@@ -252,8 +252,7 @@
 }
 
 proptest! {
-    /// Whatever is registered in whatever order, no address and no id is an upstream's twice, and
-    /// each address that is registered has one.
+    /// For any registrations in any order, no two active upstreams share an address or an id.
     #[test]
     fn addresses_and_ids_are_unique(
         lists in prop::collection::vec(
@@ -267,7 +266,7 @@
             let mut entries: Vec<UpstreamEntry> = Vec::new();
             for &(id, address, start) in list {
                 let entry = engine(&format!("e{id}"), address, start, None);
-                // The store has one object under a name.
+                // The store keeps one object per name.
                 if !entries.iter().any(|e| e.id == entry.id) {
                     entries.push(entry);
                 }
--- a/crates/kelpworks-relay/tests/path.rs
+++ b/crates/kelpworks-relay/tests/path.rs
@@ -1,4 +1,4 @@
-//! Paths through engines: each layer once and in order, inside a domain, around what fails.
+//! Path search: each layer once and in order, within a failure domain, avoiding failed engines.
 
 mod fleet_support;
 
@@ -25,7 +25,7 @@
 use kelpworks_relay::path::PathQuery;
 use kelpworks_relay::path::search;
 
-/// A fleet as the layout makes it.
+/// Returns a fleet with planned layers.
 fn fleet(domains: &[&str]) -> Fleet {
     fleet_with_planned_layers(empty_hosts(domains))
 }
@@ -88,11 +88,11 @@
     fleet.replace(remaining, Version::initial(2), Instant::now());
     let path = find(&fleet, &query("b", &[]), 1).expect("a path");
     assert_covers_all_layers(&fleet, &path);
-    assert_eq!(path.crossings, 0, "activations don't cross");
+    assert_eq!(path.crossings, 0, "the path does not cross failure domains");
 }
 
-/// Seen once: the only engine with room had left without a word, and 50 to 85 requests a second were
-/// sent to it and refused.
+/// Guards against a fault in which the only engine with free capacity had left unannounced, and 50
+/// to 85 requests per second were sent to it and refused.
 #[tokio::test]
 async fn ejected_engine_is_not_used_while_others_are_only_full() {
     let mut fleet = fleet(&["a", "b"]);
@@ -117,10 +117,8 @@
     assert!(path.keys().any(|k| holders.contains(&k)));
 }
 
-/// Seen once: streams of before went on at an engine that was leaving, and each of their events made
-/// it be tried again.
-/// Daemons once sent 407 requests in eight seconds to engines that took no connection, since no other
-/// engine held their layers; callers waited for each.
+/// Guards against a fault in which daemons sent 407 requests in eight seconds to engines that
+/// accepted no connection, since no other engine held their layers, and callers waited for each.
 #[tokio::test(start_paused = true)]
 async fn unreachable_engine_is_not_used_even_as_last_resort() {
     let mut fleet = fleet(&["a"]);
@@ -134,7 +132,10 @@
         fleet.eject(key, now);
     }
     let after_timeout = find(&fleet, &query("a", &[]), 1);
-    assert!(after_timeout.is_ok(), "a silent engine is better than none");
+    assert!(
+        after_timeout.is_ok(),
+        "an engine that timed out is the last resort"
+    );
     for &key in &holders {
         fleet.eject_unreachable(key, now);
     }
@@ -142,6 +143,8 @@
     assert_eq!(after_unreachable, Err(NoPath::Uncovered(0)));
 }
 
+/// Guards against a fault in which streams continued at a leaving engine, and each of their events
+/// caused it to be tried again.
 #[tokio::test]
 async fn refusing_engine_is_ejected_until_it_accepts() {
     let mut fleet = fleet(&["a", "b"]);
@@ -173,7 +176,7 @@
     let slow = before.parts[0].0;
     let now = Instant::now();
     assert!(fleet.learn_slowness(slow, 12.0, now));
-    assert!(!fleet.learn_slowness(slow, 1.0, now), "no later word");
+    assert!(!fleet.learn_slowness(slow, 1.0, now), "not newer");
     let without = find(&fleet, &query("a", &[]), 1).expect("a path");
     assert!(without.keys().all(|k| k != slow));
     let later = PathQuery {
@@ -181,7 +184,10 @@
         ..query("a", &[])
     };
     let mut paths = (0..20).map(|seed| find(&fleet, &later, seed).expect("a path"));
-    assert!(paths.any(|p| p.keys().any(|k| k == slow)), "an old word");
+    assert!(
+        paths.any(|p| p.keys().any(|k| k == slow)),
+        "the report is stale"
+    );
 }
 
 #[tokio::test]
@@ -208,7 +214,10 @@
         avoid: &on_path,
         ..query("a", &[])
     };
-    assert!(find(&fleet, &part, 1).is_ok(), "layers held twice");
+    assert!(
+        find(&fleet, &part, 1).is_ok(),
+        "other engines hold these layers"
+    );
 }
 
 #[tokio::test]
@@ -285,7 +294,8 @@
     }
 }
 
-/// Seen once: an event that was on its way when its engine died hid the death for 1.2 s.
+/// Guards against a fault in which an event in transit when its engine died hid the death for 1.2
+/// s.
 #[tokio::test(start_paused = true)]
 async fn event_in_transit_does_not_clear_a_dead_engine() {
     let mut fleet = fleet(&["a"]);
@@ -303,7 +313,8 @@
     assert_eq!(suspects, [dead]);
 }
 
-/// Seen once: engines left while the store was down, so that no entry said so.
+/// Guards against a fault in which engines left while the store was down, so that no entry showed
+/// that they were leaving.
 #[tokio::test(start_paused = true)]
 async fn engine_that_fails_repeatedly_is_presumed_lost() {
     let mut fleet = fleet(&["a"]);
@@ -338,7 +349,7 @@
 }
 
 proptest! {
-    /// Any holdings: a path that is found runs every layer once and in order.
+    /// Any layer assignments.
     #[test]
     fn paths_cover_every_layer_once_in_order(
         cuts in proptest::collection::vec((0u16..80, 1u16..40, 0usize..3), 1..30),
--- a/crates/kelpworks-relay/tests/restored.rs
+++ b/crates/kelpworks-relay/tests/restored.rs
@@ -1,8 +1,8 @@
-//! Registrations after the store came back from an older copy, without a network.
+//! Registrations after the store was restored from an older copy, without a network.
 //!
-//! The pattern: the copy shows upstreams as they were some seconds ago. Some are missing, one shows
-//! layers that it has given up, and one that said it leaves is ready again. Each writes its entry
-//! again within two seconds if it lives.
+//! The copy shows upstreams as they were some seconds before. Some are missing, one shows layers
+//! that it has unloaded since, and one that was leaving is ready again. Each live upstream writes
+//! its entry again within two seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 const BEFORE: Version = Version::initial(90);
-/// Lower than what was seen before, and given out again.
+/// Lower revision than seen before, which the restored store hands out a second time.
 const RESTORED: Version = Version::new(Era(1), 70);
 const REWRITTEN: Version = Version::new(Era(1), 90);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the fleet takes to be so: id, layers, whether it takes work.
+/// Id, first layer and readiness of each upstream, as the fleet sees them.
 fn visible_entries(fleet: &Fleet) -> Vec<(String, u16, bool)> {
     let of = |e: &UpstreamEntry| {
         let from = e.layers.map_or(0, |l| l.from);
@@ -81,7 +81,7 @@
     );
     let changes = fleet
         .expire_restored(after(2_000))
-        .expect("its time is over");
+        .expect("two seconds have passed");
     assert_eq!(changes.removed.len(), 1);
     assert_eq!(visible_entries(&fleet), [row("a", 0, true)]);
     assert!(fleet.expire_restored(after(9_000)).is_none());
@@ -98,7 +98,7 @@
     assert_eq!(
         visible_entries(&fleet),
         [row("a", 0, false)],
-        "its entry still stands"
+        "its entry is unchanged"
     );
     let restarted = UpstreamEntry {
         start: Some(StartTime(200)),
@@ -163,7 +163,7 @@
     assert_eq!(
         visible_entries(&fleet),
         [row("a", 40, true)],
-        "the older start is over"
+        "the older start is ignored"
     );
 }
 
--- a/crates/kelpworks-relay/tests/traffic_plan.rs
+++ b/crates/kelpworks-relay/tests/traffic_plan.rs
@@ -1,4 +1,4 @@
-//! Requests of many daemons that know little of each other: they spread over the engines in the
+//! Traffic plans: requests of daemons without each other's load spread over the engines in the
 //! planned proportion instead of all taking the cheapest path.
 
 mod fleet_support;
@@ -27,10 +27,10 @@
 use kelpworks_relay::traffic_plan::TrafficPlan;
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-/// Tokens of a usual request.
+/// Tokens of a typical request.
 const TOKENS: f64 = 984.0;
 
-/// A fleet as the layout makes it, with `times` 13 engines in each domain.
+/// Returns a fleet with planned layers, with `times` 13 engines in each domain.
 fn fleet(times: usize) -> Fleet {
     let mut hosts = Vec::new();
     for i in 0..times {
@@ -54,7 +54,7 @@
     }
 }
 
-/// So many usual requests from each domain.
+/// Returns the demand of this many typical requests from each domain.
 fn demand(requests: f64) -> Vec<Demand> {
     let of = |domain: &&str| Demand {
         domain: Arc::from(*domain),
@@ -63,7 +63,7 @@
     DOMAINS.iter().map(of).collect()
 }
 
-/// Token-layers at each engine, over its room.
+/// Returns the reserved token-layers of each engine as a fraction of its capacity.
 fn utilizations(fleet: &Fleet, reserved: &HashMap<UpstreamKey, f64>) -> Vec<f64> {
     let engines = engines();
     let utilization = |(&key, reserved): (&UpstreamKey, &f64)| {
@@ -81,10 +81,10 @@
     }
 }
 
-/// Callers of all daemons come within one exchange of digests, so that each daemon decides without the
-/// load of the others. The pattern is that of a second of usual traffic, and of all callers coming back
-/// at once: what the fullest engine is promised, over its room, is 0.36 and 0.65 by drawn paths, 0.64 and
-/// 1.28 by the cheapest.
+/// Callers of all daemons arrive within one digest exchange, so that each daemon decides without
+/// the load of the others. The cases are a second of typical traffic and the return of all callers
+/// at once. The reservations of the fullest engine are 0.36 and 0.65 of its capacity with drawn
+/// paths, and 0.64 and 1.28 with the cheapest paths.
 #[rstest]
 #[case::one_second_of_typical_traffic(90)]
 #[case::all_callers_return_at_once(180)]
@@ -98,7 +98,11 @@
     for domain in DOMAINS {
         let query = query(domain);
         let traffic_plan = TrafficPlan::plan(&fleet, &engines, &query, &demand(requests as f64));
-        assert_eq!(traffic_plan.placed_fraction(), 1.0, "there is room for all");
+        assert_eq!(
+            traffic_plan.placed_fraction(),
+            1.0,
+            "there is capacity for all"
+        );
         for _ in 0..requests {
             let parts = traffic_plan.draw(&fleet, &engines, &query, &mut rng);
             add_reservations(&mut drawn, parts.expect("a path"));
@@ -141,7 +145,7 @@
     }
 }
 
-/// More than the fleet can hold: the plan says what part there is room for.
+/// The demand exceeds the capacity of the fleet; the plan reports the fraction that fits.
 #[tokio::test]
 async fn load_beyond_capacity_is_not_placed() {
     let fleet = fleet(1);
@@ -153,7 +157,7 @@
     );
 }
 
-/// An engine that fails after the plan was made is not drawn, nor one that has no room left.
+/// Engines that are ejected or filled up after planning are not drawn.
 #[rstest]
 #[case::failed(true)]
 #[case::full(false)]
@@ -178,7 +182,7 @@
     }
 }
 
-/// An engine that turned slow gets no more than before, and little: other domains hold its layers.
+/// A slow engine gets no more load than before, and mostly less: other domains hold its layers.
 #[tokio::test]
 async fn slow_engine_gets_less_load() {
     let mut fleet = fleet(1);
@@ -201,15 +205,15 @@
         fleet.learn_slowness(key, 40.0, at);
         let after = share(&fleet, key);
         fleet.learn_slowness(key, 1.0, at + std::time::Duration::from_nanos(1));
-        // What the others give up may reach it, but no more than one part of a plan.
+        // Load displaced from other engines may reach it, but no more than one part of a plan.
         assert!(after <= before.max(400 / 12), "{before} to {after}");
         reduced += usize::from(before > 50 && after * 4 < before);
     }
-    assert!(reduced >= 3, "only {reduced} engines were left");
+    assert!(reduced >= 3, "only {reduced} engines got less load");
 }
 
-/// Thousands of engines register one by one, and each registration changes the fleet. The pattern is the
-/// start of a fleet of hundreds of daemons on small hosts.
+/// Thousands of engines register one by one, and each registration changes the fleet, as when a
+/// fleet of hundreds of daemons starts on small hosts.
 #[tokio::test(start_paused = true)]
 async fn plan_with_long_planning_time_is_reused_longer_despite_fleet_changes() {
     let mut fleet = fleet(1);
@@ -231,6 +235,6 @@
     traffic_plan.set_planning_time(Duration::from_secs(2));
     assert!(
         !traffic_plan.is_fresh(&fleet, after(10_000)),
-        "not for ever"
+        "reuse is bounded"
     );
 }
