--- a/crates/kelpworks-relay/src/relay/stream.rs
+++ b/crates/kelpworks-relay/src/relay/stream.rs
@@ -54,7 +54,8 @@
 /// Backoff after the first refusal, doubled with each further one in a row (at most 16 times this).
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(25);
 /// Fraction of a route's gap target above which a pause makes the daemon query the slowness of the
-/// engines of the path: more than any pause of a fault-free fleet (40 ms of 250), and still on time.
+/// engines of the path: more than any pause of a fault-free fleet (40 ms of 250), and still on
+/// time.
 const LATE_GAP_FRACTION: f64 = 0.6;
 /// Largest incomplete event that is buffered.
 const MAX_EVENT_BYTES: usize = 4 << 20;
@@ -208,7 +209,8 @@
             };
             verdict = verdict.max(failure.verdict);
             self.record_failure(failure);
-            // The attempt has already waited for a path. The refusal has a `Retry-After` if nothing ran.
+            // The attempt has already waited for a path. The refusal has a `Retry-After` if nothing
+            // ran.
             if failure.no_path_found || (!failure.retry_permitted && !self.may_retry(verdict)) {
                 return Err(final_refusal(&self.inbound, verdict, failure.reason));
             }
