--- a/crates/kelpworks-relay/src/relay/outcome.rs
+++ b/crates/kelpworks-relay/src/relay/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Replies to callers: responses of upstreams and the daemon's own refusals.
 
 use std::time::Duration;
 
@@ -12,47 +12,47 @@
 use salvo::Response;
 use salvo::http::ResBody;
 
-/// Pieces of a streamed answer; an error breaks the connection off, so that the answer does not
-/// look complete.
-pub(super) type Pieces = BoxStream<'static, std::io::Result<Bytes>>;
+/// Chunks of a streamed body; an error aborts the connection, so that the response does not look
+/// complete.
+pub(super) type BodyChunks = BoxStream<'static, std::io::Result<Bytes>>;
 
-/// An answer of the daemon's own.
+/// Refusal of a request by the daemon itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
-    /// Id of the request, empty where it has none.
+    /// Id of the request; empty if the caller sent none.
     pub(crate) request_id: Box<str>,
-    /// Status. 408, 421, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status. 408, 421, 429 and 503 guarantee that the request has not run and never will.
     pub(crate) status: StatusCode,
-    /// When to come back.
+    /// Value of the `Retry-After` header, sent with two decimals; `None` omits the header.
     pub(crate) retry_after: Option<Duration>,
-    /// Why, as a label of few values.
-    pub(crate) why: &'static str,
-    /// Version of the configuration that it was decided by.
+    /// Reason, sent in the body and used as a metric label, so with few distinct values.
+    pub(crate) reason: &'static str,
+    /// Version of the configuration that the decision was based on.
     pub(crate) version: u64,
 }
 
-/// What a request came to.
-pub(super) enum Outcome {
-    /// An upstream's answer, whole.
-    Whole {
+/// Reply to a request.
+pub(super) enum Reply {
+    /// An upstream's response, read whole.
+    Buffered {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     },
-    /// An upstream's answer as it comes.
+    /// An upstream's response, passed on as it arrives.
     Streamed {
         status: StatusCode,
         headers: HeaderMap,
-        pieces: Pieces,
+        chunks: BodyChunks,
     },
-    /// The daemon's own answer.
+    /// A refusal by the daemon.
     Refused(Refusal),
 }
 
-impl Outcome {
+impl Reply {
     pub(super) fn write(self, res: &mut Response) {
         match self {
-            Outcome::Whole {
+            Reply::Buffered {
                 status,
                 headers,
                 body,
@@ -61,16 +61,16 @@
                 *res.headers_mut() = end_to_end(headers);
                 res.body(ResBody::Once(body));
             }
-            Outcome::Streamed {
+            Reply::Streamed {
                 status,
                 headers,
-                pieces,
+                chunks,
             } => {
                 res.status_code(status);
                 *res.headers_mut() = end_to_end(headers);
-                res.stream(pieces);
+                res.stream(chunks);
             }
-            Outcome::Refused(refusal) => refusal.write(res),
+            Reply::Refused(refusal) => refusal.write(res),
         }
     }
 }
@@ -84,14 +84,14 @@
                 res.headers_mut().insert(header::RETRY_AFTER, value);
             }
         }
-        let body = serde_json::json!({ "error": self.why }).to_string();
+        let body = serde_json::json!({ "error": self.reason }).to_string();
         let json = HeaderValue::from_static("application/json");
         res.headers_mut().insert(header::CONTENT_TYPE, json);
         res.body(ResBody::Once(body.into()));
     }
 }
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -103,16 +103,16 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes out the headers that concern one connection only, with those that `connection` names.
+/// Removes the hop-by-hop headers, including those that `connection` names.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let hop_by_hop: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in CONNECTION_HEADERS.iter().chain(&named) {
+    for name in CONNECTION_HEADERS.iter().chain(&hop_by_hop) {
         headers.remove(name);
     }
     headers
