--- a/crates/kelpworks-relay/src/peers/store_tests.rs
+++ b/crates/kelpworks-relay/src/peers/store_tests.rs
@@ -1,16 +1,15 @@
-//! How a fleet follows the store while calls to it get lost, without a network: the daemons, their
-//! followers and their exchanges are the real code, the store is simulated, and time is virtual.
+//! Simulation of a fleet that watches the store while store calls are lost. Daemons, watchers and
+//! exchanges are the real code; the store is simulated and time is virtual.
 //!
-//! The pattern: a change has just been taken by all watchers, so that all of them make their next watch
-//! in the same moment, and it is lost: the store takes it while it is away and never answers it, or its
-//! connection goes silent. Nothing fails, so nothing is tried again before the wait of the watch is over.
-//! Seen once: for twenty seconds after an outage every new configuration was missed, callers with new
-//! keys got 401, and no line told it. No daemon had made a call meanwhile, though further daemons try a
-//! store that answers nobody: each watcher told the others that the store answered it as long as none of
-//! its calls had failed.
+//! Failure guarded against: all watchers have just received a change and make their next watch at
+//! the same moment, and these watches are lost. Either the store accepts them during an outage and
+//! never answers, or their connection stalls. No call fails, so none is retried before its wait is
+//! over. If each watcher reports the store as answering as long as none of its own calls has
+//! failed, no further daemon tries the store. Every new configuration was missed for twenty seconds
+//! after an outage in this way, callers with new keys got 401, and nothing was logged.
 //!
-//! The bounds are what operators are owed: a change is in force at all daemons three seconds after the
-//! store is back, or after the confirmation where that is later; five in a fleet of hundreds.
+//! Bounds: a change is active at all daemons three seconds after the store is back, or after its
+//! confirmation if that is later; five seconds in a fleet of hundreds.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -39,7 +38,7 @@
 
 use super::Peers;
 use super::StoreKind;
-use super::fleet_tests::Simulated;
+use super::fleet_tests::SimulatedFleet;
 use super::lock;
 use super::tests::Numbered;
 use super::tests::peers;
@@ -49,62 +48,63 @@
 use crate::store_cache::Source;
 use crate::store_watch::StoreWatcher;
 
-/// Time of an answer.
-const LATENCY: Duration = Duration::from_millis(4);
-/// Time in which a fleet of any size has settled, and in which a change reaches all on a calm day.
-const CALM: Duration = Duration::from_secs(8);
-/// From a change to just before all watchers make their next watch.
+/// Latency of a store answer.
+const STORE_LATENCY: Duration = Duration::from_millis(4);
+/// Time in which a fleet of any size completes discovery, and in which a change reaches all daemons
+/// while there are no failures.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+/// Time from a change to just before all watchers make their next watch.
 const BEFORE_NEXT_WATCH: Duration = Duration::from_millis(100);
 
-/// How calls to the store get lost.
+/// How store calls are lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// It answers none for so long, also not those that it took meanwhile.
+    /// The store answers no call for this time, including calls accepted meanwhile.
     Outage(Duration),
-    /// Calls that are waited for are never answered; new ones are.
+    /// Pending calls are never answered; new calls are.
     Pending,
 }
 
-/// A store with one configuration and one entry of an upstream, which are numbers.
+/// A store with one configuration and one upstream entry, whose bodies are numbers.
 #[derive(Debug, Default)]
 struct Store {
     state: Mutex<State>,
     changed: Notify,
 }
 
-/// What the store keeps, and loses when it comes back from a copy.
+/// Contents of the store, which a restore resets to those of the copy.
 #[derive(Clone, Copy, Debug, Default)]
-struct Kept {
+struct Contents {
     revision: u64,
-    /// Number and revision of each kind's object.
+    /// Number and revision of the object of each kind.
     objects: [(u64, u64); 2],
 }
 
 #[derive(Debug, Default)]
 struct State {
     era: u64,
-    kept: Kept,
-    copy: Kept,
-    is_away: bool,
-    /// Daemons that it does not answer.
+    contents: Contents,
+    copy: Contents,
+    is_unavailable: bool,
+    /// Daemons whose calls are not answered.
     cut_off: HashSet<Arc<str>>,
-    /// Calls from before are never answered.
+    /// Calls begun at or before this time are never answered.
     lost_before: Option<Instant>,
     calls: usize,
 }
 
 impl Store {
-    fn put(&self, what: StoreKind, number: u64) {
+    fn put(&self, store_kind: StoreKind, number: u64) {
         let mut state = lock(&self.state);
-        state.kept.revision += 1;
-        state.kept.objects[what as usize] = (number, state.kept.revision);
+        state.contents.revision += 1;
+        state.contents.objects[store_kind as usize] = (number, state.contents.revision);
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Writes the object of the kind that isn't looked at.
-    fn put_others(&self, what: StoreKind, numbers: Range<u64>) {
-        let other = match what {
+    /// Writes the object of the kind that is not under test.
+    fn put_other_kind(&self, store_kind: StoreKind, numbers: Range<u64>) {
+        let other = match store_kind {
             StoreKind::Configuration => StoreKind::Upstreams,
             StoreKind::Upstreams => StoreKind::Configuration,
         };
@@ -115,20 +115,20 @@
 
     fn take_copy(&self) {
         let mut state = lock(&self.state);
-        state.copy = state.kept;
+        state.copy = state.contents;
     }
 
-    /// Comes back from the copy: what was written since is gone.
+    /// Restores the copy; later writes are lost.
     fn restore(&self) {
         let mut state = lock(&self.state);
-        state.kept = state.copy;
+        state.contents = state.copy;
         state.era += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    fn set_away(&self, is_away: bool) {
-        lock(&self.state).is_away = is_away;
+    fn set_unavailable(&self, is_unavailable: bool) {
+        lock(&self.state).is_unavailable = is_unavailable;
         self.changed.notify_waiters();
     }
 
@@ -140,7 +140,7 @@
         lock(&self.state).calls
     }
 
-    /// Leaves a daemon without answers.
+    /// Stops answering a daemon.
     fn cut_off(&self, daemon: &Arc<str>) {
         lock(&self.state).cut_off.insert(Arc::clone(daemon));
     }
@@ -148,21 +148,21 @@
     fn begin(&self, daemon: &str) -> bool {
         let mut state = lock(&self.state);
         state.calls += 1;
-        !state.is_away && !state.cut_off.contains(daemon)
+        !state.is_unavailable && !state.cut_off.contains(daemon)
     }
 
-    /// Whether a call of a daemon that was begun then is answered now.
+    /// Returns whether a call that a daemon began at `begun` is answered now.
     fn answers(&self, daemon: &str, begun: Instant) -> bool {
         let state = lock(&self.state);
-        let reaches = !state.is_away && !state.cut_off.contains(daemon);
+        let reaches = !state.is_unavailable && !state.cut_off.contains(daemon);
         reaches && state.lost_before.is_none_or(|lost| lost < begun)
     }
 
-    fn object(&self, what: StoreKind) -> (Object, Version) {
+    fn object(&self, store_kind: StoreKind) -> (Object, Version) {
         let state = lock(&self.state);
-        let (number, revision) = state.kept.objects[what as usize];
+        let (number, revision) = state.contents.objects[store_kind as usize];
         let version = |revision| Version::new(Era(state.era), revision);
-        let (kind, name) = match what {
+        let (kind, name) = match store_kind {
             StoreKind::Configuration => {
                 (Numbered::CONFIGURATION_KIND, Numbered::CONFIGURATION_NAME)
             }
@@ -174,18 +174,18 @@
             version: version(revision),
             body: number.to_string(),
         };
-        (object, version(state.kept.revision))
+        (object, version(state.contents.revision))
     }
 }
 
-fn what(kind: &str) -> StoreKind {
+fn store_kind_of(kind: &str) -> StoreKind {
     match kind == Numbered::CONFIGURATION_KIND {
         true => StoreKind::Configuration,
         false => StoreKind::Upstreams,
     }
 }
 
-/// A daemon's client of the store.
+/// Store client of a daemon.
 #[derive(Debug)]
 struct Client {
     daemon: Arc<str>,
@@ -195,37 +195,37 @@
 }
 
 impl Client {
-    /// Waits as the store does for a change, which it judges by revisions alone.
+    /// Waits for a change like the real store, which compares revisions only and ignores eras.
     async fn changes(&self, kind: &str, from: u64, wait: Duration) -> Result<WatchReply> {
         let begun = Instant::now();
-        let given_up = begun + wait + self.deadlines.watch_margin;
+        let deadline = begun + wait + self.deadlines.watch_margin;
         if !self.store.begin(&self.daemon) {
-            tokio::time::sleep_until(given_up).await;
+            tokio::time::sleep_until(deadline).await;
             return Err(Error::Silent);
         }
-        tokio::time::sleep(LATENCY).await;
+        tokio::time::sleep(STORE_LATENCY).await;
         loop {
             let changed = self.store.changed.notified();
-            let (object, version) = self.store.object(what(kind));
+            let (object, version) = self.store.object(store_kind_of(kind));
             let answers = self.store.answers(&self.daemon, begun);
-            let is_news = object.version.revision > from;
+            let is_changed = object.version.revision > from;
             if answers && version.revision < from {
                 self.eras.check_response_era(Some(version.era))?;
                 return Err(Error::Expired);
             }
-            if answers && (is_news || begun.elapsed() >= wait) {
+            if answers && (is_changed || begun.elapsed() >= wait) {
                 self.eras.check_response_era(Some(version.era))?;
                 let kind = WatchEventKind::Put;
                 let event = WatchEvent { kind, object };
-                let events = is_news.then_some(event).into_iter().collect();
+                let events = is_changed.then_some(event).into_iter().collect();
                 return Ok(WatchReply { events, version });
             }
-            if Instant::now() >= given_up {
+            if Instant::now() >= deadline {
                 return Err(Error::Silent);
             }
             let until = match begun.elapsed() < wait {
                 true => begun + wait,
-                false => given_up,
+                false => deadline,
             };
             let _ = tokio::time::timeout_at(until, changed).await;
         }
@@ -247,13 +247,13 @@
 
     async fn list(&self, kind: &str) -> Result<ObjectList> {
         let begun = Instant::now();
-        let is_taken = self.store.begin(&self.daemon);
-        tokio::time::sleep(LATENCY).await;
-        if !is_taken || !self.store.answers(&self.daemon, begun) {
+        let is_reachable = self.store.begin(&self.daemon);
+        tokio::time::sleep(STORE_LATENCY).await;
+        if !is_reachable || !self.store.answers(&self.daemon, begun) {
             tokio::time::sleep(self.deadlines.call).await;
             return Err(Error::Lost);
         }
-        let (object, version) = self.store.object(what(kind));
+        let (object, version) = self.store.object(store_kind_of(kind));
         self.eras.check_response_era(Some(version.era))?;
         let items = vec![object];
         Ok(ObjectList { items, version })
@@ -271,8 +271,8 @@
     fn reset_connections(&self) {}
 }
 
-/// Lets a daemon follow both kinds.
-fn follow(peers: &Arc<Peers>, store: &Arc<Store>, stop: &CancellationToken) {
+/// Starts the watchers of both kinds for a daemon.
+fn spawn_watchers(peers: &Arc<Peers>, store: &Arc<Store>, stop: &CancellationToken) {
     for store_kind in [StoreKind::Configuration, StoreKind::Upstreams] {
         let client = Client {
             daemon: Arc::clone(&peers.name),
@@ -280,41 +280,41 @@
             deadlines: Deadlines::default(),
             eras: peers.eras.clone(),
         };
-        let follower = StoreWatcher {
+        let watcher = StoreWatcher {
             api: Arc::new(client),
             store_cache: Arc::clone(&peers.store_cache),
             peers: Arc::clone(peers),
             store_kind,
         };
-        tokio::spawn(follower.run::<Numbered>(stop.clone()));
+        tokio::spawn(watcher.run::<Numbered>(stop.clone()));
     }
 }
 
-/// A fleet that follows a store, settled, with the first configuration and entry.
-async fn following(size: usize) -> (Simulated, Arc<Store>, CancellationToken) {
+/// A fleet after discovery that watches a store and has its first configuration and entry.
+async fn start_following(size: usize) -> (SimulatedFleet, Arc<Store>, CancellationToken) {
     let store = Arc::new(Store::default());
-    for what in [StoreKind::Configuration, StoreKind::Upstreams] {
-        store.put(what, 1);
+    for store_kind in [StoreKind::Configuration, StoreKind::Upstreams] {
+        store.put(store_kind, 1);
     }
-    let mut fleet = Simulated::start(size);
+    let mut fleet = SimulatedFleet::start(size);
     let stop = CancellationToken::new();
     for peers in &fleet.all {
-        follow(peers, &store, &stop);
+        spawn_watchers(peers, &store, &stop);
     }
-    fleet.run(CALM).await;
-    assert_eq!(behind(&fleet, &store, StoreKind::Configuration), 0);
+    fleet.run(SETTLE_TIME).await;
+    assert_eq!(count_behind(&fleet, &store, StoreKind::Configuration), 0);
     (fleet, store, stop)
 }
 
-/// Daemons that do not hold what the store does.
-fn behind(fleet: &Simulated, store: &Store, what: StoreKind) -> usize {
-    fleet.count(|me| !holds(me, store, what))
+/// Number of daemons whose data differs from that of the store.
+fn count_behind(fleet: &SimulatedFleet, store: &Store, store_kind: StoreKind) -> usize {
+    fleet.count(|me| !holds(me, store, store_kind))
 }
 
-/// Whether a daemon holds what the store does.
-fn holds(me: &Peers, store: &Store, what: StoreKind) -> bool {
-    let (object, _) = store.object(what);
-    match what {
+/// Returns whether a daemon's data equals that of the store.
+fn holds(me: &Peers, store: &Store, store_kind: StoreKind) -> bool {
+    let (object, _) = store.object(store_kind);
+    match store_kind {
         StoreKind::Configuration => me.store_cache.version().to_string() == object.body,
         StoreKind::Upstreams => {
             let entries = me.store_cache.entries();
@@ -326,8 +326,8 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_change_is_in_force_soon_after_calls_to_the_store_got_lost(
-    #[values(StoreKind::Configuration, StoreKind::Upstreams)] what: StoreKind,
+async fn change_is_active_soon_after_store_calls_were_lost(
+    #[values(StoreKind::Configuration, StoreKind::Upstreams)] store_kind: StoreKind,
     #[values(
         Loss::Outage(Duration::from_millis(400)),
         Loss::Outage(Duration::from_millis(6_800)),
@@ -336,46 +336,46 @@
     loss: Loss,
     #[values((9, 3), (66, 4), (295, 5))] (size, within_s): (usize, u64),
 ) {
-    let (mut fleet, store, stop) = following(size).await;
-    store.put(what, 2);
+    let (mut fleet, store, stop) = start_following(size).await;
+    store.put(store_kind, 2);
     match loss {
         Loss::Outage(span) => {
             fleet.run(BEFORE_NEXT_WATCH).await;
-            store.set_away(true);
+            store.set_unavailable(true);
             fleet.run(span).await;
-            store.set_away(false);
+            store.set_unavailable(false);
         }
         Loss::Pending => {
-            fleet.run(CALM).await;
+            fleet.run(SETTLE_TIME).await;
             store.lose_pending();
         }
     }
-    store.put(what, 3);
+    store.put(store_kind, 3);
     fleet.run(Duration::from_secs(within_s)).await;
-    let behind = behind(&fleet, &store, what);
+    let behind = count_behind(&fleet, &store, store_kind);
     assert_eq!(behind, 0, "of {size} daemons, after {within_s} s");
     stop.cancel();
 }
 
-/// How the store comes back from an older copy.
+/// How the store is restored from an older copy.
 #[derive(Clone, Copy, Debug)]
 enum Restore {
-    /// Between two calls.
+    /// Immediately, between two calls.
     AtOnce,
-    /// After it has answered nobody for so long.
+    /// After an outage of this duration.
     AfterOutage(Duration),
-    /// Twice, the second time while upstreams and operators write again.
+    /// Twice, the second time while upstreams and operators repeat their writes.
     Twice,
-    /// While it turns away all daemons that watch it, for so long.
+    /// During an outage, so that no watcher sees the restore before this time has passed.
     UnseenByWatchers(Duration),
 }
 
-/// A store that comes back from an older copy gives revisions out again. A watch from one that it had
-/// given out before misses what is written now, and nobody takes what looks older than what is held.
+/// A restored store assigns the same revisions again. A watch from a revision assigned before the
+/// restore misses new writes, and daemons ignore objects that look older than their own.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_change_is_in_force_soon_after_the_store_came_back_from_an_older_copy(
-    #[values(StoreKind::Configuration, StoreKind::Upstreams)] what: StoreKind,
+async fn change_is_active_soon_after_the_store_was_restored_from_a_backup(
+    #[values(StoreKind::Configuration, StoreKind::Upstreams)] store_kind: StoreKind,
     #[values(
         Restore::AtOnce,
         Restore::AfterOutage(Duration::from_millis(400)),
@@ -390,68 +390,68 @@
     ),
     #[values((9, 3), (66, 4), (295, 5))] (size, within_s): (usize, u64),
 ) {
-    let (mut fleet, store, stop) = following(size).await;
+    let (mut fleet, store, stop) = start_following(size).await;
     store.take_copy();
-    store.put(what, 2);
-    store.put_others(what, 2..6);
-    fleet.run(CALM).await;
+    store.put(store_kind, 2);
+    store.put_other_kind(store_kind, 2..6);
+    fleet.run(SETTLE_TIME).await;
     match restore {
         Restore::AtOnce => store.restore(),
         Restore::AfterOutage(span) => {
-            store.set_away(true);
+            store.set_unavailable(true);
             fleet.run(span).await;
             store.restore();
-            store.set_away(false);
+            store.set_unavailable(false);
         }
         Restore::Twice => {
             store.restore();
             fleet.run(Duration::from_secs(1)).await;
-            store.put(what, 2);
+            store.put(store_kind, 2);
             store.restore();
         }
         Restore::UnseenByWatchers(span) => {
-            store.set_away(true);
+            store.set_unavailable(true);
             store.restore();
             fleet.run(span).await;
-            store.set_away(false);
+            store.set_unavailable(false);
         }
     }
-    // What the operators and upstreams had written is written again, and a change after it. Revisions then
-    // stay below those that were seen before, or pass them before any watcher has asked.
+    // Operators and upstreams repeat their lost writes, and a change follows. Revisions then stay
+    // below those seen before the restore, or exceed them before any watcher has called.
     fleet.run(written_after).await;
-    store.put(what, 2);
-    store.put(what, 3);
-    store.put_others(what, 6..6 + others);
+    store.put(store_kind, 2);
+    store.put(store_kind, 3);
+    store.put_other_kind(store_kind, 6..6 + others);
     fleet.run(Duration::from_secs(within_s)).await;
-    let behind = behind(&fleet, &store, what);
+    let behind = count_behind(&fleet, &store, store_kind);
     assert_eq!(behind, 0, "of {size} daemons, after {within_s} s");
     stop.cancel();
 }
 
-/// What a daemon is cut off from.
+/// Connection that is cut.
 #[derive(Clone, Copy, Debug)]
 enum CutOff {
-    /// The store, but not its peers: so are all that watch it.
+    /// All watchers lose the store but reach their peers.
     Store,
-    /// Its peers, but not the store.
+    /// Two daemons lose their peers but reach the store.
     Peers,
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_change_after_a_restore_reaches_daemons_that_are_cut_off_from_some_others(
-    #[values(StoreKind::Configuration, StoreKind::Upstreams)] what: StoreKind,
+async fn change_after_a_restore_reaches_partly_isolated_daemons(
+    #[values(StoreKind::Configuration, StoreKind::Upstreams)] store_kind: StoreKind,
     #[values(CutOff::Store, CutOff::Peers)] cut_off: CutOff,
     #[values((9, 3), (66, 4), (295, 5))] (size, within_s): (usize, u64),
 ) {
-    let (mut fleet, store, stop) = following(size).await;
+    let (mut fleet, store, stop) = start_following(size).await;
     store.take_copy();
-    store.put(what, 2);
-    fleet.run(CALM).await;
+    store.put(store_kind, 2);
+    fleet.run(SETTLE_TIME).await;
     let mut alone = Vec::new();
     match cut_off {
         CutOff::Store => {
-            let watches = |me: &&Arc<Peers>| me.watch_role(what).is_some();
+            let watches = |me: &&Arc<Peers>| me.watch_role(store_kind).is_some();
             for me in fleet.all.iter().filter(watches) {
                 store.cut_off(&me.name);
             }
@@ -463,30 +463,35 @@
             }
         }
     }
-    fleet.run(CALM).await;
+    fleet.run(SETTLE_TIME).await;
     store.restore();
     fleet.run(Duration::from_millis(500)).await;
-    store.put(what, 2);
-    store.put(what, 3);
+    store.put(store_kind, 2);
+    store.put(store_kind, 3);
     fleet.run(Duration::from_secs(within_s)).await;
-    assert_eq!(behind(&fleet, &store, what), 0, "of {size} daemons");
+    assert_eq!(
+        count_behind(&fleet, &store, store_kind),
+        0,
+        "of {size} daemons"
+    );
     for me in alone {
-        assert!(holds(&me, &store, what), "a daemon without peers");
+        assert!(holds(&me, &store, store_kind), "a daemon without peers");
     }
     stop.cancel();
 }
 
-/// Guards against watchers that are replaced one after the other while a part of the fleet is cut off.
+/// Guards against replacing lost watchers one after the other while a part of the fleet is
+/// isolated.
 #[rstest]
 #[case::small(9, 3)]
 #[case::larger(66, 3)]
 #[tokio::test(start_paused = true)]
-async fn a_change_is_in_force_soon_after_a_third_of_the_fleet_was_cut_off(
+async fn change_is_active_soon_after_a_third_of_the_fleet_was_isolated(
     #[case] size: usize,
     #[case] within_s: u64,
     #[values(false, true)] from_peers: bool,
 ) {
-    let (mut fleet, store, stop) = following(size).await;
+    let (mut fleet, store, stop) = start_following(size).await;
     let watches = |me: &Peers| me.watch_role(StoreKind::Configuration).is_some();
     let (mut cut_off, others): (Vec<usize>, Vec<usize>) =
         (0..size).partition(|&n| watches(&fleet.all[n]));
@@ -501,46 +506,44 @@
     fleet.run(Duration::from_secs(1)).await;
     store.put(StoreKind::Configuration, 2);
     fleet.run(Duration::from_secs(within_s)).await;
-    let behind = behind(&fleet, &store, StoreKind::Configuration);
+    let behind = count_behind(&fleet, &store, StoreKind::Configuration);
     assert_eq!(behind, 0, "of {size} daemons, after {within_s} s");
     stop.cancel();
 }
 
-/// The copy shows an older configuration until its operators have written the newer one again.
+/// A restored store shows an older configuration until operators write the newer one again.
 #[rstest]
 #[case::small(9)]
 #[case::larger(66)]
 #[tokio::test(start_paused = true)]
-async fn no_configuration_goes_back_and_a_daemon_that_starts_takes_the_one_of_its_peers(
+async fn restore_rolls_back_no_daemon_and_a_starting_daemon_takes_the_configuration_of_its_peers(
     #[case] size: usize,
 ) {
-    let (mut fleet, store, stop) = following(size).await;
+    let (mut fleet, store, stop) = start_following(size).await;
     store.take_copy();
     store.put(StoreKind::Configuration, 2);
-    fleet.run(CALM).await;
+    fleet.run(SETTLE_TIME).await;
     store.restore();
     fleet.run(Duration::from_secs(1)).await;
     let new = Arc::new(peers(size));
-    follow(&new, &store, &stop);
+    spawn_watchers(&new, &store, &stop);
     fleet.join(new);
     for _ in 0..20 {
         fleet.run(Duration::from_millis(250)).await;
         let older = fleet.count(|me| me.store_cache.version() == 1);
-        assert_eq!(older, 0, "daemons that serve by the older copy");
+        assert_eq!(older, 0, "daemons with the configuration of the older copy");
     }
     assert_eq!(fleet.count(|me| me.store_cache.version() == 2), size + 1);
     stop.cancel();
 }
 
-/// A change is one of the list that it was watched from. On top of another era's it would hide what that lacks.
+/// A change applies to the list that its watch started from. Applied to entries of another era it
+/// would hide that they lack other changes.
 #[rstest]
 #[case::of_an_earlier_era(Version::initial(9), "1")]
 #[case::of_a_later_era(Version::new(Era(2), 2), "1")]
 #[case::of_the_same_era(Version::new(Era(1), 4), "2")]
-fn a_change_counts_only_on_top_of_a_list_of_its_own_era(
-    #[case] version: Version,
-    #[case] expected: &str,
-) {
+fn change_applies_only_to_entries_of_its_own_era(#[case] version: Version, #[case] expected: &str) {
     let me = peers(0);
     let name: Arc<str> = Arc::from("e-1");
     let held = Entries {
@@ -558,39 +561,40 @@
     assert_eq!(texts.get(&name).map(|text| &**text), Some(expected));
 }
 
-/// Each call is paid for by operators: a restored store costs no more of them than an outage.
+/// Operators pay for each call: a restore must cost no more calls than an outage.
 #[rstest]
 #[case::small(9)]
 #[case::large(295)]
 #[tokio::test(start_paused = true)]
-async fn a_restored_store_is_asked_no_more_than_one_that_was_away(#[case] size: usize) {
+async fn restore_causes_no_more_store_calls_than_an_outage(#[case] size: usize) {
     let mut calls = Vec::new();
     for restores in [false, true] {
-        let (mut fleet, store, stop) = following(size).await;
+        let (mut fleet, store, stop) = start_following(size).await;
         store.take_copy();
         store.put(StoreKind::Upstreams, 2);
-        fleet.run(CALM).await;
+        fleet.run(SETTLE_TIME).await;
         let before = store.calls();
-        store.set_away(true);
+        store.set_unavailable(true);
         fleet.run(Duration::from_secs(1)).await;
         if restores {
             store.restore();
         }
-        store.set_away(false);
-        fleet.run(CALM).await;
+        store.set_unavailable(false);
+        fleet.run(SETTLE_TIME).await;
         calls.push(store.calls() - before);
         stop.cancel();
     }
     assert!(calls[1] <= calls[0] + 8, "calls: {calls:?}");
 }
 
-/// Each call is paid for by operators: on a calm day the whole fleet makes under two a second.
+/// Operators pay for each call: without changes or failures the whole fleet makes fewer than two
+/// calls a second.
 #[rstest]
 #[case::small(9)]
 #[case::large(295)]
 #[tokio::test(start_paused = true)]
-async fn a_calm_fleet_asks_the_store_less_than_twice_a_second(#[case] size: usize) {
-    let (mut fleet, store, stop) = following(size).await;
+async fn settled_fleet_makes_fewer_than_two_store_calls_a_second(#[case] size: usize) {
+    let (mut fleet, store, stop) = start_following(size).await;
     let before = store.calls();
     fleet.run(Duration::from_secs(30)).await;
     let calls = store.calls() - before;
