--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -313,7 +313,7 @@
             },
             idempotent: call.idempotent,
             attempts: call.attempts,
-            left: (call.came + DEADLINE).saturating_sub(now),
+            time_left: (call.came + DEADLINE).saturating_sub(now),
         };
         match daemon.budget.decide(now, &attempt, &mut self.rng) {
             Decision::RetryAfter(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
--- a/crates/kelpworks/examples/measure/decision.rs
+++ b/crates/kelpworks/examples/measure/decision.rs
@@ -179,7 +179,7 @@
 pub(crate) fn fair_admission(teams: usize, seed: u64) -> f64 {
     let names: Vec<String> = (0..teams).map(|t| format!("team-{t}")).collect();
     let mut queue = Queue::new(Config {
-        queue: u32::MAX,
+        max_waiting: u32::MAX,
         seed: Some(seed),
         ..Config::default()
     });
--- a/crates/kelpworks/examples/measure/fairness.rs
+++ b/crates/kelpworks/examples/measure/fairness.rs
@@ -68,10 +68,10 @@
     fn new(seed: u64, weights: Vec<u32>) -> Fair {
         let slots = SLOTS as u32;
         let cfg = Config {
-            queue: QUEUE as u32,
-            limit: slots,
-            limit_min: slots,
-            limit_max: slots,
+            max_waiting: QUEUE as u32,
+            initial_limit: slots,
+            min_limit: slots,
+            max_limit: slots,
             seed: Some(seed),
             ..Config::default()
         };
--- a/crates/kelpworks/examples/measure/overload_policy.rs
+++ b/crates/kelpworks/examples/measure/overload_policy.rs
@@ -377,8 +377,8 @@
             queues: Default::default(),
             outcome: Outcome::default(),
             patience: (
-                cfg.paying_delay * cfg.max_wait_factor,
-                cfg.trial_delay * cfg.max_wait_factor,
+                cfg.max_paying_delay * cfg.max_wait_factor,
+                cfg.max_trial_delay * cfg.max_wait_factor,
             ),
         };
         world.run()
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -204,8 +204,8 @@
     fn new(skew: f64, seed: u64) -> Gate {
         let cfg = admission::Config {
             // Only the trial rate is to bound them here.
-            limit: 100_000,
-            limit_max: 100_000,
+            initial_limit: 100_000,
+            max_limit: 100_000,
             seed: Some(seed),
             ..admission::Config::default()
         };
--- a/crates/kelpworks/src/admission/config.rs
+++ b/crates/kelpworks/src/admission/config.rs
@@ -7,29 +7,29 @@
 /// ```
 /// use kelpworks::admission::Config;
 ///
-/// let cfg = Config { queue: 64, ..Config::default() };
-/// assert!(cfg.trial_delay < cfg.paying_delay);
+/// let cfg = Config { max_waiting: 64, ..Config::default() };
+/// assert!(cfg.max_trial_delay < cfg.max_paying_delay);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Requests waiting, at most, over all teams of a class. Default 1024.
-    pub queue: u32,
+    pub max_waiting: u32,
     /// Requests of one team waiting, at most. Default 256.
-    pub team_queue: u32,
+    pub max_team_waiting: u32,
     /// Longest expected queue delay of a paying request that is queued. Default 5 s.
-    pub paying_delay: Duration,
+    pub max_paying_delay: Duration,
     /// Longest expected queue delay of a trial request that is queued. Default 500 ms, far below
     /// that of paying ones, so that trials are refused first and early.
-    pub trial_delay: Duration,
+    pub max_trial_delay: Duration,
     /// A request that has waited so many times its longest expected delay is refused. Default 2:
     /// the estimate may be off by as much.
     pub max_wait_factor: u32,
     /// Paying requests in service, and room for trials, at the start. Default 64.
-    pub limit: u32,
+    pub initial_limit: u32,
     /// The least that either falls to. Default 4.
-    pub limit_min: u32,
+    pub min_limit: u32,
     /// The greatest that either grows to. Default 4096.
-    pub limit_max: u32,
+    pub max_limit: u32,
     /// Token time that is aimed at: limits grow up to it, as more requests at once mean more
     /// tokens a second. Default 50 ms. Before engines that do not serve paying steps first, trials
     /// lengthen paying tokens up to this; there, a lower one protects paying callers.
@@ -53,14 +53,14 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            queue: 1024,
-            team_queue: 256,
-            paying_delay: Duration::from_secs(5),
-            trial_delay: Duration::from_millis(500),
+            max_waiting: 1024,
+            max_team_waiting: 256,
+            max_paying_delay: Duration::from_secs(5),
+            max_trial_delay: Duration::from_millis(500),
             max_wait_factor: 2,
-            limit: 64,
-            limit_min: 4,
-            limit_max: 4096,
+            initial_limit: 64,
+            min_limit: 4,
+            max_limit: 4096,
             token_target: Duration::from_millis(50),
             tolerance: 2.0,
             interval: Duration::from_millis(100),
--- a/crates/kelpworks/src/admission/fair.rs
+++ b/crates/kelpworks/src/admission/fair.rs
@@ -21,7 +21,7 @@
 const UNIT: u64 = 1 << 16;
 
 /// Teams kept before idle ones are forgotten for the first time.
-const SWEEP: usize = 64;
+const INITIAL_SWEEP_LEN: usize = 64;
 
 new_key_type! {
     /// Key of a team.
@@ -30,7 +30,7 @@
 
 /// Where a request waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Place {
+pub(super) struct WaitingKey {
     team: TeamKey,
     number: u64,
 }
@@ -64,7 +64,7 @@
     /// Teams with requests waiting, by virtual start time.
     order: BTreeSet<(u64, TeamKey)>,
     /// Virtual start time of the request served last; never falls.
-    now: u64,
+    virtual_now: u64,
     next_number: u64,
     len: u32,
     /// Sum of the cost of all waiting requests.
@@ -72,7 +72,7 @@
     /// Sum of the weights of the teams in `order`.
     weight: u64,
     /// Number of teams at which idle ones are forgotten.
-    sweep_at: usize,
+    sweep_len: usize,
 }
 
 impl FairQueue {
@@ -97,17 +97,23 @@
     pub(super) fn cost_ahead(&self, name: &str, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let team = self.by_name.get(name).map(|&key| &self.teams[key]);
-        let (own, known) = match team {
+        let (own_cost, own_weight) = match team {
             Some(t) if !t.waiting.is_empty() => (t.cost, u64::from(t.weight)),
             _ => (0, 0),
         };
-        let weights = self.weight - known + weight;
-        let share = own.saturating_mul(weights) / weight;
+        let weights = self.weight - own_weight + weight;
+        let share = own_cost.saturating_mul(weights) / weight;
         share.min(self.cost)
     }
 
     /// Puts a request behind those of its team.
-    pub(super) fn push(&mut self, name: &str, weight: u32, cost: u32, ticket: Ticket) -> Place {
+    pub(super) fn push(
+        &mut self,
+        name: &str,
+        weight: u32,
+        cost: u32,
+        ticket: Ticket,
+    ) -> WaitingKey {
         let key = self.team_key(name);
         let team = &mut self.teams[key];
         if !team.waiting.is_empty() {
@@ -116,7 +122,7 @@
         team.weight = weight.max(1);
         self.weight += u64::from(team.weight);
         if team.waiting.is_empty() {
-            team.start = team.finish.max(self.now);
+            team.start = team.finish.max(self.virtual_now);
             self.order.insert((team.start, key));
         }
         let number = self.next_number;
@@ -125,7 +131,7 @@
         team.cost += u64::from(cost);
         self.cost += u64::from(cost);
         self.len += 1;
-        Place { team: key, number }
+        WaitingKey { team: key, number }
     }
 
     /// Takes the next request to serve.
@@ -134,8 +140,8 @@
         let team = &mut self.teams[key];
         let (&number, &next) = team.waiting.first_key_value()?;
         team.finish = start + virtual_cost(next.cost, team.weight);
-        self.now = self.now.max(start);
-        self.take(Place { team: key, number });
+        self.virtual_now = self.virtual_now.max(start);
+        self.unlink(WaitingKey { team: key, number });
         let team = &mut self.teams[key];
         if !team.waiting.is_empty() {
             self.order.remove(&(start, key));
@@ -146,8 +152,8 @@
     }
 
     /// Takes a waiting request out; nothing is charged to its team.
-    pub(super) fn remove(&mut self, place: Place) {
-        self.take(place);
+    pub(super) fn remove(&mut self, waiting_key: WaitingKey) {
+        self.unlink(waiting_key);
     }
 
     /// Gives a team back what a request did not use of its cost.
@@ -160,27 +166,27 @@
         team.finish = team
             .finish
             .saturating_sub(back)
-            .max(self.now.min(team.finish));
+            .max(self.virtual_now.min(team.finish));
         if !team.waiting.is_empty() {
             self.order.remove(&(team.start, key));
-            team.start = team.finish.max(self.now);
+            team.start = team.finish.max(self.virtual_now);
             self.order.insert((team.start, key));
         }
     }
 
-    fn take(&mut self, place: Place) {
-        let Some(team) = self.teams.get_mut(place.team) else {
+    fn unlink(&mut self, waiting_key: WaitingKey) {
+        let Some(team) = self.teams.get_mut(waiting_key.team) else {
             return;
         };
-        let Some(taken) = team.waiting.remove(&place.number) else {
+        let Some(unlinked) = team.waiting.remove(&waiting_key.number) else {
             return;
         };
-        team.cost -= u64::from(taken.cost);
-        self.cost -= u64::from(taken.cost);
+        team.cost -= u64::from(unlinked.cost);
+        self.cost -= u64::from(unlinked.cost);
         self.len -= 1;
         if team.waiting.is_empty() {
             self.weight -= u64::from(team.weight);
-            self.order.remove(&(team.start, place.team));
+            self.order.remove(&(team.start, waiting_key.team));
         }
     }
 
@@ -188,9 +194,9 @@
         if let Some(&key) = self.by_name.get(name) {
             return key;
         }
-        if self.teams.len() >= self.sweep_at.max(SWEEP) {
-            self.forget_idle();
-            self.sweep_at = self.teams.len() * 2;
+        if self.teams.len() >= self.sweep_len.max(INITIAL_SWEEP_LEN) {
+            self.evict_idle();
+            self.sweep_len = self.teams.len() * 2;
         }
         let name: Arc<str> = Arc::from(name);
         let key = self.teams.insert(Team {
@@ -206,11 +212,11 @@
     }
 
     /// Forgets teams that a new one of the same name would not differ from.
-    fn forget_idle(&mut self) {
-        let now = self.now;
+    fn evict_idle(&mut self) {
+        let virtual_now = self.virtual_now;
         let by_name = &mut self.by_name;
         self.teams.retain(|_, team| {
-            let keep = !team.waiting.is_empty() || team.finish > now;
+            let keep = !team.waiting.is_empty() || team.finish > virtual_now;
             if !keep {
                 by_name.remove(&team.name);
             }
--- a/crates/kelpworks/src/admission/limit.rs
+++ b/crates/kelpworks/src/admission/limit.rs
@@ -13,27 +13,27 @@
 use kelpworks_wire::Class;
 
 /// Factor by which a limit falls.
-const DECREASE: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 
 /// Part of a limit that is added in each interval, and at least 1.
-const INCREASE: f64 = 1.0 / 8.0;
+const INCREASE_FRACTION: f64 = 1.0 / 8.0;
 
 /// Growth of a floor in each interval; forgets a floor that a changed fleet no longer reaches,
 /// within minutes.
 const FLOOR_GROWTH: f64 = 1.0005;
 
 /// Multiple of the token time aimed at for paying requests up to which trials may slow down.
-const TRIAL_PATIENCE: f64 = 2.0;
+const TRIAL_SLOWDOWN: f64 = 2.0;
 
 /// Multiple of the token time aimed at up to which paying requests may slow each other down. A
 /// lower one only moves their wait from the engines into the daemon, and refuses some of them.
-const PAYING_PATIENCE: f64 = 4.0;
+const PAYING_SLOWDOWN: f64 = 4.0;
 
 /// Part of the room that trials may take while they hold.
-const HELD_SHARE: f64 = 0.05;
+const PAUSED_SHARE: f64 = 0.05;
 
 /// Longest pause of a trial between two tokens.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Who was kept waiting, and who was in service, since the last adjustment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct Limits {
     paying: Aimd,
-    room: Aimd,
+    trial_ceiling: Aimd,
     paying_tokens: TokenTime,
     trial_tokens: TokenTime,
     tolerance: f64,
@@ -79,13 +79,13 @@
 impl Limits {
     pub(super) fn new(cfg: &Config) -> Limits {
         let aimd = |min: u32| Aimd {
-            limit: f64::from(cfg.limit),
+            limit: f64::from(cfg.initial_limit),
             min: f64::from(min.max(1)),
-            max: f64::from(cfg.limit_max.max(min).max(1)),
+            max: f64::from(cfg.max_limit.max(min).max(1)),
         };
         Limits {
-            paying: aimd(cfg.limit_min),
-            room: aimd(cfg.limit_min),
+            paying: aimd(cfg.min_limit),
+            trial_ceiling: aimd(cfg.min_limit),
             paying_tokens: TokenTime::new(),
             trial_tokens: TokenTime::new(),
             tolerance: cfg.tolerance,
@@ -99,19 +99,19 @@
     }
 
     /// Requests of both classes up to which trials may run; at least 1.
-    pub(super) fn room(&self) -> u32 {
-        self.room.get()
+    pub(super) fn trial_ceiling(&self) -> u32 {
+        self.trial_ceiling.get()
     }
 
     /// How long a trial holds between two tokens when so many do, so that they take at most
-    /// [`HELD_SHARE`] of the room together.
-    pub(super) fn pause(&self, held: usize) -> Duration {
+    /// [`PAUSED_SHARE`] of the room together.
+    pub(super) fn pause(&self, paused: usize) -> Duration {
         if !self.trial_tokens.floor.is_finite() {
             return Duration::ZERO;
         }
-        let share = f64::from(self.room()) * HELD_SHARE;
-        let pause = self.trial_tokens.floor * held as f64 / share;
-        Duration::from_secs_f64(pause.min(PAUSE_MAX.as_secs_f64()))
+        let share = f64::from(self.trial_ceiling()) * PAUSED_SHARE;
+        let pause = self.trial_tokens.floor * paused as f64 / share;
+        Duration::from_secs_f64(pause.min(MAX_PAUSE.as_secs_f64()))
     }
 
     /// Notes the time that a request took for one token over the whole pipeline.
@@ -127,25 +127,27 @@
     pub(super) fn adjust(&mut self, demand: Demand) {
         let paying = self.paying_tokens.mean();
         let trial = self.trial_tokens.mean();
-        let paying_slow = paying.is_some_and(|mean| mean > self.bound(&self.paying_tokens));
-        let trial_bound = self.bound(&self.trial_tokens) * TRIAL_PATIENCE;
-        let trial_slow = trial.is_some_and(|mean| mean > trial_bound);
+        let paying_slow =
+            paying.is_some_and(|mean| mean > self.max_token_time(&self.paying_tokens));
+        let max_trial_token_time = self.max_token_time(&self.trial_tokens) * TRIAL_SLOWDOWN;
+        let trial_slow = trial.is_some_and(|mean| mean > max_trial_token_time);
         if paying.is_some() {
             // While trials run, they are the ones to give way.
-            let bound = self.bound(&self.paying_tokens) * PAYING_PATIENCE;
-            let congested = paying.is_some_and(|mean| mean > bound);
-            let fall = congested && !demand.trials_ran;
-            self.paying.adjust(fall, demand.paying_waited && !congested);
+            let max_token_time = self.max_token_time(&self.paying_tokens) * PAYING_SLOWDOWN;
+            let congested = paying.is_some_and(|mean| mean > max_token_time);
+            let decrease = congested && !demand.trials_ran;
+            self.paying
+                .adjust(decrease, demand.paying_waited && !congested);
         }
         if paying.is_some() || trial.is_some() {
-            self.room
+            self.trial_ceiling
                 .adjust(paying_slow || trial_slow, demand.trials_waited);
         }
-        self.paying_tokens.next_interval();
-        self.trial_tokens.next_interval();
+        self.paying_tokens.start_interval();
+        self.trial_tokens.start_interval();
     }
 
-    fn bound(&self, tokens: &TokenTime) -> f64 {
+    fn max_token_time(&self, tokens: &TokenTime) -> f64 {
         (tokens.floor * self.tolerance).max(self.token_target)
     }
 }
@@ -155,11 +157,11 @@
         self.limit.clamp(self.min, self.max) as u32
     }
 
-    fn adjust(&mut self, fall: bool, grow: bool) {
-        if fall {
-            self.limit *= DECREASE;
-        } else if grow {
-            self.limit += (self.limit * INCREASE).max(1.0);
+    fn adjust(&mut self, decrease: bool, increase: bool) {
+        if decrease {
+            self.limit *= DECREASE_FACTOR;
+        } else if increase {
+            self.limit += (self.limit * INCREASE_FRACTION).max(1.0);
         }
         self.limit = self.limit.clamp(self.min, self.max);
     }
@@ -186,7 +188,7 @@
         (self.count > 0).then(|| self.sum / f64::from(self.count))
     }
 
-    fn next_interval(&mut self) {
+    fn start_interval(&mut self) {
         self.floor *= FLOOR_GROWTH;
         self.sum = 0.0;
         self.count = 0;
--- a/crates/kelpworks/src/admission/mod.rs
+++ b/crates/kelpworks/src/admission/mod.rs
@@ -13,8 +13,8 @@
 //!
 //! # async fn example() -> Result<(), kelpworks::admission::Refusal> {
 //! let admission = Admission::new(Config::default());
-//! let ask = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
-//! let permit = admission.admit(ask).await?;
+//! let request = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
+//! let permit = admission.admit(request).await?;
 //! permit.wait_until_resumed().await;
 //! permit.record_usage(80);
 //! # Ok(())
@@ -56,10 +56,10 @@
 
 /// How often a waiting request lets the queue do what has become due. Most things happen when
 /// another request ends; this is for the trial rate, which frees room as time passes.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stands in [`Place::used`] for a cost that is not known.
-const UNKNOWN: u32 = u32::MAX;
+/// Stands in [`TicketGuard::used_cost`] for a cost that is not known.
+const COST_UNKNOWN: u32 = u32::MAX;
 
 /// The result of this module.
 pub type Result<T> = std::result::Result<T, Refusal>;
@@ -95,7 +95,7 @@
 /// Leave to run one request; dropping it ends the request for admission.
 #[derive(Debug)]
 pub struct Permit {
-    place: Place,
+    guard: TicketGuard,
     class: Class,
 }
 
@@ -124,11 +124,11 @@
 
 /// A request's place in the queue or in service, given up when dropped.
 #[derive(Debug)]
-struct Place {
+struct TicketGuard {
     shared: Arc<Shared>,
     ticket: Ticket,
     waker: Arc<Waker>,
-    used: AtomicU32,
+    used_cost: AtomicU32,
 }
 
 impl Default for Admission {
@@ -160,11 +160,11 @@
     ///
     /// A refusal at once where the wait would be too long, and later where the estimate of the
     /// wait was wrong; the request has not run.
-    pub async fn admit(&self, ask: AdmissionRequest<'_>) -> Result<Permit> {
-        let class = ask.class;
-        let place = self.shared.offer(&ask)?;
-        place.until_admitted(class).await?;
-        Ok(Permit { place, class })
+    pub async fn admit(&self, request: AdmissionRequest<'_>) -> Result<Permit> {
+        let class = request.class;
+        let guard = self.shared.offer(&request)?;
+        guard.wait_until_admitted(class).await?;
+        Ok(Permit { guard, class })
     }
 
     /// Sets the positions a second that trials may start on this daemon.
@@ -179,8 +179,8 @@
     }
 
     /// Looks at the queue, for status and metrics.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Queue) -> T) -> T {
-        look(&self.shared.lock().queue)
+    pub fn inspect<T>(&self, read: impl FnOnce(&Queue) -> T) -> T {
+        read(&self.shared.lock().queue)
     }
 }
 
@@ -191,8 +191,8 @@
         if self.class == Class::Paying {
             return;
         }
-        let pause = self.place.shared.lock().queue.trial_pause();
-        let resumed = self.place.until_may_run();
+        let pause = self.guard.shared.lock().queue.trial_pause();
+        let resumed = self.guard.wait_while_paused();
         // Running out of patience is leave to run one token: no trial starves.
         let _ = tokio::time::timeout(pause, resumed).await;
     }
@@ -201,13 +201,13 @@
     /// [`Permit::wait_until_resumed`]; the number of requests in service adapts to it.
     pub fn observe_token(&self, token: Duration) {
         let class = self.class;
-        let shared = &self.place.shared;
+        let shared = &self.guard.shared;
         shared.change(|queue, now| queue.observe_token(now, class, token));
     }
 
     /// Notes the positions that the request really ran; the rest of its cost is given back.
     pub fn record_usage(&self, positions: u32) {
-        self.place.used.store(positions, Ordering::Relaxed);
+        self.guard.used_cost.store(positions, Ordering::Relaxed);
     }
 }
 
@@ -221,22 +221,22 @@
         Instant::now().saturating_duration_since(self.start)
     }
 
-    fn offer(self: &Arc<Shared>, ask: &AdmissionRequest<'_>) -> Result<Place> {
-        if ask.class == Class::Trial {
-            let cost = u64::from(ask.cost);
+    fn offer(self: &Arc<Shared>, request: &AdmissionRequest<'_>) -> Result<TicketGuard> {
+        if request.class == Class::Trial {
+            let cost = u64::from(request.cost);
             self.trial_demand.fetch_add(cost, Ordering::Relaxed);
         }
         let mut state = self.lock();
         let now = self.now();
-        let ticket = state.queue.offer(now, ask)?;
+        let ticket = state.queue.offer(now, request)?;
         let waker = Arc::new(Waker::default());
         state.wakers.insert(ticket, Arc::clone(&waker));
         state.wake();
-        Ok(Place {
+        Ok(TicketGuard {
             shared: Arc::clone(self),
             ticket,
             waker,
-            used: AtomicU32::new(UNKNOWN),
+            used_cost: AtomicU32::new(COST_UNKNOWN),
         })
     }
 
@@ -268,40 +268,41 @@
     }
 }
 
-impl Place {
-    async fn until_admitted(&self, class: Class) -> Result<()> {
-        let patience = self.shared.lock().queue.max_wait(class);
-        let give_up = tokio::time::sleep(patience);
-        tokio::pin!(give_up);
+impl TicketGuard {
+    async fn wait_until_admitted(&self, class: Class) -> Result<()> {
+        let max_wait = self.shared.lock().queue.max_wait(class);
+        let deadline = tokio::time::sleep(max_wait);
+        tokio::pin!(deadline);
         loop {
             tokio::select! {
                 biased;
                 () = self.waker.admitted.notified() => return Ok(()),
-                () = &mut give_up => return self.give_up().map_or(Ok(()), Err),
-                () = tokio::time::sleep(POLL) => self.shared.poll(),
+                () = &mut deadline => return self.time_out().map_or(Ok(()), Err),
+                () = tokio::time::sleep(POLL_INTERVAL) => self.shared.poll(),
             }
         }
     }
 
-    fn give_up(&self) -> Option<Refusal> {
+    fn time_out(&self) -> Option<Refusal> {
         self.shared
             .change(|queue, now| queue.time_out(now, self.ticket))
     }
 
-    async fn until_may_run(&self) {
+    async fn wait_while_paused(&self) {
         while !self.shared.lock().queue.may_run(self.ticket) {
             self.waker.resumed.notified().await;
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for TicketGuard {
     fn drop(&mut self) {
-        let used = Some(self.used.load(Ordering::Relaxed)).filter(|&used| used != UNKNOWN);
+        let used_cost = Some(self.used_cost.load(Ordering::Relaxed))
+            .filter(|&used_cost| used_cost != COST_UNKNOWN);
         let mut state = self.shared.lock();
         let now = self.shared.now();
         state.wakers.remove(self.ticket);
-        state.queue.finish(now, self.ticket, used);
+        state.queue.finish(now, self.ticket, used_cost);
         state.wake();
     }
 }
--- a/crates/kelpworks/src/admission/queue.rs
+++ b/crates/kelpworks/src/admission/queue.rs
@@ -17,14 +17,14 @@
 use crate::admission::Result;
 use crate::admission::config::Config;
 use crate::admission::fair::FairQueue;
-use crate::admission::fair::Place;
+use crate::admission::fair::WaitingKey;
 use crate::admission::limit::Demand;
 use crate::admission::limit::Limits;
 use crate::admission::trial::TrialShare;
 use kelpworks_wire::Class;
 
 /// Weight of what came before in the smoothed speed of a slot.
-const SPEED_MEMORY: f64 = 0.95;
+const THROUGHPUT_DECAY: f64 = 0.95;
 
 new_key_type! {
     /// A request that waits or is in service.
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Waiting(Place),
+    Waiting(WaitingKey),
     /// In service; the number is its rank by age.
     Running(u64),
     /// A trial that holds between tokens; the number is its rank by age.
@@ -62,7 +62,7 @@
 
 /// What a slot gets done: smoothed cost and smoothed time of requests that ended.
 #[derive(Clone, Copy, Debug, Default)]
-struct Speed {
+struct SlotThroughput {
     cost: f64,
     seconds: f64,
 }
@@ -81,8 +81,8 @@
 /// use kelpworks_wire::Class;
 ///
 /// let mut queue = Queue::new(Config::default());
-/// let ask = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
-/// let ticket = queue.offer(Duration::ZERO, &ask)?;
+/// let request = AdmissionRequest { team: "sellers", class: Class::Paying, weight: 1, cost: 100 };
+/// let ticket = queue.offer(Duration::ZERO, &request)?;
 /// assert_eq!(queue.next_event(), Some(Event::Admitted(ticket)));
 /// queue.finish(Duration::from_secs(1), ticket, None);
 /// # Ok::<(), kelpworks::admission::Refusal>(())
@@ -101,8 +101,8 @@
     running: BTreeMap<u64, Ticket>,
     paused: BTreeMap<u64, Ticket>,
     next_rank: u64,
-    paying_speed: Speed,
-    trial_speed: Speed,
+    paying_throughput: SlotThroughput,
+    trial_throughput: SlotThroughput,
     events: VecDeque<Event>,
     next_adjust: Duration,
     /// Longest wait of a paying request that was admitted since the last adjustment.
@@ -131,8 +131,8 @@
             running: BTreeMap::new(),
             paused: BTreeMap::new(),
             next_rank: 0,
-            paying_speed: Speed::default(),
-            trial_speed: Speed::default(),
+            paying_throughput: SlotThroughput::default(),
+            trial_throughput: SlotThroughput::default(),
             events: VecDeque::new(),
             paying_wait: Duration::ZERO,
             demand: Demand::default(),
@@ -145,34 +145,34 @@
     /// # Errors
     ///
     /// When it would wait too long, or too many wait; it leaves no trace then.
-    pub fn offer(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> Result<Ticket> {
-        self.tick(now);
-        self.check(now, ask)?;
+    pub fn offer(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> Result<Ticket> {
+        self.adjust_if_due(now);
+        self.check(now, request)?;
         let ticket = self.entries.insert(Entry {
-            team: Arc::from(ask.team),
-            class: ask.class,
-            cost: ask.cost,
+            team: Arc::from(request.team),
+            class: request.class,
+            cost: request.cost,
             since: now,
             state: State::Running(0),
         });
-        let queue = self.class_queue(ask.class);
-        let place = queue.push(ask.team, ask.weight, ask.cost, ticket);
-        self.entries[ticket].state = State::Waiting(place);
+        let queue = self.waiting_queue(request.class);
+        let key = queue.push(request.team, request.weight, request.cost, ticket);
+        self.entries[ticket].state = State::Waiting(key);
         self.dispatch(now);
         Ok(ticket)
     }
 
     /// Ends a request, waiting or in service; `used` is the cost that it really took, if known.
     pub fn finish(&mut self, now: Duration, ticket: Ticket, used: Option<u32>) {
-        self.tick(now);
+        self.adjust_if_due(now);
         let Some(entry) = self.entries.remove(ticket) else {
             return;
         };
         match entry.state {
-            State::Waiting(place) => self.class_queue(entry.class).remove(place),
+            State::Waiting(key) => self.waiting_queue(entry.class).remove(key),
             State::Running(rank) | State::Paused(rank) => {
-                self.leave(rank, &entry);
-                self.settle(now, &entry, used);
+                self.release_slot(rank, &entry);
+                self.record_completion(now, &entry, used);
             }
         }
         self.dispatch(now);
@@ -192,7 +192,7 @@
 
     /// Longest time that a request of a class waits.
     pub fn max_wait(&self, class: Class) -> Duration {
-        self.longest_delay(class) * self.cfg.max_wait_factor.max(1)
+        self.max_expected_delay(class) * self.cfg.max_wait_factor.max(1)
     }
 
     /// Longest pause of a trial between two tokens, at this moment.
@@ -216,7 +216,7 @@
     /// Notes the time that a request took for one token over the whole pipeline.
     pub fn observe_token(&mut self, now: Duration, class: Class, token: Duration) {
         self.limits.observe(class, token);
-        self.tick(now);
+        self.adjust_if_due(now);
     }
 
     /// Sets the positions a second that trials may start on this daemon; infinite for no bound.
@@ -227,18 +227,18 @@
 
     /// Does what has become due: adjusts the limits, and starts what may start now.
     pub fn poll(&mut self, now: Duration) {
-        self.tick(now);
+        self.adjust_if_due(now);
         self.dispatch(now);
     }
 
     /// Paying requests that may be in service at once, as adapted.
-    pub fn limit(&self) -> u32 {
+    pub fn paying_limit(&self) -> u32 {
         self.limits.paying()
     }
 
     /// Requests of both classes up to which trials may run, as adapted.
-    pub fn room(&self) -> u32 {
-        self.limits.room()
+    pub fn trial_ceiling(&self) -> u32 {
+        self.limits.trial_ceiling()
     }
 
     /// Requests waiting, of a class.
@@ -257,85 +257,85 @@
         }
     }
 
-    fn class_queue(&mut self, class: Class) -> &mut FairQueue {
+    fn waiting_queue(&mut self, class: Class) -> &mut FairQueue {
         match class {
             Class::Paying => &mut self.paying,
             Class::Trial => &mut self.trial,
         }
     }
 
-    fn longest_delay(&self, class: Class) -> Duration {
+    fn max_expected_delay(&self, class: Class) -> Duration {
         match class {
-            Class::Paying => self.cfg.paying_delay,
-            Class::Trial => self.cfg.trial_delay,
+            Class::Paying => self.cfg.max_paying_delay,
+            Class::Trial => self.cfg.max_trial_delay,
         }
     }
 
     /// Refuses what would wait too long. The estimate goes by the cost that is served before it,
     /// not by the length of the queue: requests differ a thousandfold in cost.
-    fn check(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> Result<()> {
-        let delay = self.expected_delay(now, ask);
-        let longest = self.longest_delay(ask.class).as_secs_f64();
-        if delay > longest {
-            return Err(self.refusal(delay - longest, "expected queue delay too long"));
+    fn check(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> Result<()> {
+        let delay = self.expected_delay(now, request);
+        let max_delay = self.max_expected_delay(request.class).as_secs_f64();
+        if delay > max_delay {
+            return Err(self.refusal(delay - max_delay, "expected queue delay too long"));
         }
-        let queue = self.class_queue(ask.class);
-        let (len, team_len) = (queue.len(), queue.team_len(ask.team));
-        if len >= self.cfg.queue {
+        let queue = self.waiting_queue(request.class);
+        let (len, team_len) = (queue.len(), queue.team_len(request.team));
+        if len >= self.cfg.max_waiting {
             return Err(self.refusal(delay, "queue full"));
         }
-        if team_len >= self.cfg.team_queue {
+        if team_len >= self.cfg.max_team_waiting {
             return Err(self.refusal(delay, "queue of the team full"));
         }
         Ok(())
     }
 
     /// Expected time that a request would wait, in seconds.
-    fn expected_delay(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> f64 {
-        match ask.class {
+    fn expected_delay(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> f64 {
+        match request.class {
             Class::Paying => {
                 let slots = self.limits.paying();
                 if self.paying.len() == 0 && self.paying_running < slots {
                     return 0.0;
                 }
-                let ahead = self.paying.cost_ahead(ask.team, ask.weight);
-                self.paying_speed.time(ahead, slots)
+                let ahead = self.paying.cost_ahead(request.team, request.weight);
+                self.paying_throughput.drain_seconds(ahead, slots)
             }
-            Class::Trial => self.expected_trial_delay(now, ask),
+            Class::Trial => self.expected_trial_delay(now, request),
         }
     }
 
-    fn expected_trial_delay(&mut self, now: Duration, ask: &AdmissionRequest<'_>) -> f64 {
+    fn expected_trial_delay(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> f64 {
         let slots = self.trial_slots();
         if slots == 0 {
             self.demand.trials_waited = true;
             let paying = self
-                .paying_speed
-                .time(self.paying.cost(), self.limits.paying());
-            return paying + 2.0 * self.cfg.trial_delay.as_secs_f64();
+                .paying_throughput
+                .drain_seconds(self.paying.cost(), self.limits.paying());
+            return paying + 2.0 * self.cfg.max_trial_delay.as_secs_f64();
         }
-        let ahead = self.trial.cost_ahead(ask.team, ask.weight);
+        let ahead = self.trial.cost_ahead(request.team, request.weight);
         let by_rate = self.share.delay(now, ahead as f64);
         if self.trial.len() == 0 && self.in_service(Class::Trial) < slots {
             return by_rate;
         }
         self.demand.trials_waited = true;
-        by_rate.max(self.trial_speed.time(ahead, slots))
+        by_rate.max(self.trial_throughput.drain_seconds(ahead, slots))
     }
 
     /// Requests of trials that may run at once: what paying ones leave.
     fn trial_slots(&self) -> u32 {
         let paying = self.paying_running + self.paying.len();
-        let free = self.limits.room().saturating_sub(paying);
+        let free = self.limits.trial_ceiling().saturating_sub(paying);
         (f64::from(free) * self.share.backstop()).ceil() as u32
     }
 
     fn refusal(&mut self, delay: f64, reason: &'static str) -> Refusal {
-        let (least, greatest) = self.cfg.retry_after;
+        let (min_retry_after, max_retry_after) = self.cfg.retry_after;
         // Jitter upwards only: to come back before the estimate is of no use.
-        let jittered = delay.max(least.as_secs_f64()) * self.rng.random_range(1.0..1.5);
+        let jittered = delay.max(min_retry_after.as_secs_f64()) * self.rng.random_range(1.0..1.5);
         Refusal {
-            retry_after: Duration::from_secs_f64(jittered.min(greatest.as_secs_f64())),
+            retry_after: Duration::from_secs_f64(jittered.min(max_retry_after.as_secs_f64())),
             reason,
         }
     }
@@ -347,7 +347,7 @@
                 break;
             };
             self.paying_running += 1;
-            let waited = self.start(now, ticket);
+            let waited = self.start_service(now, ticket);
             self.paying_wait = self.paying_wait.max(waited);
         }
         self.demand.paying_waited |= self.paying.len() > 0;
@@ -360,14 +360,14 @@
                 break;
             };
             self.share.charge(self.entries[ticket].cost);
-            self.start(now, ticket);
+            self.start_service(now, ticket);
         }
         self.demand.trials_waited |= self.trial.len() > 0;
         self.demand.trials_ran |= !self.running.is_empty();
     }
 
     /// Starts a request and returns how long it waited.
-    fn start(&mut self, now: Duration, ticket: Ticket) -> Duration {
+    fn start_service(&mut self, now: Duration, ticket: Ticket) -> Duration {
         let rank = self.next_rank;
         self.next_rank += 1;
         let entry = &mut self.entries[ticket];
@@ -401,7 +401,7 @@
         }
     }
 
-    fn leave(&mut self, rank: u64, entry: &Entry) {
+    fn release_slot(&mut self, rank: u64, entry: &Entry) {
         match entry.class {
             Class::Paying => self.paying_running -= 1,
             Class::Trial => {
@@ -411,24 +411,24 @@
         }
     }
 
-    fn settle(&mut self, now: Duration, entry: &Entry, used: Option<u32>) {
+    fn record_completion(&mut self, now: Duration, entry: &Entry, used: Option<u32>) {
         let seconds = now.saturating_sub(entry.since).as_secs_f64();
-        let speed = match entry.class {
-            Class::Paying => &mut self.paying_speed,
-            Class::Trial => &mut self.trial_speed,
+        let throughput = match entry.class {
+            Class::Paying => &mut self.paying_throughput,
+            Class::Trial => &mut self.trial_throughput,
         };
-        speed.note(entry.cost, seconds);
+        throughput.record(entry.cost, seconds);
         let unused = used.map_or(0, |used| entry.cost.saturating_sub(used));
         if unused == 0 {
             return;
         }
-        self.class_queue(entry.class).refund(&entry.team, unused);
+        self.waiting_queue(entry.class).refund(&entry.team, unused);
         if entry.class == Class::Trial {
             self.share.refund(unused);
         }
     }
 
-    fn tick(&mut self, now: Duration) {
+    fn adjust_if_due(&mut self, now: Duration) {
         if now < self.next_adjust {
             return;
         }
@@ -441,14 +441,14 @@
     }
 }
 
-impl Speed {
-    fn note(&mut self, cost: u32, seconds: f64) {
-        self.cost = self.cost * SPEED_MEMORY + f64::from(cost);
-        self.seconds = self.seconds * SPEED_MEMORY + seconds;
+impl SlotThroughput {
+    fn record(&mut self, cost: u32, seconds: f64) {
+        self.cost = self.cost * THROUGHPUT_DECAY + f64::from(cost);
+        self.seconds = self.seconds * THROUGHPUT_DECAY + seconds;
     }
 
     /// Seconds that so many slots take for a cost; 0 as long as nothing has ended.
-    fn time(&self, cost: u64, slots: u32) -> f64 {
+    fn drain_seconds(&self, cost: u64, slots: u32) -> f64 {
         if self.cost == 0.0 {
             return 0.0;
         }
--- a/crates/kelpworks/src/admission/tests.rs
+++ b/crates/kelpworks/src/admission/tests.rs
@@ -27,21 +27,21 @@
 }
 
 /// One request in service at a time, whatever is observed.
-fn single() -> Config {
+fn single_slot() -> Config {
     slots(1)
 }
 
 fn slots(limit: u32) -> Config {
     Config {
-        limit,
-        limit_min: limit,
-        limit_max: limit,
+        initial_limit: limit,
+        min_limit: limit,
+        max_limit: limit,
         seed: Some(1),
         ..Config::default()
     }
 }
 
-fn ask(team: &str, class: Class, cost: u32) -> AdmissionRequest<'_> {
+fn request(team: &str, class: Class, cost: u32) -> AdmissionRequest<'_> {
     AdmissionRequest {
         team,
         class,
@@ -63,7 +63,7 @@
 fn warm(cfg: Config) -> Queue {
     let mut queue = Queue::new(cfg);
     for class in [Paying, Trial] {
-        let ticket = queue.offer(ms(0), &ask("warm", class, 100)).unwrap();
+        let ticket = queue.offer(ms(0), &request("warm", class, 100)).unwrap();
         queue.finish(ms(1000), ticket, None);
     }
     admitted(&mut queue);
@@ -81,11 +81,14 @@
     &[("x", Paying, 1), ("a", Paying, 4), ("a", Paying, 4), ("b", Paying, 1), ("b", Paying, 1), ("b", Paying, 1)],
     &[0, 1, 3, 4, 5, 2]
 )]
-fn order(#[case] asks: &[(&str, Class, u32)], #[case] expected: &[usize]) {
-    let mut queue = Queue::new(single());
-    let tickets: Vec<Ticket> = asks
+fn requests_start_by_class_then_fair_share(
+    #[case] requests: &[(&str, Class, u32)],
+    #[case] expected: &[usize],
+) {
+    let mut queue = Queue::new(single_slot());
+    let tickets: Vec<Ticket> = requests
         .iter()
-        .map(|&(team, class, cost)| queue.offer(ms(0), &ask(team, class, cost)).unwrap())
+        .map(|&(team, class, cost)| queue.offer(ms(0), &request(team, class, cost)).unwrap())
         .collect();
     let mut served = Vec::new();
     let mut running = VecDeque::new();
@@ -104,21 +107,21 @@
 #[rstest]
 #[case::paying_waits(&[("a", Paying, 100); 3], ("a", Paying), None)]
 #[case::paying_delay(&[("a", Paying, 100); 7], ("a", Paying), Some("expected queue delay too long"))]
-#[case::not_behind_the_backlog_of_others(&[("a", Paying, 100); 7], ("b", Paying), None)]
+#[case::not_delayed_by_backlog_of_other_team(&[("a", Paying, 100); 7], ("b", Paying), None)]
 #[case::by_cost_not_length(&[("a", Paying, 1); 20], ("a", Paying), None)]
-#[case::trial_while_paying_fills(&[("a", Paying, 100); 1], ("t", Trial), Some("expected queue delay too long"))]
+#[case::trial_while_paying_fills_all_slots(&[("a", Paying, 100); 1], ("t", Trial), Some("expected queue delay too long"))]
 #[case::trial_is_refused_earlier(&[("t", Trial, 100); 2], ("t", Trial), Some("expected queue delay too long"))]
-fn refusals(
+fn request_is_refused_when_expected_delay_is_too_long(
     #[case] before: &[(&str, Class, u32)],
     #[case] last: (&str, Class),
     #[case] expected: Option<&str>,
 ) {
-    let mut queue = warm(single());
+    let mut queue = warm(single_slot());
     for &(team, class, cost) in before {
-        queue.offer(ms(1000), &ask(team, class, cost)).unwrap();
+        queue.offer(ms(1000), &request(team, class, cost)).unwrap();
     }
     let waiting = queue.waiting(last.1);
-    let got = queue.offer(ms(1000), &ask(last.0, last.1, 100));
+    let got = queue.offer(ms(1000), &request(last.0, last.1, 100));
     let reason = got.as_ref().err().map(|r| r.reason);
     assert_eq!(reason, expected);
     assert_eq!(queue.waiting(last.1), waiting + u32::from(got.is_ok()));
@@ -127,29 +130,33 @@
 #[rstest]
 #[case::all(4, 100, "queue full")]
 #[case::team(100, 4, "queue of the team full")]
-fn queues_are_bounded(#[case] all: u32, #[case] team: u32, #[case] reason: &str) {
+fn request_is_refused_when_a_queue_is_full(
+    #[case] all: u32,
+    #[case] team: u32,
+    #[case] reason: &str,
+) {
     let mut queue = Queue::new(Config {
-        queue: all,
-        team_queue: team,
-        ..single()
+        max_waiting: all,
+        max_team_waiting: team,
+        ..single_slot()
     });
     for _ in 0..5 {
-        queue.offer(ms(0), &ask("a", Paying, 1)).unwrap();
+        queue.offer(ms(0), &request("a", Paying, 1)).unwrap();
     }
-    let refusal = queue.offer(ms(0), &ask("a", Paying, 1)).unwrap_err();
+    let refusal = queue.offer(ms(0), &request("a", Paying, 1)).unwrap_err();
     assert_eq!(refusal.reason, reason);
     assert!(refusal.retry_after >= Config::default().retry_after.0);
 }
 
 #[test]
-fn trials_hold_while_paying_needs_the_room() {
+fn youngest_trials_pause_while_paying_requests_need_slots() {
     let mut queue = Queue::new(slots(2));
-    let old = queue.offer(ms(0), &ask("t", Trial, 1)).unwrap();
-    let young = queue.offer(ms(0), &ask("t", Trial, 1)).unwrap();
-    let first = queue.offer(ms(1), &ask("p", Paying, 1)).unwrap();
+    let old = queue.offer(ms(0), &request("t", Trial, 1)).unwrap();
+    let young = queue.offer(ms(0), &request("t", Trial, 1)).unwrap();
+    let first = queue.offer(ms(1), &request("p", Paying, 1)).unwrap();
     assert_eq!(admitted(&mut queue), [old, young, first]);
     assert!(queue.may_run(old) && !queue.may_run(young));
-    let second = queue.offer(ms(2), &ask("p", Paying, 1)).unwrap();
+    let second = queue.offer(ms(2), &request("p", Paying, 1)).unwrap();
     assert!(!queue.may_run(old) && !queue.may_run(young));
     queue.finish(ms(3), first, None);
     queue.finish(ms(4), second, None);
@@ -161,14 +168,14 @@
 
 #[rstest]
 #[case::whole_cost(None, 1000)]
-#[case::half_is_given_back(Some(50), 2000)]
-fn trials_keep_to_their_rate(#[case] used: Option<u32>, #[case] expected: u32) {
+#[case::half_is_refunded(Some(50), 2000)]
+fn trial_starts_stay_within_the_rate(#[case] used: Option<u32>, #[case] expected: u32) {
     let mut queue = Queue::new(slots(8));
     queue.set_trial_rate(ms(0), 100.0);
     let mut started = 0;
     for step in 0..10_000 {
         let now = ms(step);
-        let _ = queue.offer(now, &ask("t", Trial, 100));
+        let _ = queue.offer(now, &request("t", Trial, 100));
         for ticket in admitted(&mut queue) {
             started += 100;
             queue.finish(now, ticket, used);
@@ -202,12 +209,12 @@
 #[case::both_grow(&[(Paying, 10), (Trial, 10)], BOTH_WAITED, (207, 207))]
 #[case::up_to_the_target(&[(Paying, 49)], PAYING_WAITED, (207, 64))]
 #[case::slow_for_trials(&[(Paying, 60)], PAYING_WAITED, (207, 22))]
-#[case::up_to_the_patience(&[(Paying, 199)], PAYING_WAITED, (207, 22))]
+#[case::up_to_the_slowdown(&[(Paying, 199)], PAYING_WAITED, (207, 22))]
 #[case::too_slow(&[(Paying, 201)], PAYING_WAITED, (22, 22))]
 #[case::trials_give_way_first(&[(Paying, 201), (Trial, 60)], BOTH_WAITED, (64, 22))]
 #[case::trials_may_be_slower(&[(Paying, 10), (Trial, 99)], BOTH_WAITED, (207, 207))]
 #[case::trials_too_slow(&[(Paying, 10), (Trial, 150)], BOTH_WAITED, (207, 22))]
-fn limits_adapt(
+fn limits_follow_token_time_and_demand(
     #[case] tokens: &[(Class, u64)],
     #[case] demand: Demand,
     #[case] expected: (u32, u32),
@@ -223,11 +230,11 @@
         }
         limits.adjust(demand);
     }
-    assert_eq!((limits.paying(), limits.room()), expected);
+    assert_eq!((limits.paying(), limits.trial_ceiling()), expected);
 }
 
 #[test]
-fn many_trials_that_hold_take_little() {
+fn pause_grows_with_the_number_of_paused_trials() {
     let mut limits = Limits::new(&Config::default());
     limits.observe(Trial, ms(20));
     // At most one token of 20 ms in 20 times 20 ms for each request that has room.
@@ -237,25 +244,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn dropped_future_leaves_the_queue() {
-    let admission = Admission::new(single());
-    let running = admission.admit(ask("a", Paying, 1)).await.unwrap();
+async fn dropping_a_waiting_future_removes_its_request() {
+    let admission = Admission::new(single_slot());
+    let running = admission.admit(request("a", Paying, 1)).await.unwrap();
     {
-        let waiting = admission.admit(ask("a", Paying, 1));
+        let waiting = admission.admit(request("a", Paying, 1));
         let waited = tokio::time::timeout(ms(100), waiting).await;
         assert!(waited.is_err());
     }
     assert_eq!(admission.inspect(|q| q.waiting(Paying)), 0);
     drop(running);
     assert_eq!(admission.inspect(|q| q.in_service(Paying)), 0);
-    admission.admit(ask("a", Paying, 1)).await.unwrap();
+    admission.admit(request("a", Paying, 1)).await.unwrap();
 }
 
 #[tokio::test(start_paused = true)]
-async fn future_dropped_after_its_admission_frees_the_slot() {
-    let admission = Admission::new(single());
-    let running = admission.admit(ask("a", Paying, 1)).await.unwrap();
-    let mut waiting = Box::pin(admission.admit(ask("a", Paying, 1)));
+async fn dropping_an_admitted_future_frees_its_slot() {
+    let admission = Admission::new(single_slot());
+    let running = admission.admit(request("a", Paying, 1)).await.unwrap();
+    let mut waiting = Box::pin(admission.admit(request("a", Paying, 1)));
     assert!(futures_util::poll!(&mut waiting).is_pending());
     drop(running);
     assert_eq!(admission.inspect(|q| q.in_service(Paying)), 1);
@@ -264,37 +271,37 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn refusal_comes_at_once() {
+async fn refusal_is_immediate_when_the_queue_is_full() {
     let cfg = Config {
-        queue: 0,
-        ..single()
+        max_waiting: 0,
+        ..single_slot()
     };
     let admission = Admission::new(cfg);
     let start = Instant::now();
-    let refused: Result<_, Refusal> = admission.admit(ask("a", Paying, 1)).await;
+    let refused: Result<_, Refusal> = admission.admit(request("a", Paying, 1)).await;
     assert!(refused.is_err());
     assert_eq!(Instant::now(), start);
 }
 
 #[tokio::test(start_paused = true)]
-async fn wait_is_bounded_when_nothing_ends() {
-    let admission = Admission::new(single());
-    let _running = admission.admit(ask("a", Paying, 1)).await.unwrap();
+async fn wait_times_out_when_no_request_finishes() {
+    let admission = Admission::new(single_slot());
+    let _running = admission.admit(request("a", Paying, 1)).await.unwrap();
     let start = Instant::now();
-    let refusal = admission.admit(ask("a", Paying, 1)).await.unwrap_err();
+    let refusal = admission.admit(request("a", Paying, 1)).await.unwrap_err();
     assert_eq!(refusal.reason, "waited too long");
     assert_eq!(start.elapsed().as_secs(), 10);
     assert_eq!(admission.inspect(|q| q.waiting(Paying)), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn held_trial_still_makes_progress() {
-    let admission = Admission::new(single());
-    let trial = admission.admit(ask("t", Trial, 1)).await.unwrap();
+async fn paused_trial_runs_a_token_after_each_pause() {
+    let admission = Admission::new(single_slot());
+    let trial = admission.admit(request("t", Trial, 1)).await.unwrap();
     let start = Instant::now();
     trial.wait_until_resumed().await;
     assert_eq!(start.elapsed(), ms(0));
-    let paying = admission.admit(ask("p", Paying, 1)).await.unwrap();
+    let paying = admission.admit(request("p", Paying, 1)).await.unwrap();
     paying.wait_until_resumed().await;
     assert_eq!(start.elapsed(), ms(0));
     for _ in 0..4 {
@@ -313,7 +320,7 @@
     /// Of two teams that both wait all the time, neither is ahead of the other, by cost over
     /// weight, by more than one request of each.
     #[test]
-    fn shares_follow_weights(
+    fn teams_are_served_in_proportion_to_weight(
         teams in prop::collection::vec((1..8u32, 1..500u32), 2..12),
         rounds in 1..300usize,
     ) {
@@ -342,8 +349,8 @@
     /// service than the limit allows, no trial starts before a paying one that waits, and in the
     /// end nothing is left.
     #[test]
-    fn queue_is_sound(ops in prop::collection::vec((0..4u8, 0..5u8, 1..300u32, any::<u16>()), 1..200)) {
-        let mut queue = Queue::new(Config { queue: 8, team_queue: 4, ..slots(3) });
+    fn queue_upholds_its_invariants(ops in prop::collection::vec((0..4u8, 0..5u8, 1..300u32, any::<u16>()), 1..200)) {
+        let mut queue = Queue::new(Config { max_waiting: 8, max_team_waiting: 4, ..slots(3) });
         let mut open: Vec<Ticket> = Vec::new();
         let mut started = HashSet::new();
         for (step, (op, team, cost, pick)) in ops.into_iter().enumerate() {
@@ -352,7 +359,7 @@
             let name = team.to_string();
             if op < 2 {
                 let before = (queue.waiting(class), queue.in_service(class));
-                match queue.offer(now, &ask(&name, class, cost)) {
+                match queue.offer(now, &request(&name, class, cost)) {
                     Ok(ticket) => open.push(ticket),
                     Err(_) => prop_assert_eq!(
                         before, (queue.waiting(class), queue.in_service(class))
@@ -366,8 +373,8 @@
                 prop_assert!(started.insert(ticket));
             }
             prop_assert!(queue.in_service(Paying) <= 3 && queue.in_service(Trial) <= 3);
-            let room = queue.in_service(Paying) < 3;
-            prop_assert!(!(room && queue.waiting(Paying) > 0));
+            let has_free_slot = queue.in_service(Paying) < 3;
+            prop_assert!(!(has_free_slot && queue.waiting(Paying) > 0));
         }
         for ticket in open {
             queue.finish(ms(10_000), ticket, None);
--- a/crates/kelpworks/src/admission/trial.rs
+++ b/crates/kelpworks/src/admission/trial.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 /// Factor by which the backstop falls when paying requests had to wait.
-const DECREASE: f64 = 0.5;
+const DECREASE_FACTOR: f64 = 0.5;
 
 /// What the backstop gains in each interval in which none had to wait.
-const INCREASE: f64 = 0.05;
+const INCREASE_STEP: f64 = 0.05;
 
 /// Least value of the backstop, so that it can be seen to work again.
-const FLOOR: f64 = 0.05;
+const MIN_BACKSTOP: f64 = 0.05;
 
 /// Longest time for which unused rate is saved up.
-const BURST: Duration = Duration::from_secs(1);
+const BURST_WINDOW: Duration = Duration::from_secs(1);
 
 /// The trials' part of one daemon.
 #[derive(Debug)]
@@ -22,8 +22,8 @@
     /// Positions that may start now; below zero after a request of greater cost.
     balance: f64,
     /// Time of `balance`.
-    at: Duration,
-    /// Part of the rate and of the free slots that trials get, [`FLOOR`] to 1.
+    refilled_at: Duration,
+    /// Part of the rate and of the free slots that trials get, [`MIN_BACKSTOP`] to 1.
     backstop: f64,
 }
 
@@ -32,7 +32,7 @@
         TrialShare {
             rate: f64::INFINITY,
             balance: 0.0,
-            at: Duration::ZERO,
+            refilled_at: Duration::ZERO,
             backstop: 1.0,
         }
     }
@@ -80,23 +80,23 @@
         (ahead - self.balance) / (self.rate * self.backstop)
     }
 
-    /// Adjusts the backstop; `waited` says whether paying requests had to wait.
-    pub(super) fn adjust(&mut self, waited: bool) {
-        let next = if waited {
-            self.backstop * DECREASE
+    /// Adjusts the backstop; `paying_waited` says whether paying requests had to wait.
+    pub(super) fn adjust(&mut self, paying_waited: bool) {
+        let next = if paying_waited {
+            self.backstop * DECREASE_FACTOR
         } else {
-            self.backstop + INCREASE
+            self.backstop + INCREASE_STEP
         };
-        self.backstop = next.clamp(FLOOR, 1.0);
+        self.backstop = next.clamp(MIN_BACKSTOP, 1.0);
     }
 
     fn burst(&self) -> f64 {
-        self.rate * BURST.as_secs_f64()
+        self.rate * BURST_WINDOW.as_secs_f64()
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         if self.rate.is_finite() {
             let gained = self.rate * self.backstop * passed;
             self.balance = (self.balance + gained).min(self.burst());
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -358,7 +358,7 @@
 
 fn admission_config(settings: &Settings) -> admission::Config {
     admission::Config {
-        queue: settings.limits.queue,
+        max_waiting: settings.limits.queue,
         token_target: settings.limits.token_target.0,
         ..admission::Config::default()
     }
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -79,7 +79,7 @@
 impl Sender {
     pub(super) fn new(entry: Arc<Entry>) -> Sender {
         let cfg = RetryConfig {
-            attempts: MAX_ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             ..RetryConfig::default()
         };
         Sender {
@@ -146,7 +146,7 @@
             verdict: attempts.verdict,
             idempotent: attempts.call.repeatable,
             attempts: attempts.made,
-            left: left(attempts.call),
+            time_left: left(attempts.call),
         };
         let now = Duration::from_millis(self.entry.driver.now_ms());
         let decision = self.retries().decide(now, &attempt, &mut rand::rng());
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -220,7 +220,7 @@
             // An engine refuses positions that it has run, and no token is sent twice.
             idempotent: true,
             attempts: self.recoveries,
-            left: self.job.deadline.saturating_duration_since(Instant::now()),
+            time_left: self.job.deadline.saturating_duration_since(Instant::now()),
         };
         let decision = self.driver.decide(&attempt);
         let sent = self.has_sent();
--- a/crates/kelpworks/src/retry/budget.rs
+++ b/crates/kelpworks/src/retry/budget.rs
@@ -20,15 +20,15 @@
     pub not_run_cost: f64,
     /// Retries a second that are always earned, so that a daemon with few requests can retry at
     /// all. Default 2.
-    pub floor: f64,
+    pub min_per_second: f64,
     /// Retries saved up, at most. Default 50.
     pub burst: f64,
     /// Attempts of one request, at most. Default 10.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Bound of the first backoff; it doubles with each attempt. Default 20 ms.
-    pub backoff: Duration,
+    pub initial_backoff: Duration,
     /// Greatest bound of the backoff. Default 1 s.
-    pub backoff_max: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for RetryConfig {
@@ -36,11 +36,11 @@
         RetryConfig {
             ratio: 0.2,
             not_run_cost: 0.25,
-            floor: 2.0,
+            min_per_second: 2.0,
             burst: 50.0,
-            attempts: 10,
-            backoff: Duration::from_millis(20),
-            backoff_max: Duration::from_secs(1),
+            max_attempts: 10,
+            initial_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
@@ -55,7 +55,7 @@
     /// Attempts made; 1 after the first.
     pub attempts: u32,
     /// Time left until the caller's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// What to do after a failed attempt.
@@ -106,7 +106,7 @@
     /// Retries that may be made now, 0 to `cfg.burst`.
     balance: f64,
     /// Time of `balance`.
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl RetryBudget {
@@ -114,7 +114,7 @@
     pub fn new(cfg: RetryConfig) -> RetryBudget {
         RetryBudget {
             balance: cfg.burst,
-            at: Duration::ZERO,
+            updated_at: Duration::ZERO,
             cfg,
         }
     }
@@ -127,17 +127,17 @@
     /// Decides about a request whose attempt failed, and takes the retry from the budget. `now` is
     /// the time since one fixed moment.
     pub fn decide<R: Rng>(&mut self, now: Duration, attempt: &Attempt, rng: &mut R) -> Decision {
-        let passed = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        self.earn(self.cfg.floor * passed.as_secs_f64());
+        let passed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        self.earn(self.cfg.min_per_second * passed.as_secs_f64());
         if attempt.verdict == Verdict::MayHaveRun && !attempt.idempotent {
             return Decision::Abandon(AbandonReason::MayHaveRun);
         }
-        if attempt.attempts >= self.cfg.attempts {
+        if attempt.attempts >= self.cfg.max_attempts {
             return Decision::Abandon(AbandonReason::Attempts);
         }
         let delay = self.backoff(attempt.attempts, rng);
-        if delay >= attempt.left {
+        if delay >= attempt.time_left {
             return Decision::Abandon(AbandonReason::Deadline);
         }
         let cost = match attempt.verdict {
@@ -158,9 +158,9 @@
     /// Full jitter: evenly from nothing to a bound that doubles with each attempt.
     fn backoff<R: Rng>(&self, attempts: u32, rng: &mut R) -> Duration {
         let doublings = attempts.saturating_sub(1).min(16);
-        let bound = self.cfg.backoff * 2u32.pow(doublings);
+        let bound = self.cfg.initial_backoff * 2u32.pow(doublings);
         bound
-            .min(self.cfg.backoff_max)
+            .min(self.cfg.max_backoff)
             .mul_f64(rng.random_range(0.0..1.0))
     }
 }
--- a/crates/kelpworks/src/retry/busy.rs
+++ b/crates/kelpworks/src/retry/busy.rs
@@ -24,7 +24,7 @@
     /// Greatest cooldown, jitter included. Default 2 s.
     pub max: Duration,
     /// Without a refusal for this long, the next cooldown is a first one again. Default 10 s.
-    pub forget: Duration,
+    pub reset_after: Duration,
 }
 
 impl Default for BusyConfig {
@@ -32,7 +32,7 @@
         BusyConfig {
             base: Duration::from_millis(50),
             max: Duration::from_secs(2),
-            forget: Duration::from_secs(10),
+            reset_after: Duration::from_secs(10),
         }
     }
 }
@@ -72,10 +72,10 @@
         now_ms: u64,
         rng: &mut R,
     ) -> Duration {
-        let forget_ms = self.cfg.forget.as_millis() as u64;
+        let reset_after_ms = self.cfg.reset_after.as_millis() as u64;
         let before = self.refusals.get(upstream);
         let count = match before {
-            Some(r) if now_ms.saturating_sub(r.last_ms) < forget_ms => r.count,
+            Some(r) if now_ms.saturating_sub(r.last_ms) < reset_after_ms => r.count,
             _ => 0,
         };
         let next = Refusals {
--- a/crates/kelpworks/src/retry/deadline.rs
+++ b/crates/kelpworks/src/retry/deadline.rs
@@ -11,7 +11,7 @@
 
 /// Least margin over the mean, as a fraction of it: steady times have next to no deviation, and
 /// the first hiccup would pass for silence.
-const LEAST_MARGIN: f64 = 1.0;
+const MIN_MARGIN: f64 = 1.0;
 
 /// Bounds on step deadlines.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,19 +45,19 @@
     prefill: Smoothed,
 }
 
-/// Mean and mean deviation of a time, in seconds; meaningful once `known`.
+/// Mean and mean deviation of a time, in seconds; meaningful once `has_samples`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Smoothed {
     mean: f64,
     deviation: f64,
-    known: bool,
+    has_samples: bool,
 }
 
 impl StepDeadline {
     /// Notes the time of a step that covered so many positions. When the deadline expired and a
     /// probe was answered, the time waited is to be noted, so that the next deadline is longer.
-    pub fn observe(&mut self, took: Duration, positions: u32) {
-        let seconds = took.as_secs_f64();
+    pub fn observe(&mut self, elapsed: Duration, positions: u32) {
+        let seconds = elapsed.as_secs_f64();
         if positions > 1 {
             self.prefill.observe(seconds / f64::from(positions));
         } else {
@@ -67,22 +67,22 @@
 
     /// Mean time of a decode step, if one was observed; for `Counters::step_us`.
     pub fn mean(&self) -> Option<Duration> {
-        let known = self.decode.known;
-        known.then(|| Duration::from_secs_f64(self.decode.mean))
+        let has_samples = self.decode.has_samples;
+        has_samples.then(|| Duration::from_secs_f64(self.decode.mean))
     }
 
     /// Time to wait for a step that covers so many positions. The ceiling bounds a decode step;
     /// a long prefill may take longer.
     pub fn deadline(&self, cfg: &DeadlineConfig, positions: u32) -> Duration {
-        let decode = match self.decode.bound(cfg.deviations) {
-            Some(bound) => bound.clamp(cfg.floor, cfg.ceiling.max(cfg.floor)),
+        let decode = match self.decode.upper_bound(cfg.deviations) {
+            Some(upper_bound) => upper_bound.clamp(cfg.floor, cfg.ceiling.max(cfg.floor)),
             None => cfg.ceiling,
         };
         if positions <= 1 {
             return decode;
         }
-        match self.prefill.bound(cfg.deviations) {
-            Some(bound) => decode + bound * positions,
+        match self.prefill.upper_bound(cfg.deviations) {
+            Some(upper_bound) => decode + upper_bound * positions,
             None => cfg.ceiling,
         }
     }
@@ -90,11 +90,11 @@
 
 impl Smoothed {
     fn observe(&mut self, seconds: f64) {
-        if !self.known {
+        if !self.has_samples {
             *self = Smoothed {
                 mean: seconds,
                 deviation: seconds / 2.0,
-                known: true,
+                has_samples: true,
             };
             return;
         }
@@ -103,8 +103,9 @@
         self.deviation += (error.abs() - self.deviation) * DEVIATION_GAIN;
     }
 
-    fn bound(&self, deviations: f64) -> Option<Duration> {
-        let bound = self.mean + (deviations * self.deviation).max(self.mean * LEAST_MARGIN);
-        self.known.then(|| Duration::from_secs_f64(bound))
+    fn upper_bound(&self, deviations: f64) -> Option<Duration> {
+        let upper_bound = self.mean + (deviations * self.deviation).max(self.mean * MIN_MARGIN);
+        self.has_samples
+            .then(|| Duration::from_secs_f64(upper_bound))
     }
 }
--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -15,7 +15,7 @@
 //!     verdict: Verdict::NotRun,
 //!     idempotent: false,
 //!     attempts: 1,
-//!     left: Duration::from_secs(10),
+//!     time_left: Duration::from_secs(10),
 //! };
 //! let decision = budget.decide(Duration::ZERO, &attempt, &mut rand::rng());
 //! assert!(matches!(decision, Decision::RetryAfter(_)));
--- a/crates/kelpworks/src/retry/tests.rs
+++ b/crates/kelpworks/src/retry/tests.rs
@@ -26,12 +26,12 @@
     Duration::from_millis(ms)
 }
 
-fn attempt(verdict: Verdict, idempotent: bool, attempts: u32, left: Duration) -> Attempt {
+fn attempt(verdict: Verdict, idempotent: bool, attempts: u32, time_left: Duration) -> Attempt {
     Attempt {
         verdict,
         idempotent,
         attempts,
-        left,
+        time_left,
     }
 }
 
@@ -51,7 +51,10 @@
 )]
 #[case::attempts(attempt(NotRun, true, 10, ms(1000)), Some(AbandonReason::Attempts))]
 #[case::deadline(attempt(NotRun, true, 1, ms(0)), Some(AbandonReason::Deadline))]
-fn decisions(#[case] attempt: Attempt, #[case] expected: Option<AbandonReason>) {
+fn failed_attempt_is_retried_or_abandoned(
+    #[case] attempt: Attempt,
+    #[case] expected: Option<AbandonReason>,
+) {
     let mut budget = RetryBudget::new(RetryConfig::default());
     let got = match budget.decide(ms(0), &attempt, &mut rng()) {
         Decision::RetryAfter(_) => None,
@@ -85,10 +88,10 @@
 #[case::first(&[0], 0, 50..75)]
 #[case::grows(&[0, 100, 300], 0, 200..300)]
 #[case::capped(&[0, 1, 2, 3, 4, 5, 6, 7, 8], 0, 1990..2001)]
-#[case::forgotten(&[0, 1, 2, 3, 20_000], 0, 50..75)]
-#[case::own_word(&[0], 1000, 1000..1500)]
-#[case::own_word_is_capped(&[0], 60_000, 2000..2001)]
-fn cooldowns(
+#[case::reset_after_quiet_time(&[0, 1, 2, 3, 20_000], 0, 50..75)]
+#[case::upstream_retry_after(&[0], 1000, 1000..1500)]
+#[case::upstream_retry_after_is_capped(&[0], 60_000, 2000..2001)]
+fn cooldown_grows_with_refusals_up_to_the_cap(
     #[case] refusals: &[u64],
     #[case] retry_after: u64,
     #[case] expected: std::ops::Range<u64>,
@@ -120,7 +123,11 @@
 #[case::varying(&[(100, 1), (300, 1), (100, 1), (300, 1), (100, 1), (300, 1)], 782, 5000)]
 #[case::ceiling(&[(4000, 1)], 5000, 5000)]
 #[case::prefill(&[(1000, 100); 50], 5000, 7000)]
-fn deadlines(#[case] steps: &[(u64, u32)], #[case] decode: u64, #[case] prefill: u64) {
+fn step_deadline_follows_observed_times(
+    #[case] steps: &[(u64, u32)],
+    #[case] decode: u64,
+    #[case] prefill: u64,
+) {
     let mut step = StepDeadline::default();
     for &(took, positions) in steps {
         step.observe(ms(took), positions);
@@ -133,7 +140,7 @@
 proptest! {
     /// A retry is never put beyond the caller's deadline.
     #[test]
-    fn retries_end_before_the_deadline(attempts in 1..10u32, left in 0..2000u64, seed: u64) {
+    fn retry_delay_ends_before_the_deadline(attempts in 1..10u32, left in 0..2000u64, seed: u64) {
         let mut budget = RetryBudget::new(RetryConfig::default());
         let attempt = attempt(NotRun, true, attempts, ms(left));
         let decision = budget.decide(ms(0), &attempt, &mut StdRng::seed_from_u64(seed));
--- a/crates/kelpworks/src/routing/cost.rs
+++ b/crates/kelpworks/src/routing/cost.rs
@@ -16,23 +16,23 @@
 
 /// Tokens that a session is taken to generate. The true number is unknown when the path is chosen;
 /// this weighs the time of a token against the time of the prefill.
-const SESSION_TOKENS: f64 = 64.0;
+const ASSUMED_SESSION_TOKENS: f64 = 64.0;
 
 /// Bytes of activations of one position at a cut.
 const ACTIVATION_BYTES: f64 = 16_384.0;
 
 /// Cost of one more hop for each token, in microseconds: a message there and back.
-const HOP_US: f64 = 100.0;
+const HOP_COST_US: f64 = 100.0;
 
 /// Layers a second taken for an upstream whose speed is unknown.
-const UNKNOWN_RATE: f64 = 1_000.0;
+const DEFAULT_LAYER_RATE: f64 = 1_000.0;
 
 /// One in so many weighings leaves out the observed step time. Without it an upstream that was
 /// slow once would get no work, hence no new observation, and stay slow for ever.
-const EXPLORE: u32 = 32;
+const EXPLORE_ONE_IN: u32 = 32;
 
 /// Added for each rank of [`rank`]; above the cost of any session.
-const LAST: f64 = 1e12;
+const DEMOTION_PENALTY_US: f64 = 1e12;
 
 /// An upstream with what is fixed about its cost, whatever part of its layers it runs.
 #[derive(Clone, Copy, Debug)]
@@ -51,14 +51,14 @@
 
 impl Quote {
     /// Cost of running this many layers in each step of a session.
-    pub(super) fn work(&self, layers: u32) -> f64 {
+    pub(super) fn session_cost_us(&self, layers: u32) -> f64 {
         let layers = f64::from(layers);
-        let token = self.wait_us + layers * self.observed_us + HOP_US;
-        token * SESSION_TOKENS + self.prefill * layers * self.layer_us + self.penalty
+        let token = self.wait_us + layers * self.observed_us + HOP_COST_US;
+        token * ASSUMED_SESSION_TOKENS + self.prefill * layers * self.layer_us + self.penalty
     }
 
     /// Whether it stands behind others.
-    pub(super) fn is_last(&self) -> bool {
+    pub(super) fn is_demoted(&self) -> bool {
         self.penalty > 0.0
     }
 }
@@ -76,55 +76,59 @@
     let rate = if upstream.layer_rate > 0.0 {
         upstream.layer_rate
     } else {
-        UNKNOWN_RATE
+        DEFAULT_LAYER_RATE
     };
     let layer_us = 1e6 / rate;
-    let holding = f64::from(candidate.end - candidate.first);
-    let observed = upstream.counters.step_us.load(Ordering::Relaxed) as f64 / holding;
-    let explore = rng.random_range(0..EXPLORE) == 0;
+    let assigned_layers = f64::from(candidate.end - candidate.first);
+    let observed = upstream.counters.step_us.load(Ordering::Relaxed) as f64 / assigned_layers;
+    let explore = rng.random_range(0..EXPLORE_ONE_IN) == 0;
     let observed_us = if explore {
         layer_us
     } else {
         observed.max(layer_us)
     };
     let penalty = match rank {
-        Rank::First => 0.0,
-        Rank::Last { ranks, cooling_ms } => {
+        Rank::Preferred => 0.0,
+        Rank::Demoted {
+            levels,
+            cooldown_left_ms,
+        } => {
             // Jitter, so that daemons that see the same cooldowns do not all take the same.
-            f64::from(ranks) * LAST + cooling_ms as f64 * 1e3 * rng.random_range(1.0..1.5)
+            f64::from(levels) * DEMOTION_PENALTY_US
+                + cooldown_left_ms as f64 * 1e3 * rng.random_range(1.0..1.5)
         }
     };
     Some(Quote {
-        wait_us: backlog(upstream) * holding * layer_us,
+        wait_us: backlog(upstream) * assigned_layers * layer_us,
         layer_us,
         observed_us,
         prefill: f64::from(
             query
                 .prefill
-                .saturating_sub(positions(cached, candidate.upstream)),
+                .saturating_sub(cached_positions(cached, candidate.upstream)),
         ),
         penalty,
     })
 }
 
 /// Cost of bringing the activations of a session over a link.
-pub(super) fn link(link: LinkCost, prefill: u32) -> f64 {
+pub(super) fn link_cost_us(link: LinkCost, prefill: u32) -> f64 {
     let per_position = ACTIVATION_BYTES / (link.bytes_per_second.max(1) as f64) * 1e6;
     let latency = link.latency.as_secs_f64() * 1e6;
-    (latency + per_position) * SESSION_TOKENS + per_position * f64::from(prefill)
+    (latency + per_position) * ASSUMED_SESSION_TOKENS + per_position * f64::from(prefill)
 }
 
 /// Standing of an upstream for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Rank {
     /// In good standing.
-    First,
+    Preferred,
     /// Behind all that are in good standing, and behind those of fewer ranks.
-    Last {
+    Demoted {
         /// How many ranks behind.
-        ranks: u32,
+        levels: u32,
         /// Milliseconds of its cooldown that are left.
-        cooling_ms: u64,
+        cooldown_left_ms: u64,
     },
 }
 
@@ -142,13 +146,16 @@
         Health::Leaving | Health::Down => return None,
     };
     let busy_until = upstream.counters.busy_until_ms.load(Ordering::Relaxed);
-    let cooling_ms = busy_until.saturating_sub(now_ms);
+    let cooldown_left_ms = busy_until.saturating_sub(now_ms);
     let failed = if avoid.contains(&key) { 4 } else { 0 };
-    let ranks = suspect + failed + u32::from(cooling_ms > 0);
-    if ranks == 0 {
-        return Some(Rank::First);
+    let levels = suspect + failed + u32::from(cooldown_left_ms > 0);
+    if levels == 0 {
+        return Some(Rank::Preferred);
     }
-    Some(Rank::Last { ranks, cooling_ms })
+    Some(Rank::Demoted {
+        levels,
+        cooldown_left_ms,
+    })
 }
 
 /// Steps ahead of a new one: as last reported, own ones sent since, and one for each session of
@@ -161,7 +168,7 @@
     f64::from(reported) + f64::from(sent) + f64::from(sessions)
 }
 
-fn positions(cached: &[CachedPrefix], upstream: UpstreamKey) -> u32 {
+fn cached_positions(cached: &[CachedPrefix], upstream: UpstreamKey) -> u32 {
     let hint = cached.iter().find(|c| c.upstream == upstream);
     hint.map_or(0, |c| c.positions)
 }
--- a/crates/kelpworks/src/routing/index.rs
+++ b/crates/kelpworks/src/routing/index.rs
@@ -15,11 +15,11 @@
 use crate::fleet::UpstreamKey;
 
 /// Rate that stands in for an unknown one, in layers a second, so that it still can be drawn.
-const UNKNOWN_RATE: f64 = 1.0;
+const DEFAULT_LAYER_RATE: f64 = 1.0;
 
 /// Cuts that a search over a sample considers, at most. Fleets that are cut alike have fewer; in
 /// one that is cut at any layer, the time of a decision would grow with their number.
-const MAIN_CUTS: usize = 10;
+const MAX_MAIN_CUTS: usize = 10;
 
 /// Holders of every layer of every model, for one snapshot of the fleet.
 ///
@@ -46,10 +46,10 @@
     /// Segments in order; together they are all layers.
     pub(super) segments: Vec<Segment>,
     /// Firsts of the segments at which most holdings start or end, one in each of at most
-    /// [`MAIN_CUTS`] runs of neighbouring segments.
+    /// [`MAX_MAIN_CUTS`] runs of neighbouring segments.
     pub(super) main_cuts: Vec<u32>,
     /// First layer that nobody holds, if any.
-    pub(super) missing: Option<u32>,
+    pub(super) first_missing: Option<u32>,
 }
 
 /// Layers between two neighbouring cuts; each holder holds all of them or none.
@@ -96,7 +96,7 @@
     /// Whether some version of the model is held whole by upstreams that may take work.
     pub fn serves(&self, model: ModelKey) -> bool {
         let versions = self.models.get(usize::from(model.0));
-        versions.is_some_and(|v| v.iter().any(|v| v.missing.is_none()))
+        versions.is_some_and(|v| v.iter().any(|v| v.first_missing.is_none()))
     }
 
     /// The version to run: the one asked for, or else the one to serve if complete, or else the
@@ -104,11 +104,11 @@
     pub(super) fn version(
         &self,
         model: ModelKey,
-        wanted: Option<u16>,
+        requested: Option<u16>,
     ) -> Option<(u16, &VersionIndex)> {
         let versions = self.models.get(usize::from(model.0))?;
-        let complete = || versions.iter().position(|v| v.missing.is_none());
-        let at = match wanted {
+        let complete = || versions.iter().position(|v| v.first_missing.is_none());
+        let at = match requested {
             Some(v) => usize::from(v),
             None => complete().unwrap_or(0),
         };
@@ -139,7 +139,7 @@
         self.pools.is_empty() && self.suspects.is_empty()
     }
 
-    fn add(&mut self, upstream: &Upstream, candidate: Candidate) {
+    fn add_candidate(&mut self, upstream: &Upstream, candidate: Candidate) {
         if upstream.health == Health::Suspect {
             self.suspects.push(candidate);
             return;
@@ -158,7 +158,7 @@
         let rate = if upstream.layer_rate > 0.0 {
             upstream.layer_rate
         } else {
-            UNKNOWN_RATE
+            DEFAULT_LAYER_RATE
         };
         pool.candidates.push(candidate);
         pool.cumulative.push(before + rate);
@@ -185,54 +185,54 @@
 
 fn version_index(fleet: &Fleet, model: ModelKey, version: u16) -> VersionIndex {
     let layers = fleet.models[usize::from(model.0)].layers;
-    let mut held = Vec::new();
-    for (key, upstream) in serving(fleet, model) {
-        for h in &upstream.layer_assignments {
-            if holds(h, model, version, layers) {
-                held.push((key, upstream, h));
+    let mut assignments = Vec::new();
+    for (key, upstream) in upstreams_accepting_work(fleet, model) {
+        for assignment in &upstream.layer_assignments {
+            if is_assigned(assignment, model, version, layers) {
+                assignments.push((key, upstream, assignment));
             }
         }
     }
     let mut cuts = BTreeMap::from([(0, 0)]);
-    for (_, _, h) in &held {
-        for cut in [h.layers.first, h.layers.end] {
+    for (_, _, assignment) in &assignments {
+        for cut in [assignment.layers.first, assignment.layers.end] {
             if cut < layers {
                 *cuts.entry(cut).or_default() += 1;
             }
         }
     }
     let main_cuts = main_cuts(&cuts);
-    let mut segments: Vec<Segment> = cuts.into_keys().map(Segment::at).collect();
-    for (key, upstream, h) in held {
+    let mut segments: Vec<Segment> = cuts.into_keys().map(Segment::empty_at).collect();
+    for (key, upstream, assignment) in assignments {
         let candidate = Candidate {
             upstream: key,
-            first: h.layers.first,
-            end: h.layers.end,
+            first: assignment.layers.first,
+            end: assignment.layers.end,
         };
         for segment in segments.iter_mut().filter(|s| candidate.covers(s.first)) {
-            segment.add(upstream, candidate);
+            segment.add_candidate(upstream, candidate);
         }
     }
-    let missing = segments.iter().find(|s| s.is_empty()).map(|s| s.first);
+    let first_missing = segments.iter().find(|s| s.is_empty()).map(|s| s.first);
     VersionIndex {
         layers,
         segments,
         main_cuts,
-        missing,
+        first_missing,
     }
 }
 
 /// The most frequent cut of each run of neighbours; all of them when there are few.
 fn main_cuts(cuts: &BTreeMap<u32, u32>) -> Vec<u32> {
     let all: Vec<(u32, u32)> = cuts.iter().map(|(&cut, &count)| (cut, count)).collect();
-    all.chunks(all.len().div_ceil(MAIN_CUTS))
+    all.chunks(all.len().div_ceil(MAX_MAIN_CUTS))
         .filter_map(|run| run.iter().max_by_key(|(_, count)| count))
         .map(|&(cut, _)| cut)
         .collect()
 }
 
 impl Segment {
-    fn at(first: u32) -> Segment {
+    fn empty_at(first: u32) -> Segment {
         Segment {
             first,
             pools: Vec::new(),
@@ -248,7 +248,10 @@
     }
 }
 
-fn serving(fleet: &Fleet, model: ModelKey) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
+fn upstreams_accepting_work(
+    fleet: &Fleet,
+    model: ModelKey,
+) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
     let keys = fleet.by_model.get(usize::from(model.0));
     keys.into_iter()
         .flatten()
@@ -256,7 +259,8 @@
         .filter(|(_, u)| matches!(u.health, Health::Live | Health::Suspect))
 }
 
-fn holds(h: &LayerAssignment, model: ModelKey, version: u16, layers: u32) -> bool {
-    let sound = h.layers.first < h.layers.end && h.layers.end <= layers;
-    h.model == model && h.version == version && sound
+fn is_assigned(assignment: &LayerAssignment, model: ModelKey, version: u16, layers: u32) -> bool {
+    let in_bounds =
+        assignment.layers.first < assignment.layers.end && assignment.layers.end <= layers;
+    assignment.model == model && assignment.version == version && in_bounds
 }
--- a/crates/kelpworks/src/routing/mod.rs
+++ b/crates/kelpworks/src/routing/mod.rs
@@ -49,7 +49,7 @@
 use crate::fleet::ModelKey;
 use crate::fleet::UpstreamKey;
 use crate::routing::search::Search;
-use crate::routing::search::Span;
+use crate::routing::search::SearchRange;
 
 /// The result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -183,7 +183,7 @@
     let mut from = query.from;
     for hop in kept {
         let domain = fleet.upstreams[hop.upstream].domain;
-        let gap = Span {
+        let gap = SearchRange {
             first: at,
             end: hop.layers.first,
             from,
@@ -194,7 +194,7 @@
         from = domain;
         path.keep(hop);
     }
-    let rest = Span {
+    let rest = SearchRange {
         first: at,
         end: holders.layers,
         from,
@@ -205,12 +205,12 @@
 }
 
 /// Adds the hops of a span to a path.
-fn extend<R: Rng>(path: &mut Path, search: &mut Search<'_, R>, span: Span) -> Result<()> {
-    if span.first == span.end {
+fn extend<R: Rng>(path: &mut Path, search: &mut Search<'_, R>, range: SearchRange) -> Result<()> {
+    if range.first == range.end {
         return Ok(());
     }
     let found = search
-        .find(span)
+        .find(range)
         .map_err(|layer| Error::LayerMissing { layer })?;
     path.candidates += found.candidates;
     path.hops.extend(found.hops);
--- a/crates/kelpworks/src/routing/search.rs
+++ b/crates/kelpworks/src/routing/search.rs
@@ -26,17 +26,17 @@
 /// Candidates drawn for each cut and failure domain. Two is enough to keep the longest queue
 /// short and few enough that daemons with the same lagged reports do not all take the same
 /// upstream. One draw for each failure domain, as links between them may differ a hundredfold.
-const SAMPLE: usize = 2;
+const SAMPLE_SIZE: usize = 2;
 
-/// Draws for each cut and failure domain, at most, to find [`SAMPLE`] in good standing.
-const DRAWS: usize = 6;
+/// Draws for each cut and failure domain, at most, to find [`SAMPLE_SIZE`] in good standing.
+const MAX_DRAWS: usize = 6;
 
 /// Cuts within its holding at which a drawn candidate may stop.
-const STOPS: usize = 4;
+const MAX_STOPS: usize = 4;
 
 /// Layers to find a path for, and what stands at both ends.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Span {
+pub(super) struct SearchRange {
     /// First layer.
     pub(super) first: u32,
     /// One past the last layer.
@@ -49,7 +49,7 @@
 
 /// Hops found for a span.
 #[derive(Debug, Default)]
-pub(super) struct Found {
+pub(super) struct PartialPath {
     /// The hops, in order.
     pub(super) hops: Vec<Hop>,
     /// Why each was taken.
@@ -65,12 +65,12 @@
     /// Cut and failure domain that it came from.
     from: (usize, DomainKey),
     upstream: UpstreamKey,
-    last: bool,
+    demoted: bool,
 }
 
 /// A candidate's cost for a range, kept to name the runner-up.
 #[derive(Clone, Copy, Debug)]
-struct Weighed {
+struct EvaluatedHop {
     cuts: (usize, usize),
     upstream: UpstreamKey,
     cost: f64,
@@ -98,45 +98,47 @@
 
 impl<R: Rng> Search<'_, R> {
     /// Finds hops for a span; on failure the first layer that no upstream may run.
-    pub(super) fn find(&mut self, span: Span) -> Result<Found, u32> {
+    pub(super) fn find(&mut self, range: SearchRange) -> Result<PartialPath, u32> {
         // A sample holds candidates in good standing only. If it leads nowhere, holdings may lie
         // between the main cuts, or a stage has none in good standing. Both are rare, and only
         // a wider look tells.
-        self.run(span, Breadth::MainCuts)
-            .or_else(|_| self.run(span, Breadth::AllCuts))
-            .or_else(|_| self.run(span, Breadth::All))
+        self.run(range, Breadth::MainCuts)
+            .or_else(|_| self.run(range, Breadth::AllCuts))
+            .or_else(|_| self.run(range, Breadth::All))
     }
 
-    fn run(&mut self, span: Span, breadth: Breadth) -> Result<Found, u32> {
-        let cuts = cuts(self.version, span, breadth);
+    fn run(&mut self, range: SearchRange, breadth: Breadth) -> Result<PartialPath, u32> {
+        let cuts = cuts(self.version, range, breadth);
         let domains = self.fleet.domains.len();
         let mut nodes: Vec<Option<Arrival>> = vec![None; cuts.len() * domains];
-        let mut weighed = Vec::new();
+        let mut evaluated = Vec::new();
         let mut drawn = Vec::new();
         let mut count = 0;
-        let mut reached = span.first;
+        let mut reached = range.first;
         for at in 0..cuts.len() - 1 {
             let row = &nodes[at * domains..(at + 1) * domains];
             if at > 0 && row.iter().all(Option::is_none) {
                 continue;
             }
             reached = cuts[at];
-            self.draw(self.version.segment(cuts[at]), breadth, &mut drawn);
+            self.draw_candidates(self.version.segment(cuts[at]), breadth, &mut drawn);
             count += drawn.len() as u32;
             for &(candidate, quote) in &drawn {
-                let Some((before, from)) = self.cheapest_entry(&nodes, at, candidate, span) else {
+                let Some((cost_before, from)) =
+                    self.cheapest_predecessor(&nodes, at, candidate, range)
+                else {
                     continue;
                 };
                 let domain = self.fleet.upstreams[candidate.upstream].domain;
                 for stop in stops(&cuts, at, candidate.end, breadth) {
-                    let own = quote.work(cuts[stop] - cuts[at]);
+                    let hop_cost = quote.session_cost_us(cuts[stop] - cuts[at]);
                     let arrival = Arrival {
-                        cost: before + own + self.exit(domain, stop, &cuts, span),
+                        cost: cost_before + hop_cost + self.exit_cost(domain, stop, &cuts, range),
                         from: (at, from),
                         upstream: candidate.upstream,
-                        last: quote.is_last(),
+                        demoted: quote.is_demoted(),
                     };
-                    weighed.push(Weighed {
+                    evaluated.push(EvaluatedHop {
                         cuts: (at, stop),
                         upstream: candidate.upstream,
                         cost: arrival.cost,
@@ -148,44 +150,49 @@
                 }
             }
         }
-        let mut found = trace_back(&nodes, &cuts, domains, &weighed).ok_or(reached)?;
+        let mut found = trace_back(&nodes, &cuts, domains, &evaluated).ok_or(reached)?;
         found.candidates = count;
         Ok(found)
     }
 
     /// Lowest cost up to the start of a candidate's work, and the failure domain it comes from.
-    fn cheapest_entry(
+    fn cheapest_predecessor(
         &self,
         nodes: &[Option<Arrival>],
         at: usize,
         candidate: Candidate,
-        span: Span,
+        range: SearchRange,
     ) -> Option<(f64, DomainKey)> {
         let to = self.fleet.upstreams[candidate.upstream].domain;
-        let enter = |from| cost::link(self.fleet.link(from, to), self.query.prefill);
+        let entry_cost = |from| cost::link_cost_us(self.fleet.link(from, to), self.query.prefill);
         if at == 0 {
-            return Some((enter(span.from), span.from));
+            return Some((entry_cost(range.from), range.from));
         }
         let domains = self.fleet.domains.len();
         let row = &nodes[at * domains..(at + 1) * domains];
         let entries = row.iter().enumerate().filter_map(|(d, node)| {
             let from = DomainKey(d as u16);
             let node = node.as_ref()?;
-            Some((node.cost + enter(from), from))
+            Some((node.cost + entry_cost(from), from))
         });
         entries.min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    fn exit(&self, domain: DomainKey, stop: usize, cuts: &[u32], span: Span) -> f64 {
-        match span.to {
+    fn exit_cost(&self, domain: DomainKey, stop: usize, cuts: &[u32], range: SearchRange) -> f64 {
+        match range.to {
             Some(to) if stop == cuts.len() - 1 => {
-                cost::link(self.fleet.link(domain, to), self.query.prefill)
+                cost::link_cost_us(self.fleet.link(domain, to), self.query.prefill)
             }
             _ => 0.0,
         }
     }
 
-    fn draw(&mut self, segment: &Segment, breadth: Breadth, out: &mut Vec<(Candidate, Quote)>) {
+    fn draw_candidates(
+        &mut self,
+        segment: &Segment,
+        breadth: Breadth,
+        out: &mut Vec<(Candidate, Quote)>,
+    ) {
         out.clear();
         match breadth {
             Breadth::All => {
@@ -204,8 +211,8 @@
 
     fn draw_sample(&mut self, segment: &Segment, out: &mut Vec<(Candidate, Quote)>) {
         for pool in &segment.pools {
-            let full = out.len() + SAMPLE.min(pool.candidates.len());
-            for _ in 0..DRAWS {
+            let full = out.len() + SAMPLE_SIZE.min(pool.candidates.len());
+            for _ in 0..MAX_DRAWS {
                 if out.len() == full {
                     break;
                 }
@@ -214,7 +221,7 @@
                     continue;
                 }
                 match self.quote(candidate) {
-                    Some(quote) if !quote.is_last() => out.push((candidate, quote)),
+                    Some(quote) if !quote.is_demoted() => out.push((candidate, quote)),
                     _ => {}
                 }
             }
@@ -231,7 +238,7 @@
                 continue;
             };
             match self.quote(candidate) {
-                Some(quote) if !quote.is_last() => out.push((candidate, quote)),
+                Some(quote) if !quote.is_demoted() => out.push((candidate, quote)),
                 _ => {}
             }
         }
@@ -243,16 +250,16 @@
 }
 
 /// The cuts within a span, its ends included.
-fn cuts(version: &VersionIndex, span: Span, breadth: Breadth) -> Vec<u32> {
-    let mut cuts = vec![span.first];
-    let within = |cut: &u32| span.first < *cut && *cut < span.end;
+fn cuts(version: &VersionIndex, range: SearchRange, breadth: Breadth) -> Vec<u32> {
+    let mut cuts = vec![range.first];
+    let within = |cut: &u32| range.first < *cut && *cut < range.end;
     match breadth {
         Breadth::MainCuts => cuts.extend(version.main_cuts.iter().copied().filter(within)),
         Breadth::AllCuts | Breadth::All => {
             cuts.extend(version.segments.iter().map(|s| s.first).filter(within))
         }
     }
-    cuts.push(span.end);
+    cuts.push(range.end);
     cuts
 }
 
@@ -266,7 +273,7 @@
     let farthest = cuts.partition_point(|&cut| cut <= end) - 1;
     let stride = match breadth {
         Breadth::All => 1,
-        _ => (farthest - at).div_ceil(STOPS).max(1),
+        _ => (farthest - at).div_ceil(MAX_STOPS).max(1),
     };
     (at + 1..=farthest).rev().step_by(stride)
 }
@@ -275,13 +282,13 @@
     nodes: &[Option<Arrival>],
     cuts: &[u32],
     domains: usize,
-    weighed: &[Weighed],
-) -> Option<Found> {
+    evaluated: &[EvaluatedHop],
+) -> Option<PartialPath> {
     let mut at = cuts.len() - 1;
     let row = &nodes[at * domains..];
     let ends = row.iter().flatten();
     let mut arrival = *ends.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-    let mut found = Found::default();
+    let mut found = PartialPath::default();
     loop {
         let (start, domain) = arrival.from;
         found.hops.push(Hop {
@@ -291,7 +298,7 @@
                 end: cuts[at],
             },
         });
-        found.reasons.push(reason(&arrival, (start, at), weighed));
+        found.reasons.push(reason(&arrival, (start, at), evaluated));
         if start == 0 {
             break;
         }
@@ -303,8 +310,8 @@
     Some(found)
 }
 
-fn reason(arrival: &Arrival, cuts: (usize, usize), weighed: &[Weighed]) -> HopReason {
-    let others = weighed
+fn reason(arrival: &Arrival, cuts: (usize, usize), evaluated: &[EvaluatedHop]) -> HopReason {
+    let others = evaluated
         .iter()
         .filter(|w| w.cuts == cuts && w.upstream != arrival.upstream);
     let runner_up = others.min_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -315,7 +322,7 @@
             upstream: w.upstream,
             cost_us: w.cost,
         }),
-        reason: match (arrival.last, runner_up) {
+        reason: match (arrival.demoted, runner_up) {
             (true, _) => Reason::LastResort,
             (false, None) => Reason::OnlyCandidate,
             (false, Some(_)) => Reason::Cheapest,
--- a/crates/kelpworks/src/routing/service.rs
+++ b/crates/kelpworks/src/routing/service.rs
@@ -31,23 +31,23 @@
         let counters = &fleet.upstreams[key].counters;
         counters.in_flight.load(Ordering::Relaxed)
     };
-    let good: Vec<UpstreamKey> = keys
+    let preferred: Vec<UpstreamKey> = keys
         .iter()
         .copied()
-        .filter(|&key| rank(key) == Some(Rank::First))
+        .filter(|&key| rank(key) == Some(Rank::Preferred))
         .collect();
-    if good.is_empty() {
+    if preferred.is_empty() {
         return last_resort(keys, rank).ok_or(Error::ServiceMissing);
     }
-    let first = rng.random_range(0..good.len());
-    if good.len() == 1 {
-        return Ok(good[first]);
+    let first = rng.random_range(0..preferred.len());
+    if preferred.len() == 1 {
+        return Ok(preferred[first]);
     }
-    let mut second = rng.random_range(0..good.len() - 1);
+    let mut second = rng.random_range(0..preferred.len() - 1);
     if second >= first {
         second += 1;
     }
-    let (a, b) = (good[first], good[second]);
+    let (a, b) = (preferred[first], preferred[second]);
     Ok(if in_flight(b) < in_flight(a) { b } else { a })
 }
 
@@ -57,8 +57,11 @@
     rank: impl Fn(UpstreamKey) -> Option<Rank>,
 ) -> Option<UpstreamKey> {
     let ranked = keys.iter().filter_map(|&key| match rank(key)? {
-        Rank::First => Some(((0, 0), key)),
-        Rank::Last { ranks, cooling_ms } => Some(((ranks, cooling_ms), key)),
+        Rank::Preferred => Some(((0, 0), key)),
+        Rank::Demoted {
+            levels,
+            cooldown_left_ms,
+        } => Some(((levels, cooldown_left_ms), key)),
     });
     ranked.min_by_key(|(order, _)| *order).map(|(_, key)| key)
 }
--- a/crates/kelpworks/src/routing/tests.rs
+++ b/crates/kelpworks/src/routing/tests.rs
@@ -130,14 +130,14 @@
     "version 0: u0 0..7 only-candidate, u1 7..12 only-candidate"
 )]
 #[case::gap(&[Spec(Live, 0, 0, 0, 5), Spec(Live, 0, 0, 6, 12)], "no live upstream holds layer 5")]
-#[case::nobody(&[], "no live upstream holds layer 0")]
-#[case::leaving_is_withheld(&[Spec(Leaving, 0, 0, 0, 12)], "no live upstream holds layer 0")]
-#[case::down_is_withheld(&[Spec(Down, 0, 0, 0, 12)], "no live upstream holds layer 0")]
+#[case::no_upstream(&[], "no live upstream holds layer 0")]
+#[case::leaving_is_excluded(&[Spec(Leaving, 0, 0, 0, 12)], "no live upstream holds layer 0")]
+#[case::down_is_excluded(&[Spec(Down, 0, 0, 0, 12)], "no live upstream holds layer 0")]
 #[case::suspect_is_last(
     &[Spec(Suspect, 0, 0, 0, 12), Spec(Live, 1, 0, 0, 12)],
     "version 0: u1 0..12 only-candidate"
 )]
-#[case::suspect_is_not_withheld(
+#[case::suspect_is_last_resort(
     &[Spec(Suspect, 0, 0, 0, 12)],
     "version 0: u0 0..12 last-resort"
 )]
@@ -149,16 +149,16 @@
     &[Spec(Live, 0, 0, 0, 6), Spec(Live, 0, 1, 6, 12)],
     "no live upstream holds layer 6"
 )]
-#[case::near_stage_preferred(
+#[case::local_stage_is_preferred(
     &[Spec(Live, 0, 0, 0, 6), Spec(Live, 0, 0, 6, 12), Spec(Live, 1, 0, 6, 12)],
     "version 0: u0 0..6 only-candidate, u1 6..12 cheapest"
 )]
-#[case::whole_path_near_by(
+#[case::whole_local_path_beats_crossing_a_slow_link(
     // By stage, u0 is the cheapest start; but then the session has to cross the slow link.
     &[Spec(Live, 0, 0, 0, 6), Spec(Live, 1, 0, 6, 12), Spec(Live, 0, 0, 0, 12)],
     "version 0: u2 0..12 only-candidate"
 )]
-fn paths(#[case] specs: &[Spec], #[case] expected: &str) {
+fn path_covers_all_layers_with_the_best_upstreams(#[case] specs: &[Spec], #[case] expected: &str) {
     let (fleet, _) = fleet(specs);
     for seed in 0..20 {
         let got = choose_path(&fleet, &query(), &mut StdRng::seed_from_u64(seed));
@@ -172,10 +172,14 @@
 #[case::leaving_stays(&[Leaving, Live, Live, Live], &[], "u0 0..6 kept, u2 6..12 kept")]
 #[case::down_goes(&[Down, Live, Live, Live], &[], "u1 0..6 only-candidate, u2 6..12 kept")]
 #[case::failed_goes(&[Live, Live, Live, Live], &[2], "u0 0..6 kept, u3 6..12 only-candidate")]
-#[case::failed_is_not_withheld(
+#[case::failed_is_last_resort(
     &[Live, Live, Live, Down], &[2], "u0 0..6 kept, u2 6..12 last-resort"
 )]
-fn kept(#[case] health: &[Health], #[case] avoid: &[usize], #[case] expected: &str) {
+fn usable_hops_of_the_previous_path_are_kept(
+    #[case] health: &[Health],
+    #[case] avoid: &[usize],
+    #[case] expected: &str,
+) {
     let ranges = [(0, 6), (0, 6), (6, 12), (6, 12)];
     let specs: Vec<Spec> = health
         .iter()
@@ -203,7 +207,10 @@
 #[case::down(Down, Err(Error::LayerMissing { layer: 0 }))]
 #[case::leaving(Leaving, Err(Error::LayerMissing { layer: 0 }))]
 #[case::suspect(Suspect, Ok(Reason::LastResort))]
-fn stale_index_gives_no_work_away(#[case] health: Health, #[case] expected: Result<Reason, Error>) {
+fn stale_index_excludes_upstreams_that_take_no_work(
+    #[case] health: Health,
+    #[case] expected: Result<Reason, Error>,
+) {
     let (mut fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12)]);
     fleet.upstreams[keys[0]].health = health;
     let path = choose_path(&fleet, &query(), &mut StdRng::seed_from_u64(1));
@@ -225,8 +232,8 @@
 #[case::cooling(|fleet: &mut Fleet, u0: UpstreamKey| {
     fleet.upstreams[u0].counters.busy_until_ms.store(1500, Ordering::Relaxed);
 })]
-#[case::far(|fleet: &mut Fleet, u0: UpstreamKey| fleet.upstreams[u0].domain = DomainKey(1))]
-fn moves_away(#[case] change: fn(&mut Fleet, UpstreamKey)) {
+#[case::other_domain(|fleet: &mut Fleet, u0: UpstreamKey| fleet.upstreams[u0].domain = DomainKey(1))]
+fn session_avoids_the_costlier_upstream(#[case] change: fn(&mut Fleet, UpstreamKey)) {
     let (mut fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12), Spec(Live, 0, 0, 0, 12)]);
     change(&mut fleet, keys[0]);
     let fleet = fleet.indexed();
@@ -237,7 +244,7 @@
 }
 
 #[test]
-fn sessions_that_start_together_spread_by_speed() {
+fn simultaneous_sessions_are_balanced_by_layer_rate() {
     let (mut fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12); 4]);
     fleet.upstreams[keys[0]].layer_rate = 5000.0;
     let fleet = fleet.indexed();
@@ -263,7 +270,7 @@
 }
 
 #[test]
-fn slow_upstream_is_left_but_tried_now_and_then() {
+fn slow_upstream_is_avoided_but_still_explored() {
     let (fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12), Spec(Live, 0, 0, 0, 12)]);
     let counters = &fleet.upstreams[keys[0]].counters;
     counters.step_us.store(100_000, Ordering::Relaxed);
@@ -277,7 +284,7 @@
 }
 
 #[test]
-fn cached_prefix_draws_the_session() {
+fn cached_prefix_attracts_the_session() {
     let (fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12); 20]);
     let query = PathQuery {
         prefill: 1000,
@@ -312,9 +319,9 @@
 #[case::less_loaded(&[(Live, 5), (Live, 1)], &[], Some(1))]
 #[case::suspect_last(&[(Suspect, 0), (Live, 9)], &[], Some(1))]
 #[case::failed_last(&[(Live, 0), (Live, 9)], &[0], Some(1))]
-#[case::not_withheld(&[(Down, 0), (Suspect, 9)], &[1], Some(1))]
+#[case::suspect_and_failed_is_last_resort(&[(Down, 0), (Suspect, 9)], &[1], Some(1))]
 #[case::leaving(&[(Leaving, 0), (Down, 0)], &[], None)]
-fn services(
+fn service_prefers_the_less_loaded_healthy_upstream(
     #[case] upstreams: &[(Health, u32)],
     #[case] avoid: &[usize],
     #[case] expected: Option<usize>,
@@ -348,7 +355,7 @@
     /// path's version and may take work; those in bad standing only where they must; and there
     /// is always a path when every layer is held.
     #[test]
-    fn path_is_sound(
+    fn path_upholds_its_invariants(
         specs in prop::collection::vec(any_spec(), 0..24),
         version in prop::option::of(0..2u16),
         seed: u64,
@@ -357,18 +364,18 @@
         let avoid: Vec<UpstreamKey> =
             keys.iter().zip(&specs).filter(|(_, s)| s.1).map(|(&k, _)| k).collect();
         let query = PathQuery { version, avoid: &avoid, ..query() };
-        let held = |version: u16, fits: &dyn Fn(&(Spec, bool)) -> bool| {
+        let all_layers_match = |version: u16, fits: &dyn Fn(&(Spec, bool)) -> bool| {
             (0..LAYERS).all(|l| {
                 let holds = |s: &Spec| s.2 == version && s.3 <= l && l < s.4;
                 specs.iter().any(|s| holds(&s.0) && fits(s))
             })
         };
         let serves = |s: &(Spec, bool)| matches!(s.0.0, Live | Suspect);
-        let good = |s: &(Spec, bool)| s.0.0 == Live && !s.1;
+        let is_preferred = |s: &(Spec, bool)| s.0.0 == Live && !s.1;
         let result = choose_path(&fleet, &query, &mut StdRng::seed_from_u64(seed));
         let Ok(path) = result else {
             prop_assert!((0..2).filter(|&v| version.is_none_or(|w| w == v))
-                .all(|v| !held(v, &serves)));
+                .all(|v| !all_layers_match(v, &serves)));
             return Ok(());
         };
         prop_assert!(version.is_none_or(|v| v == path.version));
@@ -383,6 +390,6 @@
         }
         prop_assert_eq!(at, LAYERS);
         let last = path.explanation.hops.iter().any(|h| h.reason == Reason::LastResort);
-        prop_assert!(!(last && held(path.version, &good)));
+        prop_assert!(!(last && all_layers_match(path.version, &is_preferred)));
     }
 }
--- a/crates/kelpworks/tests/overload_admission.rs
+++ b/crates/kelpworks/tests/overload_admission.rs
@@ -35,8 +35,8 @@
 #[tokio::test(start_paused = true)]
 async fn who_does_not_fit_is_refused_at_once(#[case] rate: f64) {
     let admission = Admission::new(Config {
-        limit: LIMIT,
-        queue: QUEUE,
+        initial_limit: LIMIT,
+        max_waiting: QUEUE,
         seed: Some(1),
         ..Config::default()
     });
--- a/crates/kelpworks/tests/retry_driver.rs
+++ b/crates/kelpworks/tests/retry_driver.rs
@@ -274,8 +274,8 @@
 fn unbounded() -> RetryConfig {
     RetryConfig {
         burst: f64::INFINITY,
-        floor: f64::INFINITY,
-        attempts: 32,
+        min_per_second: f64::INFINITY,
+        max_attempts: 32,
         ..RetryConfig::default()
     }
 }
@@ -291,7 +291,7 @@
 async fn a_failing_stage_is_not_flooded(#[case] burst: f64, #[case] floor: f64) {
     let retries = RetryConfig {
         burst,
-        floor,
+        min_per_second: floor,
         ..RetryConfig::default()
     };
     let (sent, took) = flood(retries).await;
@@ -305,7 +305,7 @@
     let bound = 2 * (REQUESTS * (1 + SURE_RECOVERIES) + earned.ceil() as u64);
     println!("steps sent: {sent}, bound {bound}, without a budget {baseline}");
     assert!(sent <= bound, "{sent} steps, bound {bound}");
-    assert_eq!(baseline, 2 * REQUESTS * u64::from(unbounded().attempts));
+    assert_eq!(baseline, 2 * REQUESTS * u64::from(unbounded().max_attempts));
 }
 
 async fn flood(retries: RetryConfig) -> (u64, Duration) {
