--- a/crates/kelpworks/src/admission/config.rs
+++ b/crates/kelpworks/src/admission/config.rs
@@ -1,8 +1,8 @@
-//! Bounds and targets of admission.
+//! Settings of admission.
 
 use std::time::Duration;
 
-/// Bounds and targets of admission.
+/// Limits and targets of admission control on one daemon.
 ///
 /// ```
 /// use kelpworks::admission::Config;
@@ -12,41 +12,45 @@
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Requests waiting, at most, over all teams of a class. Default 1024.
+    /// Maximum number of waiting requests of one class, over all teams. Default 1024.
     pub max_waiting: u32,
-    /// Requests of one team waiting, at most. Default 256.
+    /// Maximum number of waiting requests of one team in one class. Default 256.
     pub max_team_waiting: u32,
-    /// Longest expected queue delay of a paying request that is queued. Default 5 s.
+    /// Paying requests with a longer expected queue delay are refused. Default 5 s.
     pub max_paying_delay: Duration,
-    /// Longest expected queue delay of a trial request that is queued. Default 500 ms, far below
-    /// that of paying ones, so that trials are refused first and early.
+    /// Trial requests with a longer expected queue delay are refused. Default 500 ms, far below
+    /// `max_paying_delay`, so that trials are refused before paying requests, and early.
     pub max_trial_delay: Duration,
-    /// A request that has waited so many times its longest expected delay is refused. Default 2:
-    /// the estimate may be off by as much.
+    /// A request is refused once it has waited this multiple of the maximum expected delay of its
+    /// class. Default 2, since the estimate may be off by that factor.
     pub max_wait_factor: u32,
-    /// Paying requests in service, and room for trials, at the start. Default 64.
+    /// Initial value of both limits: the number of paying requests in service, and the number of
+    /// requests in service up to which trials run. Default 64.
     pub initial_limit: u32,
-    /// The least that either falls to. Default 4.
+    /// Lower bound of both limits. Default 4.
     pub min_limit: u32,
-    /// The greatest that either grows to. Default 4096.
+    /// Upper bound of both limits. Default 4096.
     pub max_limit: u32,
-    /// Token time that is aimed at: limits grow up to it, as more requests at once mean more
-    /// tokens a second. Default 50 ms. Before engines that do not serve paying steps first, trials
-    /// lengthen paying tokens up to this; there, a lower one protects paying callers.
+    /// Target time of one token over the whole pipeline. Limits grow while tokens take less than
+    /// this, because more concurrent requests give more tokens per second. Default 50 ms. With
+    /// engines that do not serve paying steps first, trials may lengthen the tokens of paying
+    /// requests up to this time; there, a lower target protects paying callers.
     pub token_target: Duration,
-    /// Where the floor of the token time is so high that the target cannot be met: the multiple
-    /// of the floor that is aimed at instead. Default 2.
+    /// Multiple of the lowest observed token time that replaces `token_target` where it is the
+    /// larger of the two, because the target cannot be met there. Default 2.
     pub tolerance: f64,
-    /// How often limit and trial backstop are adjusted. Default 100 ms.
+    /// Interval at which the limits and the trial backstop are adjusted. Default 100 ms.
     pub interval: Duration,
-    /// Trials give way when a paying request waited longer than this. Default 20 ms.
+    /// The trial backstop is lowered when a paying request waited longer than this. Default 20 ms.
     pub paying_delay_target: Duration,
-    /// Longest pause of an admitted trial between two tokens: it always makes progress, so it is
-    /// answered whole. Where many hold, up to 2 s. Default 250 ms.
+    /// Maximum pause of an admitted trial between two tokens; it grows to at most 2 s when many
+    /// trials are paused. The bound guarantees progress, so that each admitted trial completes.
+    /// Default 250 ms.
     pub trial_pause: Duration,
-    /// Least and greatest `retry_after` of a refusal. Default 200 ms to 30 s.
+    /// Minimum and maximum of [`Refusal::retry_after`](crate::admission::Refusal::retry_after).
+    /// Default 200 ms to 30 s.
     pub retry_after: (Duration, Duration),
-    /// Seed of the jitter in `retry_after`; `None`, the default, takes one from the system.
+    /// Seed of the jitter in `retry_after`. With `None`, the default, the system provides one.
     pub seed: Option<u64>,
 }
 
--- a/crates/kelpworks/src/admission/fair.rs
+++ b/crates/kelpworks/src/admission/fair.rs
@@ -1,10 +1,11 @@
-//! Weighted fair queueing over teams, by start time.
+//! Start-time weighted fair queueing over teams.
 //!
 //! Each team has a virtual finish time, which grows by cost / weight with each request served.
-//! The team whose next request has the least virtual start time goes next. A team that was idle
-//! starts at the virtual time of the queue: it gains no credit and owes none. Over any time in
-//! which two teams both wait, what they are served, divided by weight, differs by at most one
-//! request of each. All operations take O(log n) of the teams and of the requests of a team.
+//! The team whose next request has the lowest virtual start time is served next. A team that was
+//! idle starts at the virtual time of the queue, so idle time gives neither credit nor debt. While
+//! two teams both have requests waiting, the cost served to each, divided by its weight, differs
+//! by at most one request of each. All operations take O(log n) in the number of teams and in the
+//! number of requests of a team.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,37 +17,37 @@
 
 use crate::admission::queue::Ticket;
 
-/// Virtual time of a cost of 1 at weight 1; keeps fractions with integers, so that no rounding
-/// error grows with time.
+/// Virtual time of a cost of 1 at weight 1. Virtual time is a fixed-point integer, so that
+/// rounding errors do not accumulate.
 const UNIT: u64 = 1 << 16;
 
-/// Teams kept before idle ones are forgotten for the first time.
+/// Number of teams at which idle ones are evicted for the first time.
 const INITIAL_SWEEP_LEN: usize = 64;
 
 new_key_type! {
-    /// Key of a team.
     struct TeamKey;
 }
 
-/// Where a request waits.
+/// Identifies a waiting request: its team and its arrival number within the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct WaitingKey {
     team: TeamKey,
     number: u64,
 }
 
-/// A team with something to settle: requests waiting, or a finish time ahead of the queue's.
+/// State of a team. Teams without waiting requests and with a finish time that is not ahead of
+/// the queue's virtual time carry no information and may be evicted.
 #[derive(Debug)]
 struct Team {
     name: Arc<str>,
     weight: u32,
-    /// Virtual finish time of what it was served.
+    /// Virtual finish time of the last request served.
     finish: u64,
-    /// Virtual start time of its first waiting request; meaningful while some wait.
+    /// Virtual start time of the first waiting request; valid only while `waiting` is not empty.
     start: u64,
-    /// Waiting requests in order of arrival.
+    /// Waiting requests by arrival number.
     waiting: BTreeMap<u64, Waiting>,
-    /// Sum of the cost of `waiting`.
+    /// Total cost of `waiting`.
     cost: u64,
 }
 
@@ -56,44 +57,45 @@
     cost: u32,
 }
 
-/// Requests of one class, waiting.
+/// Waiting requests of one class.
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
     teams: SlotMap<TeamKey, Team>,
     by_name: HashMap<Arc<str>, TeamKey>,
-    /// Teams with requests waiting, by virtual start time.
+    /// Teams with waiting requests, by virtual start time.
     order: BTreeSet<(u64, TeamKey)>,
-    /// Virtual start time of the request served last; never falls.
+    /// Virtual time of the queue: the highest virtual start time served. Never decreases.
     virtual_now: u64,
     next_number: u64,
     len: u32,
-    /// Sum of the cost of all waiting requests.
+    /// Total cost of all waiting requests.
     cost: u64,
     /// Sum of the weights of the teams in `order`.
     weight: u64,
-    /// Number of teams at which idle ones are forgotten.
+    /// Number of teams at which idle ones are evicted next.
     sweep_len: usize,
 }
 
 impl FairQueue {
-    /// Requests waiting.
+    /// Number of waiting requests of all teams.
     pub(super) fn len(&self) -> u32 {
         self.len
     }
 
-    /// Cost of all requests waiting.
+    /// Total cost of all waiting requests.
     pub(super) fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Requests of this team waiting.
+    /// Number of waiting requests of a team; 0 for an unknown team.
     pub(super) fn team_len(&self, name: &str) -> u32 {
         let team = self.by_name.get(name).map(|&key| &self.teams[key]);
         team.map_or(0, |t| t.waiting.len() as u32)
     }
 
-    /// Cost that is served before a new request of this team, at most: its own team's part of the
-    /// rate has to carry its own backlog, but never more than the whole backlog goes before it.
+    /// Returns an upper bound of the cost that is served before a new request of this team. Its
+    /// team's backlog is served at the team's share of the rate, and at most the whole backlog of
+    /// the queue is served first.
     pub(super) fn cost_ahead(&self, name: &str, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let team = self.by_name.get(name).map(|&key| &self.teams[key]);
@@ -106,7 +108,7 @@
         share.min(self.cost)
     }
 
-    /// Puts a request behind those of its team.
+    /// Adds a request behind those of its team.
     pub(super) fn push(
         &mut self,
         name: &str,
@@ -134,7 +136,7 @@
         WaitingKey { team: key, number }
     }
 
-    /// Takes the next request to serve.
+    /// Removes the next request to serve and charges its cost to its team.
     pub(super) fn pop(&mut self) -> Option<Ticket> {
         let &(start, key) = self.order.first()?;
         let team = &mut self.teams[key];
@@ -151,12 +153,12 @@
         Some(next.ticket)
     }
 
-    /// Takes a waiting request out; nothing is charged to its team.
+    /// Removes a waiting request without charging its team.
     pub(super) fn remove(&mut self, waiting_key: WaitingKey) {
         self.unlink(waiting_key);
     }
 
-    /// Gives a team back what a request did not use of its cost.
+    /// Refunds the part of a request's cost that it did not use to its team.
     pub(super) fn refund(&mut self, name: &str, cost: u32) {
         let Some(&key) = self.by_name.get(name) else {
             return;
@@ -211,7 +213,7 @@
         key
     }
 
-    /// Forgets teams that a new one of the same name would not differ from.
+    /// Evicts teams whose state equals that of a newly created team.
     fn evict_idle(&mut self) {
         let virtual_now = self.virtual_now;
         let by_name = &mut self.by_name;
--- a/crates/kelpworks/src/admission/limit.rs
+++ b/crates/kelpworks/src/admission/limit.rs
@@ -1,52 +1,54 @@
-//! How many requests may be in service at once: additive increase, multiplicative decrease.
+//! Adaptive limits on the number of requests in service.
 //!
-//! The time of a token over the whole pipeline grows as soon as any one stage is overloaded, so it
-//! stands for the bottleneck, whichever stage that is. There are two limits: one for paying
-//! requests, and the room up to which trials may fill what paying ones leave.
+//! A limit grows by a fraction of itself while requests wait, and falls by a constant factor when
+//! tokens take too long. The time of a token over the whole pipeline grows as soon as any stage is
+//! overloaded, so it measures the bottleneck, whichever stage that is. There are two limits: the
+//! number of paying requests in service, and the number of requests of both classes up to which
+//! trials may run (the trial ceiling).
 //!
-//! Engines serve paying steps first, so trials lengthen the tokens of paying requests little, as
-//! long as those that hold take little.
+//! Engines serve paying steps first, so trials lengthen the tokens of paying requests only a
+//! little, as long as paused trials use little capacity.
 
 use std::time::Duration;
 
 use crate::admission::config::Config;
 use kelpworks_wire::Class;
 
-/// Factor by which a limit falls.
+/// Factor of a multiplicative decrease.
 const DECREASE_FACTOR: f64 = 0.9;
 
-/// Part of a limit that is added in each interval, and at least 1.
+/// Fraction of a limit that an increase adds; at least 1 request is added.
 const INCREASE_FRACTION: f64 = 1.0 / 8.0;
 
-/// Growth of a floor in each interval; forgets a floor that a changed fleet no longer reaches,
-/// within minutes.
+/// Growth of the lowest observed token time per interval. A value that a changed fleet no longer
+/// reaches is thus replaced within minutes.
 const FLOOR_GROWTH: f64 = 1.0005;
 
-/// Multiple of the token time aimed at for paying requests up to which trials may slow down.
+/// Multiple of the maximum token time up to which trial tokens may slow down.
 const TRIAL_SLOWDOWN: f64 = 2.0;
 
-/// Multiple of the token time aimed at up to which paying requests may slow each other down. A
-/// lower one only moves their wait from the engines into the daemon, and refuses some of them.
+/// Multiple of the maximum token time up to which paying requests may slow each other down. A
+/// lower value only moves their wait from the engines into the daemon and refuses some of them.
 const PAYING_SLOWDOWN: f64 = 4.0;
 
-/// Part of the room that trials may take while they hold.
+/// Fraction of the trial ceiling that paused trials may use together.
 const PAUSED_SHARE: f64 = 0.05;
 
-/// Longest pause of a trial between two tokens.
+/// Upper bound of [`Limits::pause`].
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Who was kept waiting, and who was in service, since the last adjustment.
+/// Demand observed since the last adjustment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Demand {
-    /// Paying requests waited for a slot.
+    /// Whether paying requests waited for a slot.
     pub(super) paying_waited: bool,
-    /// Trials waited, or were refused, for want of room.
+    /// Whether trials waited, or were refused, because no slot was free.
     pub(super) trials_waited: bool,
-    /// Trials were in service.
+    /// Whether trials were in service and not paused.
     pub(super) trials_ran: bool,
 }
 
-/// Both limits.
+/// The limits on paying requests and on trials.
 #[derive(Debug)]
 pub(super) struct Limits {
     paying: Aimd,
@@ -65,14 +67,15 @@
     max: f64,
 }
 
-/// Token times of one class. The classes are apart because engines serve paying steps first: the
-/// tokens of a trial take longer while paying work runs, which is no sign of overload.
+/// Token times of one class. The classes are measured separately because engines serve paying
+/// steps first: trial tokens take longer while paying work runs, which is no sign of overload.
 #[derive(Debug)]
 struct TokenTime {
-    /// Least of late, in seconds; infinite until one was observed.
+    /// Lowest recent token time, in seconds; infinite until one was observed.
     floor: f64,
-    /// Sum and number since the last adjustment.
+    /// Sum of the token times since the last adjustment, in seconds.
     sum: f64,
+    /// Number of token times in `sum`.
     count: u32,
 }
 
@@ -93,18 +96,19 @@
         }
     }
 
-    /// Paying requests that may be in service; at least 1.
+    /// Maximum number of paying requests in service; at least 1.
     pub(super) fn paying(&self) -> u32 {
         self.paying.get()
     }
 
-    /// Requests of both classes up to which trials may run; at least 1.
+    /// Maximum number of requests of both classes in service up to which trials run; at least 1.
     pub(super) fn trial_ceiling(&self) -> u32 {
         self.trial_ceiling.get()
     }
 
-    /// How long a trial holds between two tokens when so many do, so that they take at most
-    /// [`PAUSED_SHARE`] of the room together.
+    /// Returns the pause between two tokens of a paused trial, for this number of paused trials.
+    /// Together they use at most [`PAUSED_SHARE`] of the trial ceiling, until [`MAX_PAUSE`] bounds
+    /// the pause. Zero until a trial token was observed.
     pub(super) fn pause(&self, paused: usize) -> Duration {
         if !self.trial_tokens.floor.is_finite() {
             return Duration::ZERO;
@@ -114,7 +118,7 @@
         Duration::from_secs_f64(pause.min(MAX_PAUSE.as_secs_f64()))
     }
 
-    /// Notes the time that a request took for one token over the whole pipeline.
+    /// Records the time of one token of a request over the whole pipeline.
     pub(super) fn observe(&mut self, class: Class, token: Duration) {
         match class {
             Class::Paying => self.paying_tokens.observe(token),
@@ -122,8 +126,8 @@
         }
     }
 
-    /// Adjusts the limits. Without any token observed there is no evidence either way, and they
-    /// stay.
+    /// Adjusts the limits at the end of an interval. A limit stays as it is when no relevant token
+    /// was observed, as there is no evidence either way.
     pub(super) fn adjust(&mut self, demand: Demand) {
         let paying = self.paying_tokens.mean();
         let trial = self.trial_tokens.mean();
@@ -132,7 +136,7 @@
         let max_trial_token_time = self.max_token_time(&self.trial_tokens) * TRIAL_SLOWDOWN;
         let trial_slow = trial.is_some_and(|mean| mean > max_trial_token_time);
         if paying.is_some() {
-            // While trials run, they are the ones to give way.
+            // While trials run, only the trial ceiling is lowered.
             let max_token_time = self.max_token_time(&self.paying_tokens) * PAYING_SLOWDOWN;
             let congested = paying.is_some_and(|mean| mean > max_token_time);
             let decrease = congested && !demand.trials_ran;
@@ -183,7 +187,7 @@
         self.count += 1;
     }
 
-    /// Mean of this interval, if there was a token.
+    /// Mean token time of this interval in seconds, if a token was observed.
     fn mean(&self) -> Option<f64> {
         (self.count > 0).then(|| self.sum / f64::from(self.count))
     }
--- a/crates/kelpworks/src/admission/mod.rs
+++ b/crates/kelpworks/src/admission/mod.rs
@@ -1,9 +1,10 @@
-//! Who may start, and when: paying before trial, and fair shares among teams.
+//! Admission control: which requests may start, and when.
 //!
-//! A daemon keeps as many requests in service as the bottleneck of its pipelines carries. Paying
-//! requests go first, strictly; within a class, teams share by weight. A request that would wait
-//! too long is refused at once, trials first. Trials in service hold between tokens while paying
-//! requests need the room, but always get on, so that each is answered whole.
+//! A daemon keeps as many requests in service as the bottleneck of its pipelines sustains. Paying
+//! requests have strict priority over trials; within a class, teams share by weight. A request
+//! with too long an expected delay is refused immediately, trials sooner than paying requests.
+//! Trials in service pause between tokens while paying requests need their slots, but always make
+//! progress, so that each admitted trial completes.
 //!
 //! ```
 //! use kelpworks::admission::Admission;
@@ -21,9 +22,9 @@
 //! # }
 //! ```
 //!
-//! Limits: the state is of one daemon. Shares of the whole fleet come from outside, by
-//! [`Admission::set_trial_rate`]. The delay of a new request is unknown until some have ended;
-//! until then only the lengths of the queues bound it.
+//! Limitations: the state covers one daemon. A share of the rate of the whole fleet is set from
+//! outside, by [`Admission::set_trial_rate`]. Delays cannot be estimated until some requests have
+//! completed; until then only the maximum queue lengths bound the delay of a queued request.
 
 mod config;
 mod fair;
@@ -54,45 +55,45 @@
 pub use crate::admission::queue::Queue;
 pub use crate::admission::queue::Ticket;
 
-/// How often a waiting request lets the queue do what has become due. Most things happen when
-/// another request ends; this is for the trial rate, which frees room as time passes.
+/// Interval at which a waiting request polls the queue. Most requests start when another one
+/// ends; polling covers the trial rate, which admits trials as time passes.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stands in [`TicketGuard::used_cost`] for a cost that is not known.
+/// Value of [`TicketGuard::used_cost`] while the cost is not known.
 const COST_UNKNOWN: u32 = u32::MAX;
 
-/// The result of this module.
+/// Result of an attempt to be admitted.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// A request that was not admitted; nothing of it ran.
+/// Refusal of a request. No part of the request has run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// When to come back.
+    /// Time after which the caller may retry, with jitter.
     pub retry_after: Duration,
-    /// Why, for the log and the caller.
+    /// Reason for the log and for the caller.
     pub reason: &'static str,
 }
 
-/// What admission needs to know of a request.
+/// The properties of a request that decide its admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Name of the team.
+    /// Name of the team that the request is charged to.
     pub team: &'a str,
-    /// Its class.
+    /// Class, which sets the priority and the maximum delay.
     pub class: Class,
-    /// Its weight within the class.
+    /// Weight of the team within the class; 0 counts as 1.
     pub weight: u32,
-    /// Positions it will run at most, prompt and answer.
+    /// Maximum number of positions that the request runs, prompt and answer together.
     pub cost: u32,
 }
 
-/// Admission of one daemon.
+/// Admission control of one daemon. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Admission {
     shared: Arc<Shared>,
 }
 
-/// Leave to run one request; dropping it ends the request for admission.
+/// Permission to run one request. Dropping it frees the slot of the request.
 #[derive(Debug)]
 pub struct Permit {
     guard: TicketGuard,
@@ -102,16 +103,16 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    /// Zero of the queue's times.
+    /// Origin of the times that are passed to the queue.
     start: Instant,
-    /// Cost of all trials that asked so far, those refused included.
+    /// Total cost of all trials offered so far, refused ones included.
     trial_demand: AtomicU64,
 }
 
 #[derive(Debug)]
 struct State {
     queue: Queue,
-    /// One for each request that waits or is in service.
+    /// Wakers of all requests that wait or are in service.
     wakers: SecondaryMap<Ticket, Arc<Waker>>,
 }
 
@@ -122,7 +123,8 @@
     resumed: Notify,
 }
 
-/// A request's place in the queue or in service, given up when dropped.
+/// Owns the ticket of a request that waits or is in service, and removes it from the queue when
+/// dropped.
 #[derive(Debug)]
 struct TicketGuard {
     shared: Arc<Shared>,
@@ -138,7 +140,7 @@
 }
 
 impl Admission {
-    /// Admission with nothing waiting.
+    /// Creates the admission control of a daemon that has no requests yet.
     pub fn new(cfg: Config) -> Admission {
         let state = State {
             queue: Queue::new(cfg),
@@ -154,12 +156,13 @@
         }
     }
 
-    /// Waits for leave to run a request. Dropping the future gives up the place in the queue.
+    /// Waits until a request may run. Dropping the future removes the request from the queue.
     ///
     /// # Errors
     ///
-    /// A refusal at once where the wait would be too long, and later where the estimate of the
-    /// wait was wrong; the request has not run.
+    /// Refuses immediately when the expected delay is too long or a queue is full, and later when
+    /// the request has waited for [`Queue::max_wait`] because the estimate was too low. The request
+    /// has not run in either case.
     pub async fn admit(&self, request: AdmissionRequest<'_>) -> Result<Permit> {
         let class = request.class;
         let guard = self.shared.offer(&request)?;
@@ -167,45 +170,47 @@
         Ok(Permit { guard, class })
     }
 
-    /// Sets the positions a second that trials may start on this daemon.
+    /// Sets the rate, in positions per second, at which this daemon starts trials.
     pub fn set_trial_rate(&self, rate: f64) {
         self.shared
             .change(|queue, now| queue.set_trial_rate(now, rate));
     }
 
-    /// Positions that trials asked for so far, those refused included; only ever rises.
+    /// Total positions of all trials offered so far, refused ones included. Never decreases.
     pub fn trial_demand(&self) -> u64 {
         self.shared.trial_demand.load(Ordering::Relaxed)
     }
 
-    /// Looks at the queue, for status and metrics.
+    /// Calls a function on the queue while its lock is held, for status and metrics.
     pub fn inspect<T>(&self, read: impl FnOnce(&Queue) -> T) -> T {
         read(&self.shared.lock().queue)
     }
 }
 
 impl Permit {
-    /// Waits until the next token of this request may run; paying requests never wait here, and
-    /// trials at most [`Config::trial_pause`].
+    /// Waits until the next token of this request may run. Paying requests never wait here, and
+    /// trials at most for [`Queue::trial_pause`].
     pub async fn wait_until_resumed(&self) {
         if self.class == Class::Paying {
             return;
         }
         let pause = self.guard.shared.lock().queue.trial_pause();
         let resumed = self.guard.wait_while_paused();
-        // Running out of patience is leave to run one token: no trial starves.
+        // After the pause the trial runs one token even if it is still paused, so that it does not
+        // starve.
         let _ = tokio::time::timeout(pause, resumed).await;
     }
 
-    /// Notes the time that one token took over the whole pipeline, without the wait in
-    /// [`Permit::wait_until_resumed`]; the number of requests in service adapts to it.
+    /// Records the time of one token over the whole pipeline, without the wait in
+    /// [`Permit::wait_until_resumed`]. The limits on requests in service adapt to it.
     pub fn observe_token(&self, token: Duration) {
         let class = self.class;
         let shared = &self.guard.shared;
         shared.change(|queue, now| queue.observe_token(now, class, token));
     }
 
-    /// Notes the positions that the request really ran; the rest of its cost is given back.
+    /// Records the positions that the request actually ran. The rest of its cost is refunded when
+    /// the permit is dropped.
     pub fn record_usage(&self, positions: u32) {
         self.guard.used_cost.store(positions, Ordering::Relaxed);
     }
@@ -213,7 +218,8 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The state is consistent after each call, also when a holder of the lock panicked.
+        // Every queue call leaves the state consistent, even if a holder of the lock panicked, so
+        // a poisoned lock can still be used.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/kelpworks/src/admission/queue.rs
+++ b/crates/kelpworks/src/admission/queue.rs
@@ -1,5 +1,5 @@
-//! The decisions of admission, without tasks or clocks: calls come with the time, and what follows
-//! from them is fetched with [`Queue::next_event`].
+//! The state machine of admission, free of tasks and clocks. Callers pass the time to each call
+//! and fetch the resulting events with [`Queue::next_event`].
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -23,20 +23,20 @@
 use crate::admission::trial::TrialShare;
 use kelpworks_wire::Class;
 
-/// Weight of what came before in the smoothed speed of a slot.
+/// Factor by which each completed request decays the sums of [`SlotThroughput`].
 const THROUGHPUT_DECAY: f64 = 0.95;
 
 new_key_type! {
-    /// A request that waits or is in service.
+    /// Key of a request that waits or is in service.
     pub struct Ticket;
 }
 
-/// What follows from a call.
+/// A change of the state of a request that its caller has to act on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The request may start.
+    /// The request left the queue and may start.
     Admitted(Ticket),
-    /// The trial may go on with its tokens.
+    /// The paused trial may run tokens again.
     Resumed(Ticket),
 }
 
@@ -46,7 +46,7 @@
     team: Arc<str>,
     class: Class,
     cost: u32,
-    /// When it came, or when its service began.
+    /// Time of its arrival while it waits, then of the start of its service.
     since: Duration,
     state: State,
 }
@@ -54,22 +54,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Waiting(WaitingKey),
-    /// In service; the number is its rank by age.
+    /// In service, with its rank in the order of admission.
     Running(u64),
-    /// A trial that holds between tokens; the number is its rank by age.
+    /// A trial in service that is paused between tokens, with its rank in the order of admission.
     Paused(u64),
 }
 
-/// What a slot gets done: smoothed cost and smoothed time of requests that ended.
+/// Throughput of a slot: decayed sums of the cost and of the time of completed requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlotThroughput {
     cost: f64,
     seconds: f64,
 }
 
-/// Admission of one daemon, without tasks or clocks.
+/// Admission queues and limits of one daemon, free of tasks and clocks.
 ///
-/// All times are since one fixed moment and never fall.
+/// All times are durations since one fixed moment and must not decrease from call to call.
 ///
 /// ```
 /// use std::time::Duration;
@@ -95,25 +95,25 @@
     trial: FairQueue,
     limits: Limits,
     share: TrialShare,
-    /// Paying requests in service.
+    /// Number of paying requests in service.
     paying_running: u32,
-    /// Trials in service by age, those that run and those that hold; the former are all older.
+    /// Trials in service that are not paused, by rank; all are older than the paused ones.
     running: BTreeMap<u64, Ticket>,
+    /// Trials in service that are paused between tokens, by rank.
     paused: BTreeMap<u64, Ticket>,
     next_rank: u64,
     paying_throughput: SlotThroughput,
     trial_throughput: SlotThroughput,
     events: VecDeque<Event>,
     next_adjust: Duration,
-    /// Longest wait of a paying request that was admitted since the last adjustment.
+    /// Longest wait of the paying requests admitted since the last adjustment.
     paying_wait: Duration,
-    /// What happened since the last adjustment.
     demand: Demand,
     rng: StdRng,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(cfg: Config) -> Queue {
         let rng = match cfg.seed {
             Some(seed) => StdRng::seed_from_u64(seed),
@@ -140,11 +140,13 @@
         }
     }
 
-    /// Takes a request in. It waits until [`Event::Admitted`] names its ticket, perhaps at once.
+    /// Queues a request. It may start once [`Event::Admitted`] carries its ticket, which may be
+    /// the next event already.
     ///
     /// # Errors
     ///
-    /// When it would wait too long, or too many wait; it leaves no trace then.
+    /// Refuses the request when its expected delay is too long or a queue is full. The queues are
+    /// unchanged then.
     pub fn offer(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> Result<Ticket> {
         self.adjust_if_due(now);
         self.check(now, request)?;
@@ -162,7 +164,8 @@
         Ok(ticket)
     }
 
-    /// Ends a request, waiting or in service; `used` is the cost that it really took, if known.
+    /// Removes a request that waits or is in service. `used` is its actual cost, if known; the
+    /// rest of the cost that it was admitted with is refunded.
     pub fn finish(&mut self, now: Duration, ticket: Ticket, used: Option<u32>) {
         self.adjust_if_due(now);
         let Some(entry) = self.entries.remove(ticket) else {
@@ -178,8 +181,8 @@
         self.dispatch(now);
     }
 
-    /// Ends a request that has waited beyond [`Queue::max_wait`] and says when to come back.
-    /// `None` when it does not wait.
+    /// Removes a request that has waited longer than [`Queue::max_wait`] and returns its refusal,
+    /// or `None` when the request is not waiting.
     pub fn time_out(&mut self, now: Duration, ticket: Ticket) -> Option<Refusal> {
         let entry = self.entries.get(ticket)?;
         let State::Waiting(_) = entry.state else {
@@ -190,58 +193,59 @@
         Some(self.refusal(delay, "waited too long"))
     }
 
-    /// Longest time that a request of a class waits.
+    /// Maximum time that a request of a class waits before it is refused.
     pub fn max_wait(&self, class: Class) -> Duration {
         self.max_expected_delay(class) * self.cfg.max_wait_factor.max(1)
     }
 
-    /// Longest pause of a trial between two tokens, at this moment.
+    /// Maximum pause of a trial between two tokens, for the current number of paused trials.
     pub fn trial_pause(&self) -> Duration {
         self.limits
             .pause(self.paused.len())
             .max(self.cfg.trial_pause)
     }
 
-    /// What followed from the calls so far, in order.
+    /// Removes and returns the oldest event that was not fetched yet.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Whether a request in service may run its next token.
+    /// Whether a request may run its next token: false for paused trials only.
     pub fn may_run(&self, ticket: Ticket) -> bool {
         let entry = self.entries.get(ticket);
         entry.is_none_or(|e| !matches!(e.state, State::Paused(_)))
     }
 
-    /// Notes the time that a request took for one token over the whole pipeline.
+    /// Records the time of one token of a request over the whole pipeline.
     pub fn observe_token(&mut self, now: Duration, class: Class, token: Duration) {
         self.limits.observe(class, token);
         self.adjust_if_due(now);
     }
 
-    /// Sets the positions a second that trials may start on this daemon; infinite for no bound.
+    /// Sets the rate, in positions per second, at which this daemon starts trials; infinite for no
+    /// bound.
     pub fn set_trial_rate(&mut self, now: Duration, rate: f64) {
         self.share.set_rate(now, rate);
         self.dispatch(now);
     }
 
-    /// Does what has become due: adjusts the limits, and starts what may start now.
+    /// Adjusts the limits if an interval has passed, and starts the requests that may start now.
     pub fn poll(&mut self, now: Duration) {
         self.adjust_if_due(now);
         self.dispatch(now);
     }
 
-    /// Paying requests that may be in service at once, as adapted.
+    /// Current maximum number of paying requests in service.
     pub fn paying_limit(&self) -> u32 {
         self.limits.paying()
     }
 
-    /// Requests of both classes up to which trials may run, as adapted.
+    /// Current number of requests of both classes in service up to which trials run.
     pub fn trial_ceiling(&self) -> u32 {
         self.limits.trial_ceiling()
     }
 
-    /// Requests waiting, of a class.
+    /// Number of waiting requests of a class.
     pub fn waiting(&self, class: Class) -> u32 {
         match class {
             Class::Paying => self.paying.len(),
@@ -249,7 +253,7 @@
         }
     }
 
-    /// Requests in service, of a class, with trials that hold.
+    /// Number of requests of a class in service, paused trials included.
     pub fn in_service(&self, class: Class) -> u32 {
         match class {
             Class::Paying => self.paying_running,
@@ -271,8 +275,9 @@
         }
     }
 
-    /// Refuses what would wait too long. The estimate goes by the cost that is served before it,
-    /// not by the length of the queue: requests differ a thousandfold in cost.
+    /// Refuses a request whose expected delay is too long or whose queue is full. The delay is
+    /// estimated from the cost that is served before the request, not from the length of the
+    /// queue, because the costs of requests differ by a factor of a thousand.
     fn check(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> Result<()> {
         let delay = self.expected_delay(now, request);
         let max_delay = self.max_expected_delay(request.class).as_secs_f64();
@@ -290,7 +295,7 @@
         Ok(())
     }
 
-    /// Expected time that a request would wait, in seconds.
+    /// Expected queue delay of a request, in seconds.
     fn expected_delay(&mut self, now: Duration, request: &AdmissionRequest<'_>) -> f64 {
         match request.class {
             Class::Paying => {
@@ -323,7 +328,8 @@
         by_rate.max(self.trial_throughput.drain_seconds(ahead, slots))
     }
 
-    /// Requests of trials that may run at once: what paying ones leave.
+    /// Number of trials that may run: the part of the trial ceiling that paying requests leave
+    /// free, times the backstop.
     fn trial_slots(&self) -> u32 {
         let paying = self.paying_running + self.paying.len();
         let free = self.limits.trial_ceiling().saturating_sub(paying);
@@ -332,7 +338,7 @@
 
     fn refusal(&mut self, delay: f64, reason: &'static str) -> Refusal {
         let (min_retry_after, max_retry_after) = self.cfg.retry_after;
-        // Jitter upwards only: to come back before the estimate is of no use.
+        // The jitter only lengthens the delay: a retry before the estimated time is refused again.
         let jittered = delay.max(min_retry_after.as_secs_f64()) * self.rng.random_range(1.0..1.5);
         Refusal {
             retry_after: Duration::from_secs_f64(jittered.min(max_retry_after.as_secs_f64())),
@@ -340,7 +346,8 @@
         }
     }
 
-    /// Starts what may start, paying before trial, then lets as many trials run as there is room.
+    /// Starts paying requests up to their limit, pauses or resumes trials, then starts trials in
+    /// the slots that are left.
     fn dispatch(&mut self, now: Duration) {
         while self.paying_running < self.limits.paying() {
             let Some(ticket) = self.paying.pop() else {
@@ -366,7 +373,7 @@
         self.demand.trials_ran |= !self.running.is_empty();
     }
 
-    /// Starts a request and returns how long it waited.
+    /// Marks a request as in service and returns the time that it waited.
     fn start_service(&mut self, now: Duration, ticket: Ticket) -> Duration {
         let rank = self.next_rank;
         self.next_rank += 1;
@@ -381,7 +388,8 @@
         waited
     }
 
-    /// Holds the youngest trials that have no room, and lets the oldest go on that have.
+    /// Pauses the youngest running trials beyond the slots of trials, or resumes the oldest paused
+    /// ones in free slots.
     fn balance_trials(&mut self) {
         let slots = self.trial_slots() as usize;
         while self.running.len() > slots {
@@ -447,7 +455,8 @@
         self.seconds = self.seconds * THROUGHPUT_DECAY + seconds;
     }
 
-    /// Seconds that so many slots take for a cost; 0 as long as nothing has ended.
+    /// Returns the seconds in which this number of slots serves a cost; 0 until a request has
+    /// completed.
     fn drain_seconds(&self, cost: u64, slots: u32) -> f64 {
         if self.cost == 0.0 {
             return 0.0;
--- a/crates/kelpworks/src/admission/tests.rs
+++ b/crates/kelpworks/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of admission.
+//! Tests of admission control.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
     Duration::from_millis(ms)
 }
 
-/// One request in service at a time, whatever is observed.
+/// Settings with a constant limit of one request in service.
 fn single_slot() -> Config {
     slots(1)
 }
@@ -59,7 +59,7 @@
     admitted.collect()
 }
 
-/// A queue that has seen one request of cost 100 take a second, with one of each class in service.
+/// Returns a queue in which one request of cost 100 of each class has completed after a second.
 fn warm(cfg: Config) -> Queue {
     let mut queue = Queue::new(cfg);
     for class in [Paying, Trial] {
@@ -70,7 +70,8 @@
     queue
 }
 
-/// Each asks in turn, all at once; one slot. The order in which they are served.
+/// Offers all requests at the same time to a queue with one slot and compares the order in which
+/// they are served, as indices into `requests`.
 #[rstest]
 #[case::paying_first(&[("t", Trial, 9), ("t", Trial, 9), ("p", Paying, 9)], &[0, 2, 1])]
 #[case::teams_in_turn(
@@ -103,13 +104,16 @@
     assert_eq!(served, expected);
 }
 
-/// One slot, busy; each earlier request takes a second for a cost of 100. What becomes of an ask.
+/// Offers `before`, then `last` with a cost of 100, to a queue with one slot that serves a cost of
+/// 100 per second, and compares the reason for the refusal of `last`.
 #[rstest]
 #[case::paying_waits(&[("a", Paying, 100); 3], ("a", Paying), None)]
 #[case::paying_delay(&[("a", Paying, 100); 7], ("a", Paying), Some("expected queue delay too long"))]
 #[case::not_delayed_by_backlog_of_other_team(&[("a", Paying, 100); 7], ("b", Paying), None)]
 #[case::by_cost_not_length(&[("a", Paying, 1); 20], ("a", Paying), None)]
-#[case::trial_while_paying_fills_all_slots(&[("a", Paying, 100); 1], ("t", Trial), Some("expected queue delay too long"))]
+#[case::trial_while_paying_fills_all_slots(
+    &[("a", Paying, 100); 1], ("t", Trial), Some("expected queue delay too long")
+)]
 #[case::trial_is_refused_earlier(&[("t", Trial, 100); 2], ("t", Trial), Some("expected queue delay too long"))]
 fn request_is_refused_when_expected_delay_is_too_long(
     #[case] before: &[(&str, Class, u32)],
@@ -200,8 +204,8 @@
     trials_ran: true,
 };
 
-/// Ten intervals with tokens of one time each, after one of 10 ms; the limit for paying requests
-/// and the room for trials, from 64 and 64.
+/// Runs one interval with token times of 10 ms, then ten with the token times in `tokens`, in
+/// milliseconds. `expected` is the paying limit and the trial ceiling; both start at 64.
 #[rstest]
 #[case::not_needed(&[(Paying, 10)], IDLE, (64, 64))]
 #[case::nothing_observed(&[], BOTH_WAITED, (64, 64))]
@@ -237,7 +241,8 @@
 fn pause_grows_with_the_number_of_paused_trials() {
     let mut limits = Limits::new(&Config::default());
     limits.observe(Trial, ms(20));
-    // At most one token of 20 ms in 20 times 20 ms for each request that has room.
+    // Paused trials may use 5% of a trial ceiling of 64: 64 of them run one token of 20 ms each
+    // per 20 times 20 ms.
     assert_eq!(limits.pause(64).as_millis(), 400);
     assert_eq!(limits.pause(128).as_millis(), 800);
     assert_eq!(limits.pause(100_000).as_millis(), 2000);
@@ -317,8 +322,8 @@
 }
 
 proptest! {
-    /// Of two teams that both wait all the time, neither is ahead of the other, by cost over
-    /// weight, by more than one request of each.
+    /// While two teams both have requests waiting, the cost served to each, divided by its weight,
+    /// differs by at most one request of each.
     #[test]
     fn teams_are_served_in_proportion_to_weight(
         teams in prop::collection::vec((1..8u32, 1..500u32), 2..12),
@@ -345,11 +350,13 @@
         }
     }
 
-    /// Whatever comes: a refused request leaves no trace, none starts twice, no more are in
-    /// service than the limit allows, no trial starts before a paying one that waits, and in the
-    /// end nothing is left.
+    /// For any sequence of operations: a refused request leaves the queue unchanged, no request
+    /// starts twice, the limits on requests in service hold, no paying request waits while a
+    /// paying slot is free, and the queue is empty once all requests have ended.
     #[test]
-    fn queue_upholds_its_invariants(ops in prop::collection::vec((0..4u8, 0..5u8, 1..300u32, any::<u16>()), 1..200)) {
+    fn queue_upholds_its_invariants(
+        ops in prop::collection::vec((0..4u8, 0..5u8, 1..300u32, any::<u16>()), 1..200),
+    ) {
         let mut queue = Queue::new(Config { max_waiting: 8, max_team_waiting: 4, ..slots(3) });
         let mut open: Vec<Ticket> = Vec::new();
         let mut started = HashSet::new();
--- a/crates/kelpworks/src/admission/trial.rs
+++ b/crates/kelpworks/src/admission/trial.rs
@@ -1,29 +1,31 @@
-//! How much trials may take: a rate set from outside, and a backstop that gives way to paying work.
+//! The share of a daemon that trials get: a rate that is set from outside, and a backstop that
+//! shrinks while paying requests wait.
 
 use std::time::Duration;
 
-/// Factor by which the backstop falls when paying requests had to wait.
+/// Factor applied to the backstop after an interval in which paying requests waited too long.
 const DECREASE_FACTOR: f64 = 0.5;
 
-/// What the backstop gains in each interval in which none had to wait.
+/// Amount added to the backstop after an interval in which no paying request waited too long.
 const INCREASE_STEP: f64 = 0.05;
 
-/// Least value of the backstop, so that it can be seen to work again.
+/// Lower bound of the backstop. Some trials have to run for the daemon to observe that there is
+/// capacity again.
 const MIN_BACKSTOP: f64 = 0.05;
 
-/// Longest time for which unused rate is saved up.
+/// Maximum time over which unused rate accumulates.
 const BURST_WINDOW: Duration = Duration::from_secs(1);
 
-/// The trials' part of one daemon.
+/// Token bucket, in positions, that bounds the trials started by one daemon, and the backstop.
 #[derive(Debug)]
 pub(super) struct TrialShare {
-    /// Positions a second; infinite while none is set.
+    /// Rate in positions per second; infinite while none is set.
     rate: f64,
-    /// Positions that may start now; below zero after a request of greater cost.
+    /// Positions that may start now; negative after a request that cost more than was left.
     balance: f64,
-    /// Time of `balance`.
+    /// Time up to which `balance` has been refilled.
     refilled_at: Duration,
-    /// Part of the rate and of the free slots that trials get, [`MIN_BACKSTOP`] to 1.
+    /// Fraction of the rate and of the free slots that trials get, [`MIN_BACKSTOP`] to 1.
     backstop: f64,
 }
 
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Sets the rate, in positions a second.
+    /// Sets the rate, in positions per second.
     pub(super) fn set_rate(&mut self, now: Duration, rate: f64) {
         self.refill(now);
         self.rate = rate.max(0.0);
@@ -46,32 +48,33 @@
         }
     }
 
-    /// Part of the free slots that trials get.
+    /// Fraction of the free slots that trials get.
     pub(super) fn backstop(&self) -> f64 {
         self.backstop
     }
 
-    /// Takes a cost from the balance, if a request may start.
+    /// Refills the balance and returns whether a request may start now.
     pub(super) fn may_start(&mut self, now: Duration) -> bool {
         self.refill(now);
         self.rate.is_infinite() || self.balance > 0.0
     }
 
-    /// Charges the cost of a request that starts.
+    /// Charges the cost of a request that starts to the balance.
     pub(super) fn charge(&mut self, cost: u32) {
         if self.rate.is_finite() {
             self.balance -= f64::from(cost);
         }
     }
 
-    /// Gives back what a request did not use.
+    /// Refunds the part of a request's cost that it did not use.
     pub(super) fn refund(&mut self, cost: u32) {
         if self.rate.is_finite() {
             self.balance = (self.balance + f64::from(cost)).min(self.burst());
         }
     }
 
-    /// Time until a request may start behind others of this cost, in seconds.
+    /// Returns the time in seconds until a request may start that has a cost of `ahead` queued
+    /// before it.
     pub(super) fn delay(&mut self, now: Duration, ahead: f64) -> f64 {
         self.refill(now);
         if self.rate.is_infinite() || ahead < self.balance {
@@ -80,7 +83,10 @@
         (ahead - self.balance) / (self.rate * self.backstop)
     }
 
-    /// Adjusts the backstop; `paying_waited` says whether paying requests had to wait.
+    /// Adjusts the backstop at the end of an interval. `paying_waited` is whether a paying request
+    /// waited longer than [`Config::paying_delay_target`].
+    ///
+    /// [`Config::paying_delay_target`]: crate::admission::Config::paying_delay_target
     pub(super) fn adjust(&mut self, paying_waited: bool) {
         let next = if paying_waited {
             self.backstop * DECREASE_FACTOR
--- a/crates/kelpworks/src/retry/budget.rs
+++ b/crates/kelpworks/src/retry/budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: retries are a fraction of recent successes, so that a failing stage cannot
-//! multiply the load on itself and on others.
+//! The retry budget. It limits retries to a fraction of recent successes, so that a failing stage
+//! does not multiply the load on itself and on other stages.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use crate::verdict::Verdict;
 
-/// Bounds on retries.
+/// Limits of the retry budget and of the backoff.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Retries that each success earns. Default 0.2.
+    /// Number of retries that each success adds to the budget. Default 0.2.
     pub ratio: f64,
-    /// What a retry takes from the budget when nothing of the request can have run, against 1
-    /// otherwise. Default 0.25: a refusal costs an upstream next to nothing, and a caller should
-    /// not lose an answer because several refused.
+    /// Amount that a retry takes from the budget when no part of the request can have run; other
+    /// retries take 1. Default 0.25: a refusal costs an upstream next to nothing, and a caller
+    /// should not lose an answer because several upstreams refused.
     pub not_run_cost: f64,
-    /// Retries a second that are always earned, so that a daemon with few requests can retry at
-    /// all. Default 2.
+    /// Retries per second that are added to the budget regardless of successes, so that a daemon
+    /// with few requests can retry at all. Default 2.
     pub min_per_second: f64,
-    /// Retries saved up, at most. Default 50.
+    /// Maximum number of retries in the budget. Default 50.
     pub burst: f64,
-    /// Attempts of one request, at most. Default 10.
+    /// Maximum number of attempts of one request. Default 10.
     pub max_attempts: u32,
-    /// Bound of the first backoff; it doubles with each attempt. Default 20 ms.
+    /// Upper bound of the first backoff; the bound doubles with each attempt. Default 20 ms.
     pub initial_backoff: Duration,
-    /// Greatest bound of the backoff. Default 1 s.
+    /// Upper bound of all backoffs. Default 1 s.
     pub max_backoff: Duration,
 }
 
@@ -48,41 +48,41 @@
 /// A request whose last attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
-    /// The worst verdict over its attempts.
+    /// Worst verdict over all attempts of the request.
     pub verdict: Verdict,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Attempts made; 1 after the first.
+    /// Number of attempts made; 1 after the first.
     pub attempts: u32,
-    /// Time left until the caller's deadline.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
 }
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Try again after this delay, elsewhere if possible.
+    /// Retry after this delay, on another upstream if possible.
     RetryAfter(Duration),
-    /// Answer the caller now.
+    /// Do not retry; report the failure to the caller now.
     Abandon(AbandonReason),
 }
 
-/// Why a request is not tried again.
+/// Reason why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum AbandonReason {
-    /// It may have run, and must not run twice.
+    /// The request may have run and is not idempotent.
     MayHaveRun,
-    /// The caller's deadline comes first.
+    /// The retry would start at or after the caller's deadline.
     Deadline,
-    /// It was tried as often as is allowed.
+    /// [`RetryConfig::max_attempts`] is reached.
     Attempts,
-    /// Too many retries of late.
+    /// The retry budget is exhausted.
     Budget,
 }
 
 impl AbandonReason {
-    /// The word for the log and the caller.
+    /// Text for log lines and for the caller.
     pub fn as_str(self) -> &'static str {
         match self {
             AbandonReason::MayHaveRun => "may have run and is not idempotent",
@@ -99,18 +99,18 @@
     }
 }
 
-/// Retries that may still be made, over all requests of a daemon.
+/// Retry budget over all requests of a daemon.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryConfig,
-    /// Retries that may be made now, 0 to `cfg.burst`.
+    /// Number of retries that may be made now, 0 to `cfg.burst`.
     balance: f64,
-    /// Time of `balance`.
+    /// Time up to which `cfg.min_per_second` has been added to `balance`.
     updated_at: Duration,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(cfg: RetryConfig) -> RetryBudget {
         RetryBudget {
             balance: cfg.burst,
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Notes a success, which earns a part of a retry.
+    /// Records a success, which adds [`RetryConfig::ratio`] to the budget.
     pub fn record_success(&mut self) {
         self.earn(self.cfg.ratio);
     }
 
-    /// Decides about a request whose attempt failed, and takes the retry from the budget. `now` is
-    /// the time since one fixed moment.
+    /// Decides whether to retry a request whose attempt failed, and charges the retry to the
+    /// budget. `now` is the time since a fixed moment, the same for all calls.
     pub fn decide<R: Rng>(&mut self, now: Duration, attempt: &Attempt, rng: &mut R) -> Decision {
         let passed = now.saturating_sub(self.updated_at);
         self.updated_at = self.updated_at.max(now);
@@ -155,7 +155,8 @@
         self.balance = (self.balance + retries).min(self.cfg.burst);
     }
 
-    /// Full jitter: evenly from nothing to a bound that doubles with each attempt.
+    /// Returns a backoff with full jitter: uniform from zero to a bound that doubles with each
+    /// attempt.
     fn backoff<R: Rng>(&self, attempts: u32, rng: &mut R) -> Duration {
         let doublings = attempts.saturating_sub(1).min(16);
         let bound = self.cfg.initial_backoff * 2u32.pow(doublings);
--- a/crates/kelpworks/src/retry/busy.rs
+++ b/crates/kelpworks/src/retry/busy.rs
@@ -1,10 +1,11 @@
-//! Cooldown of upstreams that refused for want of capacity.
+//! Cooldown of upstreams that refused a request for lack of capacity.
 //!
-//! Such a refusal is an answer, not a failure: the upstream's health does not change. It is put
-//! last while it cools, by `Counters::busy_until_ms`, and never withheld. The idea is that of
-//! grumbach's pull request to ant-node, "answer a refused fetch with busy instead of silence"; it
-//! is here because it wins in `measure busy`. Its wait before an attempt is given up is not taken
-//! over: a request that is given up is answered at once.
+//! Such a refusal is a response, not a failure, so the health of the upstream does not change.
+//! While `Counters::busy_until_ms` lies ahead, routing prefers other upstreams but does not exclude
+//! this one. The approach follows grumbach's pull request to ant-node, "answer a refused fetch with
+//! busy instead of silence"; it is used because it gives the best result in `measure busy`. The
+//! wait of that pull request before an attempt is abandoned is left out: the caller of an abandoned
+//! request is answered immediately.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -16,14 +17,14 @@
 use crate::fleet::Counters;
 use crate::fleet::UpstreamKey;
 
-/// Bounds on cooldowns.
+/// Limits of cooldowns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BusyConfig {
-    /// First cooldown; it doubles with each refusal in a row. Default 50 ms.
+    /// First cooldown, before jitter; it doubles with each consecutive refusal. Default 50 ms.
     pub base: Duration,
-    /// Greatest cooldown, jitter included. Default 2 s.
+    /// Maximum cooldown, jitter included. Default 2 s.
     pub max: Duration,
-    /// Without a refusal for this long, the next cooldown is a first one again. Default 10 s.
+    /// Time without a refusal after which the next cooldown starts at `base` again. Default 10 s.
     pub reset_after: Duration,
 }
 
@@ -37,15 +38,15 @@
     }
 }
 
-/// Refusals in a row of one upstream.
+/// Consecutive refusals of one upstream.
 #[derive(Clone, Copy, Debug)]
 struct Refusals {
     count: u32,
-    /// Time of the last, in milliseconds since the daemon's start.
+    /// Time of the last refusal, in milliseconds since the daemon's start.
     last_ms: u64,
 }
 
-/// Cooldowns of all upstreams of a daemon.
+/// Cooldowns of all upstreams, as one daemon observes them.
 #[derive(Clone, Debug)]
 pub struct Cooldowns {
     cfg: BusyConfig,
@@ -53,7 +54,7 @@
 }
 
 impl Cooldowns {
-    /// No upstream cooling.
+    /// Creates a state in which no upstream is cooling down.
     pub fn new(cfg: BusyConfig) -> Cooldowns {
         Cooldowns {
             cfg,
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Notes a refusal, sets the upstream's cooldown, and returns what is left of the one in
-    /// force. A later refusal never shortens it. `retry_after` is the upstream's own word, which
-    /// counts when it is longer, up to the cap.
+    /// Records a refusal, sets the upstream's cooldown, and returns the time until its end. A
+    /// later refusal never shortens a cooldown. `retry_after` is the delay that the upstream asked
+    /// for; it applies when it is longer than the computed cooldown, up to [`BusyConfig::max`].
     pub fn record_refusal<R: Rng>(
         &mut self,
         upstream: UpstreamKey,
@@ -91,7 +92,7 @@
         Duration::from_millis(before.max(until) - now_ms)
     }
 
-    /// Notes that the upstream served: it cools no longer.
+    /// Records that the upstream served a request, which ends its cooldown.
     pub fn clear_cooldown(&mut self, upstream: UpstreamKey, counters: &Counters) {
         if self.refusals.remove(upstream).is_some() {
             counters.busy_until_ms.store(0, Ordering::Relaxed);
--- a/crates/kelpworks/src/retry/deadline.rs
+++ b/crates/kelpworks/src/retry/deadline.rs
@@ -1,27 +1,31 @@
-//! How long to wait for a step: from the times observed, between a floor and a ceiling.
+//! Adaptive deadlines of steps, from observed step times, between a floor and a ceiling.
 //!
-//! A deadline that expires is no verdict on the upstream. The caller probes it on a new
-//! connection: an answer means that the connection is dead, silence that the upstream is suspect.
+//! An expired deadline does not by itself mean that the upstream failed. The caller probes it on a
+//! new connection: if the probe is answered, the old connection is dead; if not, the upstream is
+//! suspect.
 
 use std::time::Duration;
 
-/// Weight of a new time in the mean, and in the deviation (Jacobson and Karels, 1988).
+/// Weight of a new time in the mean (Jacobson and Karels, 1988).
 const MEAN_GAIN: f64 = 1.0 / 8.0;
+
+/// Weight of a new time in the mean deviation (Jacobson and Karels, 1988).
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// Least margin over the mean, as a fraction of it: steady times have next to no deviation, and
-/// the first hiccup would pass for silence.
+/// Minimum margin over the mean, as a fraction of it. Steady times have almost no deviation, so
+/// without it the first slow step would be taken for a stall.
 const MIN_MARGIN: f64 = 1.0;
 
-/// Bounds on step deadlines.
+/// Limits of step deadlines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeadlineConfig {
-    /// Least deadline. Default 50 ms.
+    /// Minimum deadline of a decode step. Default 50 ms.
     pub floor: Duration,
-    /// Greatest deadline, and the one of an upstream that has not answered yet. Default 5 s.
+    /// Maximum deadline of a decode step, and the deadline of a step without observed times.
+    /// Default 5 s.
     pub ceiling: Duration,
-    /// Deviations above the mean. Default 6: step times have long tails, and a deadline that
-    /// expires for nothing costs a probe.
+    /// Number of mean deviations above the mean. Default 6: step times have long tails, and each
+    /// deadline that expires needlessly costs a probe.
     pub deviations: f64,
 }
 
@@ -35,17 +39,17 @@
     }
 }
 
-/// Step times of one upstream, smoothed.
+/// Smoothed step times of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StepDeadline {
-    /// Steps of one position.
+    /// Time of a step of one position.
     decode: Smoothed,
-    /// Steps of more, by the time of one position: they share fixed costs, so one estimate for
-    /// both would be too tight for decode steps.
+    /// Time per position of steps with several positions. The positions of a step share its fixed
+    /// costs, so one estimate for both kinds of steps would be too tight for decode steps.
     prefill: Smoothed,
 }
 
-/// Mean and mean deviation of a time, in seconds; meaningful once `has_samples`.
+/// Moving mean and mean deviation of a time, in seconds; valid once `has_samples` is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Smoothed {
     mean: f64,
@@ -54,8 +58,8 @@
 }
 
 impl StepDeadline {
-    /// Notes the time of a step that covered so many positions. When the deadline expired and a
-    /// probe was answered, the time waited is to be noted, so that the next deadline is longer.
+    /// Records the time of a step of this many positions. When a deadline expired and the probe
+    /// was answered, the caller records the time waited, so that the next deadline is longer.
     pub fn observe(&mut self, elapsed: Duration, positions: u32) {
         let seconds = elapsed.as_secs_f64();
         if positions > 1 {
@@ -65,14 +69,15 @@
         }
     }
 
-    /// Mean time of a decode step, if one was observed; for `Counters::step_us`.
+    /// Mean time of a decode step, if one was observed. The caller stores it in
+    /// `Counters::step_us`.
     pub fn mean(&self) -> Option<Duration> {
         let has_samples = self.decode.has_samples;
         has_samples.then(|| Duration::from_secs_f64(self.decode.mean))
     }
 
-    /// Time to wait for a step that covers so many positions. The ceiling bounds a decode step;
-    /// a long prefill may take longer.
+    /// Returns the time to wait for a step of this many positions. The ceiling bounds the deadline
+    /// of a decode step only; that of a long prefill may be higher.
     pub fn deadline(&self, cfg: &DeadlineConfig, positions: u32) -> Duration {
         let decode = match self.decode.upper_bound(cfg.deviations) {
             Some(upper_bound) => upper_bound.clamp(cfg.floor, cfg.ceiling.max(cfg.floor)),
--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -1,5 +1,5 @@
-//! What to do after an attempt failed: try again, when, and where not; and how long to wait for a
-//! step before it counts as silent.
+//! Retries after failed attempts: whether and when to retry, cooldowns of upstreams that refused,
+//! and the time after which a step counts as stalled.
 //!
 //! ```
 //! use std::time::Duration;
@@ -21,7 +21,7 @@
 //! assert!(matches!(decision, Decision::RetryAfter(_)));
 //! ```
 //!
-//! Limits: budget, cooldowns and deadlines are of one daemon; they are not shared.
+//! Limitations: each daemon has its own budget, cooldowns and deadlines; they are not shared.
 
 mod budget;
 mod busy;
--- a/crates/kelpworks/src/retry/tests.rs
+++ b/crates/kelpworks/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of retries.
+//! Tests of the retry budget, cooldowns and step deadlines.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -63,7 +63,8 @@
     assert_eq!(got, expected);
 }
 
-/// Retries allowed out of 1000 failures in a second.
+/// Reports 1000 failures within a second, the first `successes` of them each preceded by a success,
+/// and compares the number of retries allowed.
 #[rstest]
 #[case::burst_and_floor(MayHaveRun, 0, 51)]
 #[case::earned(MayHaveRun, 500, 151)]
@@ -83,7 +84,8 @@
     assert!(retries.abs_diff(expected) <= 1, "{retries}");
 }
 
-/// Refusals at these times; what is left of the cooldown after the last, in milliseconds.
+/// Reports refusals at the given times and compares the cooldown left after the last one. All
+/// times are in milliseconds.
 #[rstest]
 #[case::first(&[0], 0, 50..75)]
 #[case::grows(&[0, 100, 300], 0, 200..300)]
@@ -115,7 +117,8 @@
     assert!((50..75).contains(&again.as_millis()));
 }
 
-/// Step times in milliseconds, with positions; the deadline of a decode step and of a prefill.
+/// Records steps, given as milliseconds and positions, and compares the deadlines of a decode step
+/// and of a prefill of 100 positions, in milliseconds.
 #[rstest]
 #[case::unknown(&[], 5000, 5000)]
 #[case::floor(&[(1, 1); 20], 50, 5000)]
@@ -138,7 +141,7 @@
 }
 
 proptest! {
-    /// A retry is never put beyond the caller's deadline.
+    /// A retry never starts at or after the caller's deadline.
     #[test]
     fn retry_delay_ends_before_the_deadline(attempts in 1..10u32, left in 0..2000u64, seed: u64) {
         let mut budget = RetryBudget::new(RetryConfig::default());
--- a/crates/kelpworks/src/routing/cost.rs
+++ b/crates/kelpworks/src/routing/cost.rs
@@ -1,4 +1,4 @@
-//! What it costs to run a range of layers on an upstream, in microseconds over a session.
+//! Expected cost of running a range of layers on an upstream, in microseconds over a session.
 
 use std::sync::atomic::Ordering;
 
@@ -14,56 +14,56 @@
 use crate::routing::PathQuery;
 use crate::routing::index::Candidate;
 
-/// Tokens that a session is taken to generate. The true number is unknown when the path is chosen;
-/// this weighs the time of a token against the time of the prefill.
+/// Number of tokens that a session is assumed to generate. The actual number is unknown when the
+/// path is chosen; this one sets the weight of the time per token relative to the prefill.
 const ASSUMED_SESSION_TOKENS: f64 = 64.0;
 
-/// Bytes of activations of one position at a cut.
+/// Size in bytes of the activations of one position that pass from one stage to the next.
 const ACTIVATION_BYTES: f64 = 16_384.0;
 
-/// Cost of one more hop for each token, in microseconds: a message there and back.
+/// Cost of a hop per token, in microseconds: one message to the upstream and one back.
 const HOP_COST_US: f64 = 100.0;
 
-/// Layers a second taken for an upstream whose speed is unknown.
+/// Layer rate assumed for an upstream whose rate is unknown, in layers per second.
 const DEFAULT_LAYER_RATE: f64 = 1_000.0;
 
-/// One in so many weighings leaves out the observed step time. Without it an upstream that was
-/// slow once would get no work, hence no new observation, and stay slow for ever.
+/// One in this many cost estimates ignores the observed step time. Otherwise an upstream that was
+/// slow once would get no work, hence no new observation, and would count as slow forever.
 const EXPLORE_ONE_IN: u32 = 32;
 
-/// Added for each rank of [`rank`]; above the cost of any session.
+/// Cost added per level of [`Rank::Demoted`]; higher than the cost of any session.
 const DEMOTION_PENALTY_US: f64 = 1e12;
 
-/// An upstream with what is fixed about its cost, whatever part of its layers it runs.
+/// The parts of an upstream's cost that do not depend on the number of layers it runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Quote {
-    /// Time that its queue adds to each token.
+    /// Queueing delay of each token.
     wait_us: f64,
-    /// Time of one layer of one position.
+    /// Time of one layer for one position, from the layer rate.
     layer_us: f64,
-    /// Time of one layer of a token as observed, at least `layer_us`.
+    /// Time of one layer for a decode step, from observed step times; at least `layer_us`.
     observed_us: f64,
-    /// Positions that must be prefilled.
+    /// Number of positions to prefill, without those in the upstream's prefix cache.
     prefill: f64,
-    /// What puts it behind others: 0 for a candidate in good standing.
+    /// Penalty of a demoted candidate; 0 for a preferred one.
     penalty: f64,
 }
 
 impl Quote {
-    /// Cost of running this many layers in each step of a session.
+    /// Returns the cost of running this many layers in each step of a session.
     pub(super) fn session_cost_us(&self, layers: u32) -> f64 {
         let layers = f64::from(layers);
         let token = self.wait_us + layers * self.observed_us + HOP_COST_US;
         token * ASSUMED_SESSION_TOKENS + self.prefill * layers * self.layer_us + self.penalty
     }
 
-    /// Whether it stands behind others.
+    /// Whether the candidate may only be used as a last resort.
     pub(super) fn is_demoted(&self) -> bool {
         self.penalty > 0.0
     }
 }
 
-/// Weighs a candidate; `None` when it must get no work.
+/// Estimates the cost of a candidate; `None` when it must not get new work.
 pub(super) fn quote<R: Rng>(
     fleet: &Fleet,
     query: &PathQuery<'_>,
@@ -93,7 +93,7 @@
             levels,
             cooldown_left_ms,
         } => {
-            // Jitter, so that daemons that see the same cooldowns do not all take the same.
+            // Jitter keeps daemons that see the same cooldowns from all choosing the same upstream.
             f64::from(levels) * DEMOTION_PENALTY_US
                 + cooldown_left_ms as f64 * 1e3 * rng.random_range(1.0..1.5)
         }
@@ -111,29 +111,29 @@
     })
 }
 
-/// Cost of bringing the activations of a session over a link.
+/// Returns the cost of sending the activations of a session over a link.
 pub(super) fn link_cost_us(link: LinkCost, prefill: u32) -> f64 {
     let per_position = ACTIVATION_BYTES / (link.bytes_per_second.max(1) as f64) * 1e6;
     let latency = link.latency.as_secs_f64() * 1e6;
     (latency + per_position) * ASSUMED_SESSION_TOKENS + per_position * f64::from(prefill)
 }
 
-/// Standing of an upstream for one request.
+/// Preference of an upstream for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Rank {
-    /// In good standing.
+    /// Live, not cooling down, and without a failure for this request.
     Preferred,
-    /// Behind all that are in good standing, and behind those of fewer ranks.
+    /// Used only after all preferred upstreams and those that are demoted by fewer levels.
     Demoted {
-        /// How many ranks behind.
+        /// Number of levels of the demotion; at least 1.
         levels: u32,
-        /// Milliseconds of its cooldown that are left.
+        /// Time left of the cooldown, in milliseconds; 0 when not cooling down.
         cooldown_left_ms: u64,
     },
 }
 
-/// Standing of an upstream: cooling one rank back, suspect two, failed for this request four;
-/// `None` when it must get no new work.
+/// Returns the rank of an upstream. A cooldown demotes it by one level, suspicion by two, and a
+/// failure for this request by four; levels add up. `None` when it must not get new work.
 pub(super) fn rank(
     upstream: &Upstream,
     key: UpstreamKey,
@@ -158,9 +158,10 @@
     })
 }
 
-/// Steps ahead of a new one: as last reported, own ones sent since, and one for each session of
-/// this daemon. The last makes sessions settle in proportion to speed; some of their steps are
-/// counted twice by it, the more the busier the upstream is, which moves the choice the right way.
+/// Estimates the number of steps queued ahead of a new one: the last reported number, the steps
+/// that this daemon has sent since, and one for each of its sessions. Counting sessions distributes
+/// them in proportion to layer rates. It counts some steps twice, the more so the busier the
+/// upstream is, which moves the choice towards less busy upstreams.
 fn backlog(upstream: &Upstream) -> f64 {
     let sent = upstream.counters.sent_since_report.load(Ordering::Relaxed);
     let sessions = upstream.counters.sessions.load(Ordering::Relaxed);
--- a/crates/kelpworks/src/routing/explain.rs
+++ b/crates/kelpworks/src/routing/explain.rs
@@ -1,55 +1,58 @@
-//! Why a path was chosen, for the log line of the decision.
+//! Explanation of a path choice, for the log line of the decision.
 
 use std::fmt;
 
 use crate::fleet::Fleet;
 use crate::fleet::UpstreamKey;
 
-/// Why a path was chosen.
+/// Reasons for the choice of a path.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Explanation {
-    /// One a hop, in order.
+    /// Reasons of the hops, in the order of the path.
     pub hops: Vec<HopReason>,
 }
 
-/// Why an upstream was chosen for a hop.
+/// Reason for the choice of an upstream for a hop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HopReason {
-    /// The upstream.
+    /// The chosen upstream.
     pub upstream: UpstreamKey,
-    /// Cost of the path up to the end of this hop, in microseconds over a session; 0 when kept.
+    /// Cost of the path up to the end of this hop, in microseconds over a session; 0 for
+    /// [`Reason::Kept`].
     pub cost_us: f64,
-    /// The next best for the same layers, if any was weighed.
+    /// Second cheapest candidate for the same layers, if another one was evaluated.
     pub runner_up: Option<RunnerUp>,
-    /// What decided.
+    /// Main reason for the choice.
     pub reason: Reason,
 }
 
-/// The next best candidate.
+/// The second cheapest candidate for a hop.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunnerUp {
-    /// The upstream.
+    /// The upstream that was not chosen.
     pub upstream: UpstreamKey,
-    /// Cost of the path up to the end of this hop, had it been taken.
+    /// Cost of the path up to the end of this hop with this upstream, in microseconds over a
+    /// session.
     pub cost_us: f64,
 }
 
-/// What decided the choice of an upstream.
+/// Main reason for the choice of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Reason {
-    /// It ran the session's stage before and still serves it.
+    /// The upstream ran this stage in the previous attempt and still serves it.
     Kept,
-    /// Least expected cost.
+    /// The upstream has the lowest expected cost.
     Cheapest,
-    /// No other was weighed for these layers.
+    /// No other upstream was evaluated for these layers.
     OnlyCandidate,
-    /// Cooling, suspect or failed before, and nobody in good standing holds the layers.
+    /// The upstream is cooling down, suspect, or failed for this request before, and no preferred
+    /// upstream has the layers.
     LastResort,
 }
 
 impl Reason {
-    /// The word for the log.
+    /// Value in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Kept => "kept",
@@ -61,7 +64,8 @@
 }
 
 impl Explanation {
-    /// Text for the log line, with the names of the snapshot that the path was chosen from.
+    /// Returns the text for the log line. `fleet` is the snapshot that the path was chosen from and
+    /// provides the names of the upstreams.
     pub fn display<'a>(&'a self, fleet: &'a Fleet) -> impl fmt::Display + 'a {
         Display {
             explanation: self,
--- a/crates/kelpworks/src/routing/index.rs
+++ b/crates/kelpworks/src/routing/index.rs
@@ -1,5 +1,5 @@
-//! What a decision needs of a snapshot, worked out once a snapshot: for each model, version and
-//! layer, who holds it, grouped by failure domain.
+//! Index of a fleet snapshot for path decisions, built once per snapshot: the upstreams that have
+//! each layer of each version of each model, grouped by failure domain.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,20 @@
 use crate::fleet::Upstream;
 use crate::fleet::UpstreamKey;
 
-/// Rate that stands in for an unknown one, in layers a second, so that it still can be drawn.
+/// Layer rate assumed for an upstream whose rate is unknown, in layers per second. It is positive,
+/// so that the upstream can still be drawn.
 const DEFAULT_LAYER_RATE: f64 = 1.0;
 
-/// Cuts that a search over a sample considers, at most. Fleets that are cut alike have fewer; in
-/// one that is cut at any layer, the time of a decision would grow with their number.
+/// Maximum number of cuts that a search over a sample considers. Fleets whose replicas split the
+/// model at the same layers have fewer. In a fleet that splits it at arbitrary layers, the time of
+/// a decision would grow with the number of cuts.
 const MAX_MAIN_CUTS: usize = 10;
 
-/// Holders of every layer of every model, for one snapshot of the fleet.
+/// Upstreams that have each layer of each model, for one snapshot of the fleet.
 ///
-/// It lists live and suspect upstreams only. It must be built anew whenever holdings or health of
-/// the fleet change; [`Fleet::indexed`] does so.
+/// A cut is a layer at which some layer assignment starts or ends. The index contains live and
+/// suspect upstreams only. It must be rebuilt whenever layer assignments or health change;
+/// [`Fleet::indexed`] does so.
 ///
 /// ```
 /// use kelpworks::fleet::Fleet;
@@ -34,43 +37,42 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Index {
-    /// One a model; [`ModelKey`] is the index.
+    /// Versions of each model, indexed by [`ModelKey`].
     models: Vec<Vec<VersionIndex>>,
 }
 
-/// Holders of the layers of one version of a model.
+/// Upstreams that have the layers of one version of a model.
 #[derive(Clone, Debug)]
 pub(super) struct VersionIndex {
     /// Number of layers of the model.
     pub(super) layers: u32,
-    /// Segments in order; together they are all layers.
+    /// Segments in the order of their layers; together they cover all layers.
     pub(super) segments: Vec<Segment>,
-    /// Firsts of the segments at which most holdings start or end, one in each of at most
-    /// [`MAX_MAIN_CUTS`] runs of neighbouring segments.
+    /// The cuts at which most layer assignments start or end, one for each of at most
+    /// [`MAX_MAIN_CUTS`] runs of adjacent segments.
     pub(super) main_cuts: Vec<u32>,
-    /// First layer that nobody holds, if any.
+    /// First layer that no upstream has, if any.
     pub(super) first_missing: Option<u32>,
 }
 
-/// Layers between two neighbouring cuts; each holder holds all of them or none.
+/// The layers between two adjacent cuts. Each upstream has all of them or none.
 #[derive(Clone, Debug)]
 pub(super) struct Segment {
     /// First layer.
     pub(super) first: u32,
-    /// Live holders by failure domain; no pool is empty.
+    /// Live upstreams that have the layers, by failure domain; no pool is empty.
     pub(super) pools: Vec<Pool>,
-    /// Suspect holders.
+    /// Suspect upstreams that have the layers.
     pub(super) suspects: Vec<Candidate>,
 }
 
-/// An upstream that may run layers up to the end of what it holds.
+/// An upstream with one of its layer assignments. It may run layers up to the end of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
-    /// The upstream.
     pub(super) upstream: UpstreamKey,
-    /// First layer of its holding.
+    /// First layer of the assignment.
     pub(super) first: u32,
-    /// One past the last layer of its holding.
+    /// One past the last layer of the assignment.
     pub(super) end: u32,
 }
 
@@ -78,14 +80,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
     domain: DomainKey,
-    /// The candidates; never empty.
+    /// Never empty.
     pub(super) candidates: Vec<Candidate>,
-    /// Running sum of the candidates' speeds; as long as `candidates` and increasing.
+    /// Running sums of the layer rates of `candidates`; of the same length, strictly increasing.
     cumulative: Vec<f64>,
 }
 
 impl Index {
-    /// Works out the holders of every layer.
+    /// Builds the index of a snapshot.
     pub fn build(fleet: &Fleet) -> Index {
         let models = (0..fleet.models.len())
             .map(|m| model_versions(fleet, ModelKey(m as u16)))
@@ -93,14 +95,15 @@
         Index { models }
     }
 
-    /// Whether some version of the model is held whole by upstreams that may take work.
+    /// Whether the upstreams that may take work have all layers of some version of the model.
     pub fn serves(&self, model: ModelKey) -> bool {
         let versions = self.models.get(usize::from(model.0));
         versions.is_some_and(|v| v.iter().any(|v| v.first_missing.is_none()))
     }
 
-    /// The version to run: the one asked for, or else the one to serve if complete, or else the
-    /// first that is complete. `None` when there is no such version.
+    /// Returns the version to run, with its index: the requested one, or else the first complete
+    /// one, or else version 0, the one to serve. A version is complete if no layer is missing.
+    /// `None` when there is no such version.
     pub(super) fn version(
         &self,
         model: ModelKey,
@@ -117,11 +120,11 @@
 }
 
 impl VersionIndex {
-    /// Segment that this layer is in.
+    /// Returns the segment that contains a layer.
     ///
     /// # Panics
     ///
-    /// When the model has no such layer.
+    /// Panics if there are no segments. `layer` must be a layer of the model.
     pub(super) fn segment(&self, layer: u32) -> &Segment {
         let after = self.segments.partition_point(|s| s.first <= layer);
         &self.segments[after - 1]
@@ -129,7 +132,7 @@
 }
 
 impl Segment {
-    /// All candidates, live ones first.
+    /// Returns all candidates, live ones first.
     pub(super) fn all(&self) -> impl Iterator<Item = &Candidate> {
         let live = self.pools.iter().flat_map(|p| &p.candidates);
         live.chain(&self.suspects)
@@ -166,8 +169,8 @@
 }
 
 impl Pool {
-    /// Draws a candidate, each with a chance in proportion to its speed, so that a fast upstream
-    /// is weighed as often as it can take work.
+    /// Draws a candidate with a probability proportional to its layer rate, so that faster
+    /// upstreams, which can take more work, are evaluated more often.
     pub(super) fn draw<R: Rng>(&self, rng: &mut R) -> Candidate {
         let total = self.cumulative[self.cumulative.len() - 1];
         let point = rng.random_range(0.0..total);
@@ -222,7 +225,9 @@
     }
 }
 
-/// The most frequent cut of each run of neighbours; all of them when there are few.
+/// Divides the cuts, given with their frequencies, into at most [`MAX_MAIN_CUTS`] runs of adjacent
+/// ones and returns the most frequent cut of each run. If there are no more cuts than that, it
+/// returns them all.
 fn main_cuts(cuts: &BTreeMap<u32, u32>) -> Vec<u32> {
     let all: Vec<(u32, u32)> = cuts.iter().map(|(&cut, &count)| (cut, count)).collect();
     all.chunks(all.len().div_ceil(MAX_MAIN_CUTS))
@@ -242,7 +247,7 @@
 }
 
 impl Candidate {
-    /// Whether its holding includes this layer.
+    /// Whether the assignment includes a layer.
     pub(super) fn covers(&self, layer: u32) -> bool {
         self.first <= layer && layer < self.end
     }
--- a/crates/kelpworks/src/routing/mod.rs
+++ b/crates/kelpworks/src/routing/mod.rs
@@ -1,10 +1,11 @@
-//! Choice of the path that a session takes through the stages of a model, and of the upstream of
-//! a plain service.
+//! Choice of the path of a session through the stages of a model, and of the upstream of a plain
+//! service.
 //!
-//! Links differ a hundredfold, so the cost of a stage depends on where the one before it ran: what
-//! is chosen is a whole path, by a shortest path over the cuts of the model. Only a sample of the
-//! holders is weighed for each cut, so a decision takes about as long with 600 upstreams as with
-//! 40, and daemons that share the same lagged load reports do not all take the same upstream.
+//! The costs of links differ by a factor of a hundred, so the cost of a stage depends on where the
+//! previous stage runs. Therefore a path is chosen as a whole, as a shortest path over the cuts of
+//! the model, which are the layers at which upstreams may change. For each cut only a sample of
+//! the upstreams is evaluated. A decision thus takes about as long with 600 upstreams as with 40,
+//! and daemons with the same lagged load reports do not all choose the same upstream.
 //!
 //! ```
 //! use kelpworks::fleet::Fleet;
@@ -16,8 +17,8 @@
 //! assert_eq!(chosen, Err(Error::ServiceMissing));
 //! ```
 //!
-//! Limits: costs are estimates from lagged reports; a path is the cheapest of those weighed, not
-//! of all. Links are known by failure domain, not by host.
+//! Limitations: costs are estimates from lagged reports. A path is the cheapest of those evaluated,
+//! not of all. Link costs are known per failure domain, not per host.
 
 mod cost;
 mod explain;
@@ -51,18 +52,18 @@
 use crate::routing::search::Search;
 use crate::routing::search::SearchRange;
 
-/// The result of this module.
+/// Result of a routing decision.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why there is no path.
+/// Reason why there is no path or no upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// No live upstream holds this layer.
+    /// No upstream that may take work has this layer.
     #[error("no live upstream holds layer {layer}")]
     LayerMissing {
-        /// First layer that nobody holds.
+        /// First layer that no such upstream has.
         layer: u32,
     },
     /// No upstream of the plain service may take work.
@@ -70,85 +71,88 @@
     ServiceMissing,
 }
 
-/// What a path is wanted for.
+/// Requirements of a path.
 #[derive(Clone, Debug)]
 pub struct PathQuery<'a> {
-    /// The model.
+    /// Model that the session runs.
     pub model: ModelKey,
-    /// Version index that a running session is bound to; `None` takes the one to serve.
+    /// Index of the version that a running session is bound to. With `None`, the version to serve
+    /// (index 0) is chosen if upstreams have all of its layers, else the first version of which
+    /// they do.
     pub version: Option<u16>,
     /// Failure domain of the daemon that drives the path.
     pub from: DomainKey,
     /// Class of the request.
     pub class: Class,
-    /// Positions to prefill.
+    /// Number of positions to prefill.
     pub prefill: u32,
-    /// Upstreams to take last: they failed or refused this request before.
+    /// Upstreams to use only as a last resort, because they failed or refused this request before.
     pub avoid: &'a [UpstreamKey],
     /// Hops of the previous attempt, kept where they still serve; empty for a new session.
     pub keep: &'a [Hop],
-    /// Milliseconds since the daemon's start, against `Counters::busy_until_ms`.
+    /// Current time in milliseconds since the daemon's start, the time base of
+    /// `Counters::busy_until_ms`.
     pub now_ms: u64,
 }
 
 /// One stage of a path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hop {
-    /// The upstream.
+    /// Upstream that runs the stage.
     pub upstream: UpstreamKey,
-    /// The layers that it runs.
+    /// Layers of the stage.
     pub layers: LayerRange,
 }
 
 /// A path: its hops cover every layer of the model once, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Path {
-    /// The hops.
+    /// Hops in the order of their layers.
     pub hops: Vec<Hop>,
-    /// Version index that all hops hold.
+    /// Index of the version that all hops run.
     pub version: u16,
-    /// Candidates weighed, for the log line.
+    /// Number of candidates evaluated, for the log line.
     pub candidates: u32,
-    /// Why these hops, for the log line.
+    /// Reasons for the hops, for the log line.
     pub explanation: Explanation,
 }
 
-/// A hint that an upstream's prefix cache holds the start of the prompt. It may be out of date:
-/// it moves the choice and nothing else.
+/// A hint that an upstream's prefix cache contains the start of the prompt. It may be stale, so it
+/// affects the choice of the path only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedPrefix {
-    /// The upstream.
+    /// Upstream with the cache.
     pub upstream: UpstreamKey,
-    /// Positions of the prompt that it holds.
+    /// Number of positions of the prompt that are cached.
     pub positions: u32,
 }
 
 /// Chooses a path through the stages of a model.
 ///
-/// Hops in [`PathQuery::keep`] stay where their upstream still serves them, even while it is
-/// leaving. Upstreams that are cooling, suspect or in [`PathQuery::avoid`] are taken only when
-/// nobody in good standing holds the layers.
+/// Hops in [`PathQuery::keep`] are kept if their upstream still serves them, even while it is
+/// leaving. Upstreams that are cooling down, suspect or in [`PathQuery::avoid`] are used only when
+/// no other upstream has the layers.
 ///
 /// # Errors
 ///
-/// When some layer is held by no upstream that may take work.
+/// Returns an error if no upstream that may take work has some layer.
 ///
 /// # Panics
 ///
-/// When a key of the query is not of this snapshot's models or failure domains.
+/// Panics if the query's model or failure domain is not in this snapshot.
 pub fn choose_path<R: Rng>(fleet: &Fleet, query: &PathQuery<'_>, rng: &mut R) -> Result<Path> {
     choose_path_cached(fleet, query, &[], rng)
 }
 
-/// Chooses a path as [`choose_path`] does, with hints of what is in prefix caches.
+/// Chooses a path as [`choose_path`] does, with hints about the contents of prefix caches.
 ///
 /// # Errors
 ///
-/// When some layer is held by no upstream that may take work.
+/// Returns an error if no upstream that may take work has some layer.
 ///
 /// # Panics
 ///
-/// When a key of the query is not of this snapshot's models or failure domains.
+/// Panics if the query's model or failure domain is not in this snapshot.
 pub fn choose_path_cached<R: Rng>(
     fleet: &Fleet,
     query: &PathQuery<'_>,
@@ -204,7 +208,7 @@
     Ok(path)
 }
 
-/// Adds the hops of a span to a path.
+/// Searches hops for a range of layers and appends them to a path.
 fn extend<R: Rng>(path: &mut Path, search: &mut Search<'_, R>, range: SearchRange) -> Result<()> {
     if range.first == range.end {
         return Ok(());
@@ -231,7 +235,8 @@
     }
 }
 
-/// Hops of the previous attempt that still serve, in order and without overlap.
+/// Returns the hops of the previous attempt whose upstreams still serve them, in order and without
+/// overlap.
 fn kept_hops<'a>(fleet: &Fleet, query: &PathQuery<'a>, version: u16) -> Vec<&'a Hop> {
     let mut kept: Vec<&Hop> = Vec::with_capacity(query.keep.len());
     for hop in query.keep {
--- a/crates/kelpworks/src/routing/search.rs
+++ b/crates/kelpworks/src/routing/search.rs
@@ -1,9 +1,9 @@
 //! Shortest path over the cuts of a model.
 //!
-//! A node is a cut together with the failure domain in which the stage before it ran, because the
-//! cost of a link depends on both ends. Nodes are settled in the order of the cuts, so one pass
-//! is enough. Ends of holdings and starts of others are the only cuts worth a change of upstream:
-//! the cost of a range grows linearly with its layers.
+//! A node is a cut together with the failure domain in which the stage before it runs, because the
+//! cost of a link depends on both ends. Every stage leads to a later cut, so one pass over the cuts
+//! in ascending order is enough. The upstream changes only where some layer assignment starts or
+//! ends: the cost of a range grows linearly with its number of layers, so other cuts gain nothing.
 
 use rand::Rng;
 
@@ -23,52 +23,54 @@
 use crate::routing::index::VersionIndex;
 use kelpworks_wire::LayerRange;
 
-/// Candidates drawn for each cut and failure domain. Two is enough to keep the longest queue
-/// short and few enough that daemons with the same lagged reports do not all take the same
-/// upstream. One draw for each failure domain, as links between them may differ a hundredfold.
+/// Number of candidates drawn for each cut and failure domain. Two are enough to keep the longest
+/// queue short, and few enough that daemons with the same lagged reports do not all choose the same
+/// upstream. Each failure domain has its own sample because the costs of links between domains may
+/// differ by a factor of a hundred.
 const SAMPLE_SIZE: usize = 2;
 
-/// Draws for each cut and failure domain, at most, to find [`SAMPLE_SIZE`] in good standing.
+/// Maximum number of draws for each cut and failure domain to find [`SAMPLE_SIZE`] preferred
+/// candidates.
 const MAX_DRAWS: usize = 6;
 
-/// Cuts within its holding at which a drawn candidate may stop.
+/// Maximum number of cuts at which the stage of a sampled candidate may end.
 const MAX_STOPS: usize = 4;
 
-/// Layers to find a path for, and what stands at both ends.
+/// Layers to find hops for, with the failure domains before and after them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SearchRange {
     /// First layer.
     pub(super) first: u32,
     /// One past the last layer.
     pub(super) end: u32,
-    /// Failure domain that the input comes from.
+    /// Failure domain that the input of the first layer comes from.
     pub(super) from: DomainKey,
-    /// Failure domain that the output goes to, if known.
+    /// Failure domain that the output of the last layer goes to, if known.
     pub(super) to: Option<DomainKey>,
 }
 
-/// Hops found for a span.
+/// Hops found for a [`SearchRange`].
 #[derive(Debug, Default)]
 pub(super) struct PartialPath {
-    /// The hops, in order.
+    /// Hops in the order of their layers.
     pub(super) hops: Vec<Hop>,
-    /// Why each was taken.
+    /// Reasons of `hops`, in the same order.
     pub(super) reasons: Vec<HopReason>,
-    /// Candidates weighed.
+    /// Number of candidates evaluated.
     pub(super) candidates: u32,
 }
 
-/// Cheapest way known to a node.
+/// The cheapest path to a node found so far, by its last hop.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     cost: f64,
-    /// Cut and failure domain that it came from.
+    /// Index of the cut and failure domain of the previous node.
     from: (usize, DomainKey),
     upstream: UpstreamKey,
     demoted: bool,
 }
 
-/// A candidate's cost for a range, kept to name the runner-up.
+/// A hop that was evaluated, recorded to name the runner-up.
 #[derive(Clone, Copy, Debug)]
 struct EvaluatedHop {
     cuts: (usize, usize),
@@ -76,18 +78,18 @@
     cost: f64,
 }
 
-/// How much is weighed.
+/// Set of candidates and cuts that a search considers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Breadth {
     /// A sample of the candidates, at the main cuts.
     MainCuts,
     /// A sample of the candidates, at all cuts.
     AllCuts,
-    /// All candidates at all cuts, in bad standing too.
+    /// All candidates at all cuts, demoted ones included.
     All,
 }
 
-/// The search for one span.
+/// Inputs of the search for hops.
 pub(super) struct Search<'a, R> {
     pub(super) fleet: &'a Fleet,
     pub(super) query: &'a PathQuery<'a>,
@@ -97,11 +99,11 @@
 }
 
 impl<R: Rng> Search<'_, R> {
-    /// Finds hops for a span; on failure the first layer that no upstream may run.
+    /// Finds hops for a range. The error is the first layer that no upstream may run.
     pub(super) fn find(&mut self, range: SearchRange) -> Result<PartialPath, u32> {
-        // A sample holds candidates in good standing only. If it leads nowhere, holdings may lie
-        // between the main cuts, or a stage has none in good standing. Both are rare, and only
-        // a wider look tells.
+        // A sample contains preferred candidates only. If it gives no path, layer assignments may
+        // start or end between the main cuts, or a stage may have no preferred candidate. Both are
+        // rare, and only a broader search finds out.
         self.run(range, Breadth::MainCuts)
             .or_else(|_| self.run(range, Breadth::AllCuts))
             .or_else(|_| self.run(range, Breadth::All))
@@ -155,7 +157,8 @@
         Ok(found)
     }
 
-    /// Lowest cost up to the start of a candidate's work, and the failure domain it comes from.
+    /// Returns the lowest cost of a path up to a candidate's first layer, the link to the candidate
+    /// included, and the failure domain of the node that it comes from.
     fn cheapest_predecessor(
         &self,
         nodes: &[Option<Arrival>],
@@ -249,7 +252,7 @@
     }
 }
 
-/// The cuts within a span, its ends included.
+/// Returns the cuts within a range, its ends included.
 fn cuts(version: &VersionIndex, range: SearchRange, breadth: Breadth) -> Vec<u32> {
     let mut cuts = vec![range.first];
     let within = |cut: &u32| range.first < *cut && *cut < range.end;
@@ -263,7 +266,8 @@
     cuts
 }
 
-/// Cuts at which a candidate that starts at one may stop, the farthest first.
+/// Returns the indices of the cuts at which a stage may end that starts at the cut with index `at`
+/// and whose candidate has the layers up to `end`, the farthest first.
 fn stops(
     cuts: &[u32],
     at: usize,
--- a/crates/kelpworks/src/routing/service.rs
+++ b/crates/kelpworks/src/routing/service.rs
@@ -12,12 +12,12 @@
 use crate::routing::cost;
 use crate::routing::cost::Rank;
 
-/// Chooses the less loaded of two upstreams drawn at random. Those that are cooling, suspect or in
-/// `avoid` are taken only when no other serves.
+/// Chooses the less loaded of two upstreams drawn at random. Upstreams that are cooling down,
+/// suspect or in `avoid` are used only when no other serves.
 ///
 /// # Errors
 ///
-/// When no upstream of the service may take work.
+/// Returns [`Error::ServiceMissing`] if no upstream of the service may take work.
 pub fn choose_service<R: Rng>(
     fleet: &Fleet,
     service: &str,
@@ -51,7 +51,8 @@
     Ok(if in_flight(b) < in_flight(a) { b } else { a })
 }
 
-/// The one that stands least far back, and whose cooldown ends first.
+/// Returns the upstream that is demoted by the fewest levels, and among equals the one whose
+/// cooldown ends first.
 fn last_resort(
     keys: &[UpstreamKey],
     rank: impl Fn(UpstreamKey) -> Option<Rank>,
--- a/crates/kelpworks/src/routing/tests.rs
+++ b/crates/kelpworks/src/routing/tests.rs
@@ -34,7 +34,7 @@
 
 const LAYERS: u32 = 12;
 
-/// An upstream of a test: health, failure domain, version, layers.
+/// An upstream of a test: health, failure domain, version, first layer, end of the layers.
 #[derive(Clone, Copy, Debug)]
 struct Spec(Health, u16, u16, u32, u32);
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// The names of the hops with their layers and reasons.
+/// Formats the version of a path and the name, layers and reason of each hop, or the error.
 fn show(fleet: &Fleet, result: &Result<Path, Error>) -> String {
     let path = match result {
         Ok(path) => path,
@@ -154,7 +154,7 @@
     "version 0: u0 0..6 only-candidate, u1 6..12 cheapest"
 )]
 #[case::whole_local_path_beats_crossing_a_slow_link(
-    // By stage, u0 is the cheapest start; but then the session has to cross the slow link.
+    // u0 is the cheapest first stage, but from there the session has to cross the slow link to u1.
     &[Spec(Live, 0, 0, 0, 6), Spec(Live, 1, 0, 6, 12), Spec(Live, 0, 0, 0, 12)],
     "version 0: u2 0..12 only-candidate"
 )]
@@ -166,7 +166,7 @@
     }
 }
 
-/// Two replicas of each half; the session's hops were u0 and u2.
+/// Two replicas of each half of the model; the previous path of the session was u0 and u2.
 #[rstest]
 #[case::all_stay(&[Live, Live, Live, Live], &[], "u0 0..6 kept, u2 6..12 kept")]
 #[case::leaving_stays(&[Leaving, Live, Live, Live], &[], "u0 0..6 kept, u2 6..12 kept")]
@@ -217,7 +217,7 @@
     assert_eq!(path.map(|p| p.explanation.hops[0].reason), expected);
 }
 
-/// What draws a session from u0 to u1, all else being equal.
+/// Each change makes u0 costlier than u1, which is otherwise equal, so that the session uses u1.
 #[rstest]
 #[case::queue(|fleet: &mut Fleet, u0: UpstreamKey| {
     fleet.upstreams[u0].counters.reported.store(9, Ordering::Relaxed);
@@ -232,7 +232,9 @@
 #[case::cooling(|fleet: &mut Fleet, u0: UpstreamKey| {
     fleet.upstreams[u0].counters.busy_until_ms.store(1500, Ordering::Relaxed);
 })]
-#[case::other_domain(|fleet: &mut Fleet, u0: UpstreamKey| fleet.upstreams[u0].domain = DomainKey(1))]
+#[case::other_domain(
+    |fleet: &mut Fleet, u0: UpstreamKey| fleet.upstreams[u0].domain = DomainKey(1)
+)]
 fn session_avoids_the_costlier_upstream(#[case] change: fn(&mut Fleet, UpstreamKey)) {
     let (mut fleet, keys) = fleet(&[Spec(Live, 0, 0, 0, 12), Spec(Live, 0, 0, 0, 12)]);
     change(&mut fleet, keys[0]);
@@ -351,9 +353,9 @@
 }
 
 proptest! {
-    /// The path covers every layer once and in order, on upstreams that hold the layers in the
-    /// path's version and may take work; those in bad standing only where they must; and there
-    /// is always a path when every layer is held.
+    /// The path covers every layer once and in order, on upstreams that have the layers in the
+    /// path's version and may take work. It uses a last resort only if preferred upstreams alone
+    /// do not have all layers, and there is a path whenever upstreams that may take work have all.
     #[test]
     fn path_upholds_its_invariants(
         specs in prop::collection::vec(any_spec(), 0..24),
