--- a/crates/kelpworks/src/retry/mod.rs
+++ b/crates/kelpworks/src/retry/mod.rs
@@ -1,5 +1,5 @@
-//! What to do after an attempt failed: try again, when, and where not; and how long to wait for a
-//! step before it counts as silent.
+//! Retries after failed attempts: whether and when to retry, cooldowns of upstreams that refused,
+//! and the time after which a step counts as stalled.
 //!
 //! ```
 //! use std::time::Duration;
@@ -15,13 +15,13 @@
 //!     verdict: Verdict::NotRun,
 //!     idempotent: false,
 //!     attempts: 1,
-//!     left: Duration::from_secs(10),
+//!     time_left: Duration::from_secs(10),
 //! };
 //! let decision = budget.decide(Duration::ZERO, &attempt, &mut rand::rng());
 //! assert!(matches!(decision, Decision::RetryAfter(_)));
 //! ```
 //!
-//! Limits: budget, cooldowns and deadlines are of one daemon; they are not shared.
+//! Limitations: each daemon has its own budget, cooldowns and deadlines; they are not shared.
 
 mod budget;
 mod busy;
--- a/crates/kelpworks/src/routing/service.rs
+++ b/crates/kelpworks/src/routing/service.rs
@@ -12,12 +12,12 @@
 use crate::routing::cost;
 use crate::routing::cost::Rank;
 
-/// Chooses the less loaded of two upstreams drawn at random. Those that are cooling, suspect or in
-/// `avoid` are taken only when no other serves.
+/// Chooses the less loaded of two upstreams drawn at random. Upstreams that are cooling down,
+/// suspect or in `avoid` are used only when no other serves.
 ///
 /// # Errors
 ///
-/// When no upstream of the service may take work.
+/// Returns [`Error::ServiceMissing`] if no upstream of the service may take work.
 pub fn choose_service<R: Rng>(
     fleet: &Fleet,
     service: &str,
@@ -31,34 +31,38 @@
         let counters = &fleet.upstreams[key].counters;
         counters.in_flight.load(Ordering::Relaxed)
     };
-    let good: Vec<UpstreamKey> = keys
+    let preferred: Vec<UpstreamKey> = keys
         .iter()
         .copied()
-        .filter(|&key| rank(key) == Some(Rank::First))
+        .filter(|&key| rank(key) == Some(Rank::Preferred))
         .collect();
-    if good.is_empty() {
+    if preferred.is_empty() {
         return last_resort(keys, rank).ok_or(Error::ServiceMissing);
     }
-    let first = rng.random_range(0..good.len());
-    if good.len() == 1 {
-        return Ok(good[first]);
+    let first = rng.random_range(0..preferred.len());
+    if preferred.len() == 1 {
+        return Ok(preferred[first]);
     }
-    let mut second = rng.random_range(0..good.len() - 1);
+    let mut second = rng.random_range(0..preferred.len() - 1);
     if second >= first {
         second += 1;
     }
-    let (a, b) = (good[first], good[second]);
+    let (a, b) = (preferred[first], preferred[second]);
     Ok(if in_flight(b) < in_flight(a) { b } else { a })
 }
 
-/// The one that stands least far back, and whose cooldown ends first.
+/// Returns the upstream that is demoted by the fewest levels, and among equals the one whose
+/// cooldown ends first.
 fn last_resort(
     keys: &[UpstreamKey],
     rank: impl Fn(UpstreamKey) -> Option<Rank>,
 ) -> Option<UpstreamKey> {
     let ranked = keys.iter().filter_map(|&key| match rank(key)? {
-        Rank::First => Some(((0, 0), key)),
-        Rank::Last { ranks, cooling_ms } => Some(((ranks, cooling_ms), key)),
+        Rank::Preferred => Some(((0, 0), key)),
+        Rank::Demoted {
+            levels,
+            cooldown_left_ms,
+        } => Some(((levels, cooldown_left_ms), key)),
     });
     ranked.min_by_key(|(order, _)| *order).map(|(_, key)| key)
 }
