--- a/crates/kelpworks-relay/src/placer.rs
+++ b/crates/kelpworks-relay/src/placer.rs
@@ -151,7 +151,7 @@
 
     /// By what right this daemon may give orders now; to be asked for right before each order.
     fn authority(&mut self) -> Option<Authority> {
-        let authority = match self.hold.fence() {
+        let authority = match self.hold.fencing_token() {
             Some(token) => {
                 self.peers.note_leading(LeadershipBasis::Lease);
                 Some(Authority::Lease(token))
--- a/crates/kelpworks/src/executor/degraded.rs
+++ b/crates/kelpworks/src/executor/degraded.rs
@@ -16,16 +16,16 @@
 
 /// Times slower than its peers from which a host counts as degraded, and below which it no longer
 /// does.
-const SLOW: f64 = 2.0;
-const RECOVERED: f64 = 1.3;
+const DEGRADED_SLOWDOWN: f64 = 2.0;
+const RECOVERED_SLOWDOWN: f64 = 1.3;
 /// Least time beyond its peers' in a step, in microseconds: less is noise of the network.
-const LEAST_EXCESS_US: f64 = 5_000.0;
+const MIN_EXCESS_US: f64 = 5_000.0;
 /// New observations in a row that must agree.
-const AGREEING: u32 = 5;
+const MIN_CONTRARY_SAMPLES: u32 = 5;
 
 /// What is known of the hosts' rates.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Degraded {
+pub(super) struct DegradedHosts {
     hosts: HashMap<Arc<str>, Track>,
 }
 
@@ -34,9 +34,9 @@
     /// Step time at the last look, in microseconds.
     step_us: u64,
     /// New observations in a row that speak against the present judgement.
-    against: u32,
+    contrary_samples: u32,
     /// Times slower than its peers, as found; `None` while it is not degraded.
-    slower: Option<f64>,
+    slowdown: Option<f64>,
 }
 
 /// A change of judgement on a host.
@@ -47,7 +47,7 @@
     /// Its observed step time, in microseconds.
     pub(super) step_us: u64,
     /// Times slower than its peers.
-    pub(super) slower: f64,
+    pub(super) slowdown: f64,
     /// Whether it counts as degraded from now on.
     pub(super) degraded: bool,
 }
@@ -66,7 +66,7 @@
     }
 }
 
-impl Degraded {
+impl DegradedHosts {
     /// Takes the step times of a snapshot; hosts that are gone from it are forgotten.
     pub(super) fn observe(&mut self, fleet: &Fleet) -> Vec<Change> {
         let samples: Vec<Sample<'_>> = fleet.upstreams.values().filter_map(sample).collect();
@@ -83,10 +83,10 @@
         let mut changes = Vec::new();
         for stage in stages.values() {
             for sample in stage {
-                let Some(peers) = median_of_others(stage, sample) else {
+                let Some(peer_ratio) = median_of_peers(stage, sample) else {
                     continue;
                 };
-                changes.extend(self.judge(sample, peers));
+                changes.extend(self.update(sample, peer_ratio));
             }
         }
         changes.sort_by(|a, b| a.host.cmp(&b.host));
@@ -94,35 +94,39 @@
     }
 
     /// Part of the register's rate that a host reaches.
-    pub(super) fn part_of_rate(&self, name: &str) -> f64 {
-        let slower = self.hosts.get(name).and_then(|t| t.slower);
-        slower.map_or(1.0, |s| 1.0 / s)
+    pub(super) fn rate_fraction(&self, name: &str) -> f64 {
+        let slowdown = self.hosts.get(name).and_then(|t| t.slowdown);
+        slowdown.map_or(1.0, |s| 1.0 / s)
     }
 
-    fn judge(&mut self, sample: &Sample<'_>, peers: f64) -> Option<Change> {
+    fn update(&mut self, sample: &Sample<'_>, peer_ratio: f64) -> Option<Change> {
         let name = &sample.upstream.name;
         let track = self.hosts.entry(Arc::clone(name)).or_default();
         if track.step_us == sample.step_us {
             return None;
         }
         track.step_us = sample.step_us;
-        let slower = sample.ratio() / peers;
-        let excess = sample.step_us as f64 - peers * sample.expected_us;
-        let speaks_against = match track.slower {
-            None => slower >= SLOW && excess >= LEAST_EXCESS_US,
-            Some(_) => slower < RECOVERED,
+        let slowdown = sample.ratio() / peer_ratio;
+        let excess = sample.step_us as f64 - peer_ratio * sample.expected_us;
+        let is_contrary = match track.slowdown {
+            None => slowdown >= DEGRADED_SLOWDOWN && excess >= MIN_EXCESS_US,
+            Some(_) => slowdown < RECOVERED_SLOWDOWN,
         };
-        track.against = if speaks_against { track.against + 1 } else { 0 };
-        if track.against < AGREEING {
+        track.contrary_samples = if is_contrary {
+            track.contrary_samples + 1
+        } else {
+            0
+        };
+        if track.contrary_samples < MIN_CONTRARY_SAMPLES {
             return None;
         }
-        track.against = 0;
-        let degraded = track.slower.is_none();
-        track.slower = degraded.then_some(slower);
+        track.contrary_samples = 0;
+        let degraded = track.slowdown.is_none();
+        track.slowdown = degraded.then_some(slowdown);
         Some(Change {
             host: Arc::clone(name),
             step_us: sample.step_us,
-            slower,
+            slowdown,
             degraded,
         })
     }
@@ -131,25 +135,25 @@
 /// The step time of an engine that holds one range and has run steps.
 fn sample(upstream: &Upstream) -> Option<Sample<'_>> {
     let step_us = upstream.counters.step_us.load(Ordering::Relaxed);
-    let [holding] = &upstream.layer_assignments[..] else {
+    let [assignment] = &upstream.layer_assignments[..] else {
         return None;
     };
     if step_us == 0 || upstream.layer_rate <= 0.0 {
         return None;
     }
-    let layers = f64::from(holding.layers.end - holding.layers.first);
+    let layers = f64::from(assignment.layers.end - assignment.layers.first);
     Some(Sample {
         upstream,
-        stage: (holding.model, &holding.layers),
+        stage: (assignment.model, &assignment.layers),
         step_us,
         expected_us: layers / upstream.layer_rate * 1e6,
     })
 }
 
 /// The lower median of the other replicas' ratios; `None` when there are no others.
-fn median_of_others(stage: &[&Sample<'_>], of: &Sample<'_>) -> Option<f64> {
-    let others = stage.iter().filter(|s| s.upstream.name != of.upstream.name);
-    let mut ratios: Vec<f64> = others.map(|s| s.ratio()).collect();
+fn median_of_peers(stage: &[&Sample<'_>], of: &Sample<'_>) -> Option<f64> {
+    let peers = stage.iter().filter(|s| s.upstream.name != of.upstream.name);
+    let mut ratios: Vec<f64> = peers.map(|s| s.ratio()).collect();
     ratios.sort_by(f64::total_cmp);
     ratios.get(ratios.len().saturating_sub(1) / 2).copied()
 }
--- a/crates/kelpworks/src/executor/lease_keeper.rs
+++ b/crates/kelpworks/src/executor/lease_keeper.rs
@@ -35,7 +35,7 @@
 pub const LEASE_NAME: &str = "placement";
 
 /// How often the lease's state machine is asked whether a call is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One daemon's handle on the placement lease, shared by the task that keeps it and those that use
 /// it.
@@ -56,7 +56,7 @@
 
     /// The token under which an order may be sent now, if any. To be asked for right before each
     /// order.
-    pub fn fence(&self) -> Option<Token> {
+    pub fn fencing_token(&self) -> Option<Token> {
         self.lease().fencing_token(self.now())
     }
 
@@ -94,69 +94,69 @@
 #[derive(Debug)]
 pub struct LeaseKeeper<A> {
     pub(super) api: A,
-    pub(super) hold: Arc<LeaseHandle>,
+    pub(super) handle: Arc<LeaseHandle>,
 }
 
 impl<A: ObjectApi> LeaseKeeper<A> {
     /// Keeps a hold through an object API.
-    pub fn new(api: A, hold: Arc<LeaseHandle>) -> LeaseKeeper<A> {
-        LeaseKeeper { api, hold }
+    pub fn new(api: A, handle: Arc<LeaseHandle>) -> LeaseKeeper<A> {
+        LeaseKeeper { api, handle }
     }
 
     /// Takes and renews the lease until `leave`, then gives it up, so that a successor need not
     /// wait for its end.
-    pub async fn run(&self, leave: &CancellationToken) {
-        self.run_while(leave, || true).await;
+    pub async fn run(&self, resign: &CancellationToken) {
+        self.run_while(resign, || true).await;
     }
 
     /// The same, but takes the lease, and looks whether it is free, only while `is_candidate`. Once
     /// taken, it is kept.
-    pub async fn run_while(&self, leave: &CancellationToken, is_candidate: impl Fn() -> bool) {
-        let mut tick = tokio::time::interval(TICK);
+    pub async fn run_while(&self, resign: &CancellationToken, is_candidate: impl Fn() -> bool) {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let era = self.hold.era();
+            let era = self.handle.era();
             tokio::select! {
-                () = leave.cancelled() => break,
+                () = resign.cancelled() => break,
                 () = self.api.eras().wait_for_later(era) => {
                     let latest = self.api.eras().latest();
-                    self.drive(Event::Era(latest)).await;
+                    self.process_event(Event::Era(latest)).await;
                 }
                 _ = tick.tick() => {}
             }
-            if !self.hold.is_held() && !is_candidate() {
+            if !self.handle.is_held() && !is_candidate() {
                 continue;
             }
             // Never dropped half way, since the state machine waits for the reply.
-            self.drive(Event::Tick).await;
+            self.process_event(Event::Tick).await;
         }
-        self.drive(Event::Release).await;
+        self.process_event(Event::Release).await;
     }
 
-    async fn drive(&self, event: Event) {
-        let mut actions = VecDeque::from(self.hold.on_event(event));
+    async fn process_event(&self, event: Event) {
+        let mut actions = VecDeque::from(self.handle.on_event(event));
         while let Some(action) = actions.pop_front() {
             let reply = match action {
                 Action::Read => self.read().await,
                 Action::Write { if_version, record } => self.write(if_version, record).await,
                 Action::Acquired(token) => {
-                    note(true, Some(token));
+                    log_lease_change(true, Some(token));
                     continue;
                 }
                 Action::Resigned => {
-                    note(false, None);
+                    log_lease_change(false, None);
                     continue;
                 }
             };
-            actions.extend(self.hold.on_event(Event::Api(reply)));
+            actions.extend(self.handle.on_event(Event::Api(reply)));
         }
     }
 
     async fn read(&self) -> ApiReply {
         match self.api.get(LEASE_KIND, LEASE_NAME).await {
-            Ok(object) => stored(&object).map_or(ApiReply::Refused, ApiReply::Read),
+            Ok(object) => decode_record(&object).map_or(ApiReply::Refused, ApiReply::Read),
             Err(Error::NotFound) => ApiReply::Read(Stored::absent(self.api.eras().latest())),
-            Err(e) => self.failed(&e),
+            Err(e) => self.classify_error(&e),
         }
     }
 
@@ -173,16 +173,16 @@
         match sent.await {
             Ok(object) => ApiReply::Written(object.version),
             Err(Error::Conflict { current: Some(o) }) => {
-                stored(&o).map_or(ApiReply::Lost, ApiReply::Conflict)
+                decode_record(&o).map_or(ApiReply::Lost, ApiReply::Conflict)
             }
             // Read what stands there.
             Err(Error::Conflict { current: None } | Error::Outdated) => ApiReply::Lost,
-            Err(e) => self.failed(&e),
+            Err(e) => self.classify_error(&e),
         }
     }
 
     /// What a failed call means; silence may be the connection's, so the next call opens another.
-    fn failed(&self, e: &Error) -> ApiReply {
+    fn classify_error(&self, e: &Error) -> ApiReply {
         warn!("placement lease: {e}");
         if e.may_have_run() {
             self.api.reset_connections();
@@ -193,7 +193,7 @@
 }
 
 /// The lease that an object holds; `None` when its body is none.
-fn stored(object: &Object) -> Option<Stored> {
+fn decode_record(object: &Object) -> Option<Stored> {
     match serde_json::from_str(&object.body) {
         Ok(record) => Some(Stored {
             version: object.version,
@@ -206,7 +206,7 @@
     }
 }
 
-fn note(held: bool, token: Option<Token>) {
+fn log_lease_change(held: bool, token: Option<Token>) {
     let reason = if held { "acquired" } else { "resigned" };
     let token = token.map_or(0, |t| t.0);
     info!(target: "decision", decision = "lease", token = token, reason = reason; "placement lease");
--- a/crates/kelpworks/src/executor/liveness.rs
+++ b/crates/kelpworks/src/executor/liveness.rs
@@ -15,11 +15,11 @@
 /// How long hosts have been down.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Liveness {
-    hosts: HashMap<Arc<str>, Seen>,
+    hosts: HashMap<Arc<str>, HostStatus>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct HostStatus {
     health: Health,
     /// Since when it is down; set only while it is.
     down_since: Option<Instant>,
@@ -32,33 +32,33 @@
     pub(super) fn observe(&mut self, fleet: &Fleet, now: Instant) {
         let old = std::mem::take(&mut self.hosts);
         for upstream in fleet.upstreams.values() {
-            let before = old.get(&upstream.name);
+            let previous = old.get(&upstream.name);
             let down = upstream.health == Health::Down;
-            let since = before.and_then(|b| b.down_since).unwrap_or(now);
-            let seen = Seen {
+            let since = previous.and_then(|b| b.down_since).unwrap_or(now);
+            let status = HostStatus {
                 health: upstream.health,
                 down_since: down.then_some(since),
-                answered: !down || before.is_some_and(|b| b.answered),
+                answered: !down || previous.is_some_and(|b| b.answered),
             };
-            self.hosts.insert(Arc::clone(&upstream.name), seen);
+            self.hosts.insert(Arc::clone(&upstream.name), status);
         }
     }
 
     /// Whether a host may be given layers: neither leaving nor down for longer than `lost_after`.
     pub(super) fn is_live(&self, name: &str, lost_after: Duration, now: Instant) -> bool {
-        let Some(seen) = self.hosts.get(name) else {
+        let Some(status) = self.hosts.get(name) else {
             return false;
         };
-        let down = seen.down_since.is_some_and(|at| now - at >= lost_after);
-        seen.health != Health::Leaving && !down
+        let down = status.down_since.is_some_and(|at| now - at >= lost_after);
+        status.health != Health::Leaving && !down
     }
 
     /// Whether every host has answered, or been silent for long enough to count as lost.
-    pub(super) fn is_settled(&self, lost_after: Duration, now: Instant) -> bool {
-        let settled = |s: &Seen| {
+    pub(super) fn is_warmed_up(&self, lost_after: Duration, now: Instant) -> bool {
+        let is_known = |s: &HostStatus| {
             let lost = s.down_since.is_some_and(|at| now - at >= lost_after);
             s.answered || lost
         };
-        !self.hosts.is_empty() && self.hosts.values().all(settled)
+        !self.hosts.is_empty() && self.hosts.values().all(is_known)
     }
 }
--- a/crates/kelpworks/src/executor/mod.rs
+++ b/crates/kelpworks/src/executor/mod.rs
@@ -37,9 +37,9 @@
 //! so an old version is dropped only after the longest time that a request may take.
 
 mod degraded;
-mod gate;
 mod lease_keeper;
 mod liveness;
+mod order_scheduler;
 mod planning;
 mod round;
 #[cfg(test)]
@@ -127,7 +127,7 @@
 /// One daemon's part in placement.
 #[derive(Debug)]
 pub struct Executor<E, A> {
-    lease: LeaseKeeper<A>,
+    lease_keeper: LeaseKeeper<A>,
     rounds: Rounds<E>,
 }
 
@@ -145,34 +145,37 @@
             node: NodeId::of(name),
             incarnation: incarnation(),
         };
-        let hold = Arc::new(LeaseHandle::new(cfg.lease, me));
-        let lease = LeaseKeeper {
+        let handle = Arc::new(LeaseHandle::new(cfg.lease, me));
+        let lease_keeper = LeaseKeeper {
             api,
-            hold: Arc::clone(&hold),
+            handle: Arc::clone(&handle),
         };
         Executor {
-            lease,
-            rounds: Rounds::new(cfg, hold, engine, config, fleet),
+            lease_keeper,
+            rounds: Rounds::new(cfg, handle, engine, config, fleet),
         }
     }
 
     /// This daemon's handle on the placement lease.
     pub fn lease_handle(&self) -> Arc<LeaseHandle> {
-        Arc::clone(&self.lease.hold)
+        Arc::clone(&self.lease_keeper.handle)
     }
 
     /// Runs until `leave`, then gives the lease up; ends at once on `stop`.
-    pub async fn run(self, leave: CancellationToken, stop: CancellationToken) {
-        let Executor { lease, mut rounds } = self;
-        let both = async {
+    pub async fn run(self, resign: CancellationToken, stop: CancellationToken) {
+        let Executor {
+            lease_keeper,
+            mut rounds,
+        } = self;
+        let tasks = async {
             tokio::select! {
-                () = lease.run(&leave) => {}
+                () = lease_keeper.run(&resign) => {}
                 () = rounds.run() => {}
             }
         };
         tokio::select! {
             () = stop.cancelled() => {}
-            () = both => {}
+            () = tasks => {}
         }
     }
 }
--- a/crates/kelpworks/src/executor/gate.rs
+++ b/crates/kelpworks/src/executor/order_scheduler.rs
@@ -26,25 +26,25 @@
 
 /// Loads run ahead of the weight store by no more than it delivers in this time, so that the first
 /// replicas come first; but always one.
-const LOAD_AHEAD: Duration = Duration::from_secs(5);
+const MAX_LOAD_BACKLOG: Duration = Duration::from_secs(5);
 
 /// Orders to load the same range, without its being loaded, after which a host is left out.
-const MOST_LOADS: u32 = 3;
+const MAX_LOAD_ORDERS: u32 = 3;
 /// How long it is left out; one host that loads nothing must not hold up the others' waves.
-const UNFIT_TIME: Duration = Duration::from_secs(600);
+const UNFIT_DURATION: Duration = Duration::from_secs(600);
 
 /// What an engine said of itself.
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
     /// When it was asked.
-    pub(super) asked: time::Instant,
+    pub(super) queried_at: time::Instant,
     /// Its answer.
     pub(super) state: EngineState,
 }
 
 /// An order that may go out.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Due {
+pub(super) struct DueOrder {
     /// The host.
     pub(super) host: HostKey,
     /// What it is to do.
@@ -59,25 +59,25 @@
     pub(super) tokio: Instant,
     pub(super) coord: time::Instant,
     /// Token under which orders may be sent.
-    pub(super) fence: Option<Token>,
+    pub(super) fencing_token: Option<Token>,
 }
 
 /// What was ordered, and what is waited for.
 #[derive(Debug)]
-pub(super) struct Gate {
+pub(super) struct OrderScheduler {
     order_bound: Span,
     /// How long the sessions of a version may last once new ones go to another.
     drain: Duration,
     repairs: HashMap<Arc<str>, Repair<Vec<LoadedRange>>>,
     drains: Vec<Draining>,
     /// The range last ordered of each host, and how often.
-    loads: HashMap<Arc<str>, Loads>,
+    load_attempts: HashMap<Arc<str>, LoadAttempts>,
     /// Hosts found unfit since they were last asked for.
     newly_unfit: Vec<(Arc<str>, LoadedRange)>,
 }
 
 #[derive(Clone, Debug)]
-struct Loads {
+struct LoadAttempts {
     range: LoadedRange,
     orders: u32,
     unfit_until: Option<Instant>,
@@ -90,54 +90,54 @@
     since: Instant,
 }
 
-impl Gate {
+impl OrderScheduler {
     /// A gate that has let nothing through.
-    pub(super) fn new(order_bound: Span, drain: Duration) -> Gate {
-        Gate {
+    pub(super) fn new(order_bound: Span, drain: Duration) -> OrderScheduler {
+        OrderScheduler {
             order_bound,
             drain,
             repairs: HashMap::new(),
             drains: Vec::new(),
-            loads: HashMap::new(),
+            load_attempts: HashMap::new(),
             newly_unfit: Vec::new(),
         }
     }
 
     /// Whether a host is left out, since it did not load what it was ordered to.
     pub(super) fn is_unfit(&self, host: &str, now: Instant) -> bool {
-        let until = self.loads.get(host).and_then(|l| l.unfit_until);
+        let until = self.load_attempts.get(host).and_then(|l| l.unfit_until);
         until.is_some_and(|until| now < until)
     }
 
     /// Hosts found unfit since the last call, with the range that they don't load.
-    pub(super) fn newly_unfit(&mut self) -> Vec<(Arc<str>, LoadedRange)> {
+    pub(super) fn take_newly_unfit(&mut self) -> Vec<(Arc<str>, LoadedRange)> {
         std::mem::take(&mut self.newly_unfit)
     }
 
     /// Counts an order to load a range; false when there were enough and the host is left out.
-    fn count_load(&mut self, host: &Arc<str>, range: &LoadedRange, now: Instant) -> bool {
-        let fresh = Loads {
+    fn count_load_order(&mut self, host: &Arc<str>, range: &LoadedRange, now: Instant) -> bool {
+        let initial = LoadAttempts {
             range: range.clone(),
             orders: 0,
             unfit_until: None,
         };
-        let loads = self
-            .loads
+        let load_attempts = self
+            .load_attempts
             .entry(Arc::clone(host))
-            .or_insert_with(|| fresh.clone());
-        let expired = loads.unfit_until.is_some_and(|until| until <= now);
-        if loads.range != *range || expired {
-            *loads = fresh;
+            .or_insert_with(|| initial.clone());
+        let expired = load_attempts.unfit_until.is_some_and(|until| until <= now);
+        if load_attempts.range != *range || expired {
+            *load_attempts = initial;
         }
-        if loads.unfit_until.is_some() {
+        if load_attempts.unfit_until.is_some() {
             return false;
         }
-        if loads.orders == MOST_LOADS {
-            loads.unfit_until = Some(now + UNFIT_TIME);
+        if load_attempts.orders == MAX_LOAD_ORDERS {
+            load_attempts.unfit_until = Some(now + UNFIT_DURATION);
             self.newly_unfit.push((Arc::clone(host), range.clone()));
             return false;
         }
-        loads.orders += 1;
+        load_attempts.orders += 1;
         true
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn reset(&mut self) {
         self.repairs.clear();
         self.drains.clear();
-        self.loads.clear();
+        self.load_attempts.clear();
     }
 
     /// The orders of a wave that are due. Steps of hosts without a reading wait.
@@ -155,11 +155,11 @@
         wave: &[OrderStep],
         readings: &HashMap<HostKey, Reading>,
         now: Now,
-    ) -> Vec<Due> {
-        self.keep(input, wave);
+    ) -> Vec<DueOrder> {
+        self.retain_steps(input, wave);
         let loading = readings.values().flat_map(|r| &r.state.loading);
-        let mut in_flight: u64 = loading.map(|r| bytes(input, r)).sum();
-        let ahead = (LOAD_AHEAD.as_secs_f64() * input.weight_rate.0 as f64) as u64;
+        let mut loading_bytes: u64 = loading.map(|r| bytes(input, r)).sum();
+        let max_backlog = (MAX_LOAD_BACKLOG.as_secs_f64() * input.weight_rate.0 as f64) as u64;
         let mut due = Vec::new();
         for step in wave {
             let Some(reading) = readings.get(&step.range.host) else {
@@ -170,26 +170,26 @@
                 Action::Load { .. } => (OrderAction::Load(range.clone()), bytes(input, &range)),
                 Action::Unload { .. } => (OrderAction::Unload(range.clone()), 0),
             };
-            let waits = match &step.action {
+            let must_wait = match &step.action {
                 Action::Load { .. } => {
                     is_under_way(&reading.state, &range)
-                        || (in_flight > 0 && in_flight + size > ahead)
+                        || (loading_bytes > 0 && loading_bytes + size > max_backlog)
                 }
                 Action::Unload { drain } => {
                     !reading.state.loaded.contains(&range)
                         || !self.has_drained(input, step, &range, *drain, now.tokio)
                 }
             };
-            if waits || !self.may_order(input, step.range.host, reading, &action, now) {
+            if must_wait || !self.may_order(input, step.range.host, reading, &action, now) {
                 continue;
             }
             let host = &input.host(step.range.host).name;
             let is_load = matches!(step.action, Action::Load { .. });
-            if is_load && !self.count_load(host, &range, now.tokio) {
+            if is_load && !self.count_load_order(host, &range, now.tokio) {
                 continue;
             }
-            in_flight += size;
-            due.push(Due {
+            loading_bytes += size;
+            due.push(DueOrder {
                 host: step.range.host,
                 action,
                 reason: step.reason,
@@ -214,32 +214,32 @@
             .repairs
             .entry(name)
             .or_insert_with(|| Repair::new(bound));
-        let held = &reading.state.loaded;
-        let wanted = match action {
-            OrderAction::Load(range) => held.iter().chain([range]).cloned().collect(),
-            OrderAction::Unload(range) => held.iter().filter(|h| *h != range).cloned().collect(),
+        let loaded = &reading.state.loaded;
+        let desired = match action {
+            OrderAction::Load(range) => loaded.iter().chain([range]).cloned().collect(),
+            OrderAction::Unload(range) => loaded.iter().filter(|h| *h != range).cloned().collect(),
             OrderAction::Role(_) | OrderAction::Adapter(_) => return false,
         };
-        repair.observe(now.coord, reading.asked, held.clone());
-        repair.set_desired(wanted);
-        repair.due_order(now.coord, now.fence).is_some()
+        repair.observe(now.coord, reading.queried_at, loaded.clone());
+        repair.set_desired(desired);
+        repair.due_order(now.coord, now.fencing_token).is_some()
     }
 
     /// Forgets what was noted of steps that are not in the wave, but for hosts that are unfit.
-    pub(super) fn keep(&mut self, input: &Input, wave: &[OrderStep]) {
-        let named = |s: &OrderStep| {
+    pub(super) fn retain_steps(&mut self, input: &Input, wave: &[OrderStep]) {
+        let names_of = |s: &OrderStep| {
             (
                 Arc::clone(&input.host(s.range.host).name),
                 loaded_range(input, s),
             )
         };
-        let steps: Vec<(Arc<str>, LoadedRange)> = wave.iter().map(named).collect();
-        let has = |host: &Arc<str>, range: &LoadedRange| {
+        let steps: Vec<(Arc<str>, LoadedRange)> = wave.iter().map(names_of).collect();
+        let is_in_wave = |host: &Arc<str>, range: &LoadedRange| {
             steps.iter().any(|(h, r)| h == host && r == range)
         };
-        self.drains.retain(|d| has(&d.host, &d.range));
-        self.loads
-            .retain(|host, l| l.unfit_until.is_some() || has(host, &l.range));
+        self.drains.retain(|d| is_in_wave(&d.host, &d.range));
+        self.load_attempts
+            .retain(|host, l| l.unfit_until.is_some() || is_in_wave(host, &l.range));
     }
 
     /// Whether the sessions that an unload waits for have ended.
@@ -259,8 +259,8 @@
             return true;
         }
         let host = &input.host(step.range.host).name;
-        let known = |d: &&Draining| d.host == *host && d.range == *range;
-        if let Some(draining) = self.drains.iter().find(known) {
+        let is_same_unload = |d: &&Draining| d.host == *host && d.range == *range;
+        if let Some(draining) = self.drains.iter().find(is_same_unload) {
             return now - draining.since >= self.drain;
         }
         self.drains.push(Draining {
--- a/crates/kelpworks/src/executor/planning.rs
+++ b/crates/kelpworks/src/executor/planning.rs
@@ -40,16 +40,18 @@
         let Some(&host) = hosts.get(&upstream.name) else {
             continue;
         };
-        for holding in &upstream.layer_assignments {
-            let seen = &fleet.models[usize::from(holding.model.0)];
+        for assignment in &upstream.layer_assignments {
+            let model_info = &fleet.models[usize::from(assignment.model.0)];
             // The snapshot may still be of the register before this one.
-            let model = input.models.iter().position(|m| *m.name == seen.name);
+            let model = input.models.iter().position(|m| *m.name == model_info.name);
             let Some(model) = model else { continue };
             input.loaded_ranges.push(HostRange {
                 host,
                 model: ModelKey(model as u16),
-                version: seen.versions[usize::from(holding.version)].as_str().into(),
-                layers: holding.layers.clone(),
+                version: model_info.versions[usize::from(assignment.version)]
+                    .as_str()
+                    .into(),
+                layers: assignment.layers.clone(),
             });
         }
     }
@@ -60,13 +62,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlanReason {
     /// It is what hosts hold already.
-    Held,
+    AlreadyLoaded,
     /// What hosts hold makes no whole model.
-    NotWhole,
+    Incomplete,
     /// A host of the plan before was lost or leaves.
     Loss,
     /// A host without layers can be put to use.
-    Joined,
+    IdleHosts,
     /// It meets more rules or gains rate.
     Improved,
 }
@@ -75,10 +77,10 @@
     /// Short name for the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            PlanReason::Held => "held",
-            PlanReason::NotWhole => "not-whole",
+            PlanReason::AlreadyLoaded => "held",
+            PlanReason::Incomplete => "not-whole",
             PlanReason::Loss => "loss",
-            PlanReason::Joined => "joined",
+            PlanReason::IdleHosts => "joined",
             PlanReason::Improved => "improved",
         }
     }
@@ -86,7 +88,7 @@
 
 /// A plan, and why it was taken.
 #[derive(Clone, Debug)]
-pub(super) struct Decided {
+pub(super) struct PlanDecision {
     pub(super) plan: Arc<Plan>,
     pub(super) reason: PlanReason,
     /// Whether it differs from the plan before.
@@ -98,16 +100,16 @@
 pub(super) struct Planning {
     /// The plan, with the generation of the configuration that it was made for; its keys mean
     /// nothing under another.
-    followed: Option<(u64, Arc<Plan>)>,
+    current: Option<(u64, Arc<Plan>)>,
     /// Hosts as they were when last they changed, and when that was.
-    seen: Option<(Vec<ListedHost>, Instant)>,
+    last_hosts: Option<(Vec<HostSnapshot>, Instant)>,
     /// Whether an improvement was looked for since.
-    sought: bool,
+    improvement_tried: bool,
 }
 
 /// What of a host bears on the worth of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct ListedHost {
+struct HostSnapshot {
     live: bool,
     layer_rate: f64,
 }
@@ -122,20 +124,25 @@
         input: &Input,
         improve_after: Duration,
         now: Instant,
-    ) -> Decided {
-        let before = self.followed.take().filter(|(g, _)| *g == generation);
-        let before = before.map(|(_, plan)| plan);
-        let calm = self.calm(input, improve_after, now);
-        let (plan, reason) = match &before {
-            Some(plan) => self.next(input, plan, PlanReason::Held, calm),
+    ) -> PlanDecision {
+        let previous = self.current.take().filter(|(g, _)| *g == generation);
+        let previous = previous.map(|(_, plan)| plan);
+        let improvement_due = self.is_improvement_due(input, improve_after, now);
+        let (plan, reason) = match &previous {
+            Some(plan) => self.next_plan(input, plan, PlanReason::AlreadyLoaded, improvement_due),
             None => match plan_from_loaded(input) {
-                Some(plan) => self.next(input, &Arc::new(plan), PlanReason::Held, calm),
-                None => (Arc::new(plan(input)), PlanReason::NotWhole),
+                Some(plan) => self.next_plan(
+                    input,
+                    &Arc::new(plan),
+                    PlanReason::AlreadyLoaded,
+                    improvement_due,
+                ),
+                None => (Arc::new(plan(input)), PlanReason::Incomplete),
             },
         };
-        let changed = before.as_ref() != Some(&plan);
-        self.followed = Some((generation, Arc::clone(&plan)));
-        Decided {
+        let changed = previous.as_ref() != Some(&plan);
+        self.current = Some((generation, Arc::clone(&plan)));
+        PlanDecision {
             plan,
             reason,
             changed,
@@ -143,59 +150,63 @@
     }
 
     /// Whether it is time to look for a better plan; true once after each change of the hosts.
-    fn calm(&mut self, input: &Input, improve_after: Duration, now: Instant) -> bool {
-        let seen = input.hosts.iter().map(|h| ListedHost {
+    fn is_improvement_due(&mut self, input: &Input, improve_after: Duration, now: Instant) -> bool {
+        let hosts = input.hosts.iter().map(|h| HostSnapshot {
             live: h.live,
             layer_rate: h.layer_rate,
         });
-        let seen: Vec<ListedHost> = seen.collect();
-        let since = match &self.seen {
-            Some((before, since)) if *before == seen => *since,
+        let hosts_now: Vec<HostSnapshot> = hosts.collect();
+        let since = match &self.last_hosts {
+            Some((previous, since)) if *previous == hosts_now => *since,
             _ => {
-                self.seen = Some((seen, now));
-                self.sought = false;
+                self.last_hosts = Some((hosts_now, now));
+                self.improvement_tried = false;
                 now
             }
         };
-        let calm = !self.sought && now - since >= improve_after;
-        self.sought |= calm;
-        calm
+        let improvement_due = !self.improvement_tried && now - since >= improve_after;
+        self.improvement_tried |= improvement_due;
+        improvement_due
     }
 
-    fn next(
+    fn next_plan(
         &self,
         input: &Input,
         from: &Arc<Plan>,
         reason: PlanReason,
-        calm: bool,
+        improvement_due: bool,
     ) -> (Arc<Plan>, PlanReason) {
-        let (mut plan, mut why) = (Arc::clone(from), reason);
-        if let Some(host) = lost(input, &plan) {
+        let (mut plan, mut plan_reason) = (Arc::clone(from), reason);
+        if let Some(host) = lost_host(input, &plan) {
             plan = Arc::new(repair(input, &plan, FailureScope::Host(host)));
-            why = PlanReason::Loss;
+            plan_reason = PlanReason::Loss;
         }
-        if has_idle(input, &plan) {
-            let fuller = assign_idle_hosts(input, &plan);
-            if fuller != *plan {
-                plan = Arc::new(fuller);
-                why = if why == PlanReason::Loss {
-                    why
+        if has_idle_host(input, &plan) {
+            let extended = assign_idle_hosts(input, &plan);
+            if extended != *plan {
+                plan = Arc::new(extended);
+                plan_reason = if plan_reason == PlanReason::Loss {
+                    plan_reason
                 } else {
-                    PlanReason::Joined
+                    PlanReason::IdleHosts
                 };
             }
         }
-        let seek = calm || is_broken(input, &plan);
-        let better = if seek { improve(input, &plan) } else { None };
+        let try_improve = improvement_due || has_unservable_model(input, &plan);
+        let better = if try_improve {
+            improve(input, &plan)
+        } else {
+            None
+        };
         match better {
             Some(better) => (Arc::new(better), PlanReason::Improved),
-            None => (plan, why),
+            None => (plan, plan_reason),
         }
     }
 }
 
 /// A host of the plan that is not live.
-fn lost(input: &Input, plan: &Plan) -> Option<HostKey> {
+fn lost_host(input: &Input, plan: &Plan) -> Option<HostKey> {
     let assigned = |h: &HostKey| plan.assignments[h.index()].is_some();
     input
         .host_keys()
@@ -203,13 +214,13 @@
 }
 
 /// Whether a live host has nothing to do.
-fn has_idle(input: &Input, plan: &Plan) -> bool {
+fn has_idle_host(input: &Input, plan: &Plan) -> bool {
     let idle = |h: HostKey| plan.assignments[h.index()].is_none() && input.host(h).live;
     input.host_keys().any(idle)
 }
 
 /// Whether some model can't be served by this plan.
-fn is_broken(input: &Input, plan: &Plan) -> bool {
-    let broken = |s: &Shortfall| matches!(s, Shortfall::NoReplica { .. });
-    plan.models.len() < input.models.len() || plan.shortfalls.iter().any(broken)
+fn has_unservable_model(input: &Input, plan: &Plan) -> bool {
+    let is_unservable = |s: &Shortfall| matches!(s, Shortfall::NoReplica { .. });
+    plan.models.len() < input.models.len() || plan.shortfalls.iter().any(is_unservable)
 }
--- a/crates/kelpworks/src/executor/round.rs
+++ b/crates/kelpworks/src/executor/round.rs
@@ -12,16 +12,16 @@
 use tokio::time::Instant;
 
 use super::Config;
-use super::degraded::Degraded;
-use super::gate::Due;
-use super::gate::Gate;
-use super::gate::Now;
-use super::gate::Reading;
+use super::degraded::DegradedHosts;
 use super::lease_keeper::LEASE_NAME;
 use super::lease_keeper::LeaseHandle;
 use super::liveness::Liveness;
+use super::order_scheduler::DueOrder;
+use super::order_scheduler::Now;
+use super::order_scheduler::OrderScheduler;
+use super::order_scheduler::Reading;
 use super::planning;
-use super::planning::Decided;
+use super::planning::PlanDecision;
 use super::planning::Planning;
 use crate::active_config::ActiveConfig;
 use crate::clients::engine;
@@ -43,22 +43,22 @@
 use kelpworks_wire::OrderReply;
 
 /// Engines asked or ordered at the same time, at most.
-const CONCURRENCY: usize = 32;
+const MAX_CONCURRENT_CALLS: usize = 32;
 /// Steps of a wave that are looked at in one round, at most; each costs a reading of its engine.
-const WINDOW: usize = 64;
+const MAX_STEPS_PER_ROUND: usize = 64;
 
 /// The rounds of one daemon.
 #[derive(Debug)]
 pub(super) struct Rounds<E> {
     cfg: Config,
-    hold: Arc<LeaseHandle>,
+    lease: Arc<LeaseHandle>,
     engine: Arc<E>,
     config: Arc<ArcSwap<ActiveConfig>>,
     fleet: Arc<ArcSwap<Fleet>>,
     liveness: Liveness,
-    degraded: Degraded,
+    degraded: DegradedHosts,
     planning: Planning,
-    gate: Gate,
+    order_scheduler: OrderScheduler,
 }
 
 /// Base URLs of the engines of an input.
@@ -67,20 +67,20 @@
 impl<E: Engine> Rounds<E> {
     pub(super) fn new(
         cfg: Config,
-        hold: Arc<LeaseHandle>,
+        lease: Arc<LeaseHandle>,
         engine: Arc<E>,
         config: Arc<ArcSwap<ActiveConfig>>,
         fleet: Arc<ArcSwap<Fleet>>,
     ) -> Rounds<E> {
         Rounds {
-            gate: Gate::new(cfg.lease.order_bound, cfg.drain),
+            order_scheduler: OrderScheduler::new(cfg.lease.order_bound, cfg.drain),
             cfg,
-            hold,
+            lease,
             engine,
             config,
             fleet,
             liveness: Liveness::default(),
-            degraded: Degraded::default(),
+            degraded: DegradedHosts::default(),
             planning: Planning::default(),
         }
     }
@@ -92,15 +92,15 @@
             tick.tick().await;
             let now = Instant::now();
             self.observe(now);
-            let holds = self.hold.fence().is_some();
-            metrics::gauge!("kelpworks_placement_lease").set(f64::from(u8::from(holds)));
-            if !holds {
+            let is_holder = self.lease.fencing_token().is_some();
+            metrics::gauge!("kelpworks_placement_lease").set(f64::from(u8::from(is_holder)));
+            if !is_holder {
                 // A later hold starts from what engines say then.
                 self.planning = Planning::default();
-                self.gate.reset();
+                self.order_scheduler.reset();
                 continue;
             }
-            if self.liveness.is_settled(self.cfg.lost_after, now) {
+            if self.liveness.is_warmed_up(self.cfg.lost_after, now) {
                 self.round(now).await;
             }
         }
@@ -113,7 +113,7 @@
         for change in self.degraded.observe(&fleet) {
             info!(
                 target: "decision", decision = "degraded", upstream = &*change.host,
-                step_us = change.step_us, slower = change.slower,
+                step_us = change.step_us, slower = change.slowdown,
                 reason = if change.degraded { "slower-than-peers" } else { "recovered" };
                 "observed rate of an engine"
             );
@@ -125,8 +125,8 @@
         let mut input = planning::input(&config.register, fleet, self.cfg.weight_rate);
         for host in &mut input.hosts {
             let live = self.liveness.is_live(&host.name, self.cfg.lost_after, now);
-            host.live = live && !self.gate.is_unfit(&host.name, now);
-            host.layer_rate *= self.degraded.part_of_rate(&host.name);
+            host.live = live && !self.order_scheduler.is_unfit(&host.name, now);
+            host.layer_rate *= self.degraded.rate_fraction(&host.name);
         }
         input
     }
@@ -138,40 +138,42 @@
         if input.hosts.is_empty() || input.models.is_empty() {
             return;
         }
-        let Some((input, decided)) = self.decide(config.generation, input, now).await else {
+        let Some((input, plan_decision)) = self.decide(config.generation, input, now).await else {
             return;
         };
-        if decided.changed {
-            note_plan(&input, &decided);
+        if plan_decision.changed {
+            log_plan(&input, &plan_decision);
         }
         let urls = urls(&input, &fleet);
-        let wave = first_wave(&input, &decided.plan);
+        let wave = first_wave(&input, &plan_decision.plan);
         if wave.is_empty() {
-            self.gate.keep(&input, &wave);
+            self.order_scheduler.retain_steps(&input, &wave);
             return;
         }
-        let drops = wave.iter().any(is_unload);
-        let readings = self.read(hosts_to_read(&wave, &urls, drops), &urls).await;
-        let input = refreshed(input, &readings, drops);
-        let wave = first_wave(&input, &decided.plan);
-        if wave.iter().any(is_unload) && !drops {
+        let has_unloads = wave.iter().any(is_unload);
+        let readings = self
+            .read_engines(hosts_to_read(&wave, &urls, has_unloads), &urls)
+            .await;
+        let input = with_readings(input, &readings, has_unloads);
+        let wave = first_wave(&input, &plan_decision.plan);
+        if wave.iter().any(is_unload) && !has_unloads {
             // Not all engines were read; the next round reads them.
             return;
         }
         let now = Now {
             tokio: Instant::now(),
-            coord: self.hold.now(),
-            fence: self.hold.fence(),
+            coord: self.lease.now(),
+            fencing_token: self.lease.fencing_token(),
         };
-        let due = self.gate.due(&input, &wave, &readings, now);
-        for (host, range) in self.gate.newly_unfit() {
+        let due = self.order_scheduler.due(&input, &wave, &readings, now);
+        for (host, range) in self.order_scheduler.take_newly_unfit() {
             warn!("{host} does not load {range:?}: left out of placement for a while");
             info!(
                 target: "decision", decision = "unfit", upstream = &*host, range:? = range,
                 reason = "loads-failed"; "host left out of placement"
             );
         }
-        self.send(&input, &urls, due).await;
+        self.send_orders(&input, &urls, due).await;
     }
 
     /// Settles on a plan, away from the threads that serve requests: for a large fleet it takes a
@@ -181,17 +183,17 @@
         generation: u64,
         input: Input,
         now: Instant,
-    ) -> Option<(Input, Decided)> {
+    ) -> Option<(Input, PlanDecision)> {
         let mut planning = std::mem::take(&mut self.planning);
         let improve_after = self.cfg.improve_after;
         let work = move || {
-            let decided = planning.decide(generation, &input, improve_after, now);
-            (planning, input, decided)
+            let plan_decision = planning.decide(generation, &input, improve_after, now);
+            (planning, input, plan_decision)
         };
         match tokio::task::spawn_blocking(work).await {
-            Ok((planning, input, decided)) => {
+            Ok((planning, input, plan_decision)) => {
                 self.planning = planning;
-                Some((input, decided))
+                Some((input, plan_decision))
             }
             Err(e) => {
                 warn!("placement: {e}");
@@ -200,31 +202,33 @@
         }
     }
 
-    async fn read(&self, hosts: Vec<HostKey>, urls: &Urls) -> HashMap<HostKey, Reading> {
-        let one = async |host: HostKey| {
-            let asked = self.hold.now();
+    async fn read_engines(&self, hosts: Vec<HostKey>, urls: &Urls) -> HashMap<HostKey, Reading> {
+        let read_one = async |host: HostKey| {
+            let queried_at = self.lease.now();
             let state = self.engine.state(urls.get(&host)?, self.cfg.poll_deadline);
             let state = state.await.ok()?;
-            Some((host, Reading { asked, state }))
+            Some((host, Reading { queried_at, state }))
         };
-        let read = stream::iter(hosts).map(one).buffer_unordered(CONCURRENCY);
-        read.filter_map(async |r| r).collect().await
+        let readings = stream::iter(hosts)
+            .map(read_one)
+            .buffer_unordered(MAX_CONCURRENT_CALLS);
+        readings.filter_map(async |r| r).collect().await
     }
 
-    async fn send(&self, input: &Input, urls: &Urls, due: Vec<Due>) {
-        let one = async |due: Due| {
+    async fn send_orders(&self, input: &Input, urls: &Urls, due: Vec<DueOrder>) {
+        let send_due = async |due: DueOrder| {
             if let Some(url) = urls.get(&due.host) {
-                self.send_one(input, url, due).await;
+                self.send_order(input, url, due).await;
             }
         };
         stream::iter(due)
-            .for_each_concurrent(CONCURRENCY, one)
+            .for_each_concurrent(MAX_CONCURRENT_CALLS, send_due)
             .await;
     }
 
-    async fn send_one(&self, input: &Input, url: &Arc<str>, due: Due) {
+    async fn send_order(&self, input: &Input, url: &Arc<str>, due: DueOrder) {
         // Asked for again: orders before this one may have taken long.
-        let Some(Token(token)) = self.hold.fence() else {
+        let Some(Token(token)) = self.lease.fencing_token() else {
             return;
         };
         let order = EngineOrder {
@@ -235,7 +239,7 @@
             },
         };
         let reply = self.engine.order(url, &order, self.cfg.order_bound());
-        note_order(input, &due, token, reply.await);
+        log_order(input, &due, token, reply.await);
     }
 }
 
@@ -249,11 +253,15 @@
 }
 
 /// Before something is dropped, every engine is read: what is dropped must stand elsewhere.
-fn hosts_to_read(wave: &[OrderStep], urls: &Urls, drops: bool) -> Vec<HostKey> {
-    if drops {
+fn hosts_to_read(wave: &[OrderStep], urls: &Urls, has_unloads: bool) -> Vec<HostKey> {
+    if has_unloads {
         return urls.keys().copied().collect();
     }
-    let hosts: HashSet<HostKey> = wave.iter().take(WINDOW).map(|s| s.range.host).collect();
+    let hosts: HashSet<HostKey> = wave
+        .iter()
+        .take(MAX_STEPS_PER_ROUND)
+        .map(|s| s.range.host)
+        .collect();
     hosts.into_iter().collect()
 }
 
@@ -268,20 +276,24 @@
 
 /// The input with holdings as just read. An engine that did not answer holds nothing when
 /// something is to be dropped, and else what it said last.
-fn refreshed(mut input: Input, readings: &HashMap<HostKey, Reading>, drops: bool) -> Input {
-    let stays = |h: &HostRange| !drops && !readings.contains_key(&h.host);
-    input.loaded_ranges.retain(stays);
+fn with_readings(
+    mut input: Input,
+    readings: &HashMap<HostKey, Reading>,
+    has_unloads: bool,
+) -> Input {
+    let is_kept = |h: &HostRange| !has_unloads && !readings.contains_key(&h.host);
+    input.loaded_ranges.retain(is_kept);
     let mut read: Vec<(&HostKey, &Reading)> = readings.iter().collect();
     read.sort_by_key(|(host, _)| **host);
     for (&host, reading) in read {
         for range in &reading.state.loaded {
-            input.loaded_ranges.extend(held_range(&input, host, range));
+            input.loaded_ranges.extend(host_range(&input, host, range));
         }
     }
     input
 }
 
-fn held_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HostRange> {
+fn host_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HostRange> {
     let model = input.models.iter().position(|m| *m.name == range.model)?;
     Some(HostRange {
         host,
@@ -291,10 +303,10 @@
     })
 }
 
-fn note_plan(input: &Input, decided: &Decided) {
-    let plan = &decided.plan;
+fn log_plan(input: &Input, plan_decision: &PlanDecision) {
+    let plan = &plan_decision.plan;
     info!(
-        target: "decision", decision = "plan", reason = decided.reason.as_str(),
+        target: "decision", decision = "plan", reason = plan_decision.reason.as_str(),
         scale = plan.scale(input), bound = input.bound(), moves = plan.moves(input),
         bytes = plan.bytes_to_load(input), shortfalls:? = plan.shortfalls;
         "placement plan"
@@ -305,7 +317,7 @@
     }
 }
 
-fn note_order(input: &Input, due: &Due, token: u64, reply: engine::Result<OrderReply>) {
+fn log_order(input: &Input, due: &DueOrder, token: u64, reply: engine::Result<OrderReply>) {
     let (kind, range) = match &due.action {
         OrderAction::Load(range) => ("load", Some(range)),
         OrderAction::Unload(range) => ("unload", Some(range)),
--- a/crates/kelpworks/src/executor/tests.rs
+++ b/crates/kelpworks/src/executor/tests.rs
@@ -7,10 +7,10 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use super::degraded::Degraded;
-use super::gate::Gate;
-use super::gate::Now;
-use super::gate::Reading;
+use super::degraded::DegradedHosts;
+use super::order_scheduler::Now;
+use super::order_scheduler::OrderScheduler;
+use super::order_scheduler::Reading;
 use super::planning::PlanReason;
 use super::planning::Planning;
 use crate::fleet::DomainKey;
@@ -97,9 +97,9 @@
 }
 
 /// Looks so often at step times that change a little each time.
-fn observe(degraded: &mut Degraded, fleet: &Fleet, looks: usize) -> Vec<String> {
+fn observe(degraded: &mut DegradedHosts, fleet: &Fleet, rounds: usize) -> Vec<String> {
     let mut changes = Vec::new();
-    for _ in 0..looks {
+    for _ in 0..rounds {
         for upstream in fleet.upstreams.values() {
             upstream.counters.step_us.fetch_add(1, Ordering::Relaxed);
         }
@@ -114,32 +114,32 @@
 #[case::one_slow(&[10, 30, 10], 20, &["host-1 true"])]
 #[case::one_of_two(&[10, 30], 20, &["host-1 true"])]
 #[case::all_slow(&[40, 41, 42], 20, &[])]
-#[case::few_looks(&[10, 30, 10], 4, &[])]
+#[case::few_rounds(&[10, 30, 10], 4, &[])]
 #[case::network_noise(&[1, 4, 1], 20, &[])]
-#[case::alone(&[90], 20, &[])]
-fn a_host_slower_than_its_peers_is_degraded(
+#[case::no_peers(&[90], 20, &[])]
+fn host_slower_than_its_peers_is_degraded(
     #[case] step_ms: &[u64],
-    #[case] looks: usize,
+    #[case] rounds: usize,
     #[case] expected: &[&str],
 ) {
-    let mut degraded = Degraded::default();
-    assert_eq!(observe(&mut degraded, &replicas(step_ms), looks), expected);
+    let mut degraded = DegradedHosts::default();
+    assert_eq!(observe(&mut degraded, &replicas(step_ms), rounds), expected);
 }
 
 #[test]
-fn a_degraded_host_reaches_a_part_of_its_rate_until_it_recovers() {
-    let mut degraded = Degraded::default();
+fn degraded_host_has_reduced_rate_until_it_recovers() {
+    let mut degraded = DegradedHosts::default();
     observe(&mut degraded, &replicas(&[10, 40, 10]), 10);
-    let part = degraded.part_of_rate("host-1");
-    assert!((0.2..0.3).contains(&part), "{part}");
-    assert_eq!(degraded.part_of_rate("host-0"), 1.0);
+    let fraction = degraded.rate_fraction("host-1");
+    assert!((0.2..0.3).contains(&fraction), "{fraction}");
+    assert_eq!(degraded.rate_fraction("host-0"), 1.0);
     let back = observe(&mut degraded, &replicas(&[10, 11, 10]), 10);
     assert_eq!(back, ["host-1 false"]);
-    assert_eq!(degraded.part_of_rate("host-1"), 1.0);
+    assert_eq!(degraded.rate_fraction("host-1"), 1.0);
 }
 
 #[test]
-fn an_improvement_waits_until_hosts_stay_as_they_are() {
+fn improvement_is_tried_after_hosts_are_unchanged_for_improve_after() {
     let mut input = input(Rate(GB));
     let mut planning = Planning::default();
     let start = Instant::now();
@@ -147,7 +147,7 @@
         let now = start + Duration::from_secs(secs);
         planning.decide(1, input, IMPROVE_AFTER, now)
     };
-    assert_eq!(decide(&input, 0).reason, PlanReason::NotWhole);
+    assert_eq!(decide(&input, 0).reason, PlanReason::Incomplete);
     let stage = decide(&input, 1).plan.models[0].stages[0].clone();
     for host in &stage.hosts[1..] {
         input.hosts[host.index()].live = false;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_new_holder_follows_what_is_held_and_improves_it_later() {
+fn new_lease_holder_adopts_loaded_plan_and_improves_it_later() {
     let mut input = input(Rate(GB));
     input.loaded_ranges = plan(&input).host_ranges(&input);
     input.hosts[0].layer_rate = 6_000.0;
@@ -173,7 +173,7 @@
     let mut planning = Planning::default();
     let start = Instant::now();
     let first = planning.decide(1, &input, IMPROVE_AFTER, start);
-    assert_eq!(first.reason, PlanReason::Held);
+    assert_eq!(first.reason, PlanReason::AlreadyLoaded);
     assert_eq!(first.plan.moves(&input), 0);
     let later = planning.decide(1, &input, IMPROVE_AFTER, start + IMPROVE_AFTER);
     assert_eq!(later.reason, PlanReason::Improved);
@@ -182,31 +182,46 @@
 #[rstest]
 #[case::slow_store(Rate(GB), 1)]
 #[case::fast_store(Rate(100 * GB), 6)]
-fn loads_are_paced_by_the_weight_store(#[case] rate: Rate, #[case] expected: usize) {
+fn concurrent_loads_are_bounded_by_weight_store_rate(#[case] rate: Rate, #[case] expected: usize) {
     let input = input(rate);
     let wave = orders(&input, &plan(&input)).steps;
-    let mut gate = Gate::new(Span::from_secs(2), IMPROVE_AFTER);
+    let mut order_scheduler = OrderScheduler::new(Span::from_secs(2), IMPROVE_AFTER);
     let now = now(0);
     let readings = input.host_keys().map(|h| (h, reading(0, &[]))).collect();
-    assert_eq!(gate.due(&input, &wave, &readings, now).len(), expected);
-    let unfenced = Now { fence: None, ..now };
-    assert_eq!(gate.due(&input, &wave, &readings, unfenced).len(), 0);
+    assert_eq!(
+        order_scheduler.due(&input, &wave, &readings, now).len(),
+        expected
+    );
+    let without_lease = Now {
+        fencing_token: None,
+        ..now
+    };
+    assert_eq!(
+        order_scheduler
+            .due(&input, &wave, &readings, without_lease)
+            .len(),
+        0
+    );
 }
 
 #[test]
-fn a_host_that_does_not_load_is_left_out() {
+fn host_that_fails_to_load_becomes_unfit() {
     let input = input(Rate(GB));
     let wave = orders(&input, &plan(&input)).steps;
-    let mut gate = Gate::new(Span::from_secs(2), IMPROVE_AFTER);
+    let mut order_scheduler = OrderScheduler::new(Span::from_secs(2), IMPROVE_AFTER);
     let first = wave[0].range.host;
-    let mut ordered = Vec::new();
+    let mut order_counts = Vec::new();
     for secs in [0, 1, 2, 4, 6, 8] {
         let readings = [(first, reading(secs, &[]))].into();
-        ordered.push(gate.due(&input, &wave, &readings, now(secs)).len());
+        order_counts.push(
+            order_scheduler
+                .due(&input, &wave, &readings, now(secs))
+                .len(),
+        );
     }
-    assert_eq!(ordered, [1, 0, 1, 1, 0, 0]);
-    assert!(gate.is_unfit(&input.host(first).name, now(8).tokio));
-    assert_eq!(gate.newly_unfit().len(), 1);
+    assert_eq!(order_counts, [1, 0, 1, 1, 0, 0]);
+    assert!(order_scheduler.is_unfit(&input.host(first).name, now(8).tokio));
+    assert_eq!(order_scheduler.take_newly_unfit().len(), 1);
 }
 
 fn now(secs: u64) -> Now {
@@ -214,13 +229,13 @@
     Now {
         tokio: *START + Duration::from_secs(secs),
         coord: time::Instant::from_millis(secs * 1_000),
-        fence: Some(Token(1)),
+        fencing_token: Some(Token(1)),
     }
 }
 
 fn reading(secs: u64, loaded: &[LoadedRange]) -> Reading {
     Reading {
-        asked: time::Instant::from_millis(secs * 1_000),
+        queried_at: time::Instant::from_millis(secs * 1_000),
         state: EngineState {
             name: String::new(),
             incarnation: 0,
--- a/crates/kelpworks/src/pipeline/driver.rs
+++ b/crates/kelpworks/src/pipeline/driver.rs
@@ -137,16 +137,16 @@
         let mut session = Session::new(self, &job);
         let deadline = job.deadline;
         let result = tokio::select! {
-            result = session.answer(permit, tx) => result,
+            result = session.generate(permit, tx) => result,
             () = tx.closed() => Err(SessionError::CallerGone),
             () = tokio::time::sleep_until(deadline) => Err(SessionError::Deadline),
             () = self.abort.cancelled() => Err(SessionError::Stopped),
         };
-        permit.record_usage(session.known.len() as u32);
+        permit.record_usage(session.token_ids.len() as u32);
         if result.is_ok() {
-            session.succeeded();
+            session.record_success();
         }
-        session.free();
+        session.free_all();
         Outcome {
             result,
             verdict: session.verdict,
@@ -155,7 +155,7 @@
     }
 
     /// This daemon's failure domain in a snapshot; the first where the register has no such.
-    pub(super) fn from(&self, fleet: &Fleet) -> DomainKey {
+    pub(super) fn own_domain(&self, fleet: &Fleet) -> DomainKey {
         let at = fleet.domains.iter().position(|d| *d == self.domain);
         DomainKey(at.unwrap_or(0) as u16)
     }
--- a/crates/kelpworks/src/pipeline/hop.rs
+++ b/crates/kelpworks/src/pipeline/hop.rs
@@ -23,19 +23,19 @@
     /// earlier stage can't pass for one of this stage.
     pub(crate) attempt: u32,
     /// Positions run, counted from 0. Never above the session's number of known tokens.
-    pub(crate) have: u32,
+    pub(crate) positions_run: u32,
     /// Outputs kept here when the engine returns them inline; as long as `have` then, else empty.
     pub(crate) rows: Vec<u64>,
 }
 
 impl HopState {
     /// Whether this stage is the one that `hop` asks for.
-    pub(crate) fn serves(&self, hop: &routing::Hop) -> bool {
+    pub(crate) fn matches(&self, hop: &routing::Hop) -> bool {
         self.upstream == hop.upstream && self.layers == hop.layers
     }
 
     /// The same place on the path, for the router.
-    pub(crate) fn as_hop(&self) -> routing::Hop {
+    pub(crate) fn to_hop(&self) -> routing::Hop {
         routing::Hop {
             upstream: self.upstream,
             layers: self.layers.clone(),
--- a/crates/kelpworks/src/pipeline/mod.rs
+++ b/crates/kelpworks/src/pipeline/mod.rs
@@ -6,11 +6,11 @@
 //! replays the positions from its predecessor's kept outputs, and the other
 //! stages go on from where they stand. Tokens already sent are never changed.
 
+mod cancel;
 mod driver;
 mod hop;
 mod path;
 mod recovery;
-mod release;
 mod session;
 mod step;
 pub mod tokens;
--- a/crates/kelpworks/src/pipeline/path.rs
+++ b/crates/kelpworks/src/pipeline/path.rs
@@ -19,30 +19,30 @@
 use crate::verdict::Verdict;
 
 /// Wait before the path is asked for again when no stage can take the session.
-pub(super) const NO_PATH_WAIT: Duration = Duration::from_millis(50);
+pub(super) const NO_PATH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest time without a path of a session that has sent nothing.
-const NO_PATH_PATIENCE: Duration = Duration::from_secs(5);
+const NO_PATH_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl<E: Engine> Session<'_, E> {
     /// Chooses a path; stages that still serve keep their place and state.
     pub(super) async fn route(&mut self, reason: &'static str) -> Result<()> {
-        let give_up = Instant::now() + NO_PATH_PATIENCE;
+        let timeout_at = Instant::now() + NO_PATH_TIMEOUT;
         loop {
             match self.try_route(reason) {
                 Ok(()) => return Ok(()),
                 // Its caller has nothing yet and may ask elsewhere; one that has a part of the
                 // answer can only get the rest here.
-                Err(e) if !self.has_sent() && give_up <= Instant::now() => {
+                Err(e) if !self.has_sent() && timeout_at <= Instant::now() => {
                     return Err(SessionError::NoPath(e));
                 }
-                Err(e) if self.job.deadline <= Instant::now() + NO_PATH_WAIT => {
+                Err(e) if self.job.deadline <= Instant::now() + NO_PATH_RETRY_INTERVAL => {
                     return Err(SessionError::NoPath(e));
                 }
                 Err(e) if self.verdict == Verdict::NotRun && self.hops.is_empty() => {
                     return Err(SessionError::NoPath(e));
                 }
-                Err(_) => tokio::time::sleep(NO_PATH_WAIT).await,
+                Err(_) => tokio::time::sleep(NO_PATH_RETRY_INTERVAL).await,
             }
         }
     }
@@ -50,15 +50,15 @@
     /// Keys of the session's model and, once its first path is chosen, of its version in a
     /// snapshot. Looked up by name: a new register gives other keys. One that is gone gets a key
     /// that nothing has, so that the session never goes on with another.
-    fn bound(&self, fleet: &Fleet) -> (ModelKey, Option<u16>) {
-        let Some(key) = fleet.model(&self.fixed.model) else {
+    fn model_and_version(&self, fleet: &Fleet) -> (ModelKey, Option<u16>) {
+        let Some(key) = fleet.model(&self.params.model) else {
             return (ModelKey(u16::MAX), None);
         };
-        if self.fixed.version.is_empty() {
+        if self.params.version.is_empty() {
             return (key, None);
         }
         let mut versions = fleet.models[usize::from(key.0)].versions.iter();
-        let at = versions.position(|v| *v == self.fixed.version);
+        let at = versions.position(|v| *v == self.params.version);
         (key, Some(at.map_or(u16::MAX, |at| at as u16)))
     }
 
@@ -68,21 +68,21 @@
             .hops
             .iter()
             .filter(|h| !self.avoid.contains(&h.upstream))
-            .map(HopState::as_hop)
+            .map(HopState::to_hop)
             .collect();
-        let path = self.choose(&fleet, &keep)?;
-        let (model, _) = self.bound(&fleet);
+        let path = self.choose_path(&fleet, &keep)?;
+        let (model, _) = self.model_and_version(&fleet);
         let model = &fleet.models[usize::from(model.0)];
-        self.fixed.version = model.versions[usize::from(path.version)].clone();
-        self.take(&fleet, &path);
+        self.params.version = model.versions[usize::from(path.version)].clone();
+        self.apply_path(&fleet, &path);
         let on_path = self.hops.iter().map(|h| h.upstream);
         self.driver
             .quarantine
             .record_path(self.job.fingerprint, on_path);
-        self.assignment = Some(PathGuard::new(&fleet, &path.hops));
+        self.path_guard = Some(PathGuard::new(&fleet, &path.hops));
         let names: Vec<&str> = self.hops.iter().map(|h| &*h.name).collect();
         info!(
-            target: "decision", decision = "route", request = self.fixed.session.as_str(),
+            target: "decision", decision = "route", request = self.params.session.as_str(),
             team = self.job.team.as_str(), candidates = path.candidates,
             choice = names.join(","), reason = reason,
             why:% = path.explanation.display(&fleet);
@@ -92,30 +92,30 @@
     }
 
     /// Chooses a path; for a suspect, where possible one on which it harms nobody else.
-    fn choose(&self, fleet: &Fleet, keep: &[routing::Hop]) -> routing::Result<routing::Path> {
-        let (model, version) = self.bound(fleet);
+    fn choose_path(&self, fleet: &Fleet, keep: &[routing::Hop]) -> routing::Result<routing::Path> {
+        let (model, version) = self.model_and_version(fleet);
         let query = PathQuery {
             model,
             version,
-            from: self.driver.from(fleet),
+            from: self.driver.own_domain(fleet),
             class: self.job.class,
-            prefill: self.known.len() as u32,
+            prefill: self.token_ids.len() as u32,
             avoid: &self.avoid,
             keep,
             now_ms: self.driver.now_ms(),
         };
-        let mut avoid = self.apart_from(fleet, keep);
+        let mut avoid = self.avoided_by_suspect(fleet, keep);
         if !avoid.is_empty() {
             avoid.extend(&self.avoid);
-            let apart = PathQuery {
+            let isolated_query = PathQuery {
                 avoid: &avoid,
                 ..query.clone()
             };
-            let path = routing::choose_path(fleet, &apart, &mut rand::rng());
-            let harms =
+            let path = routing::choose_path(fleet, &isolated_query, &mut rand::rng());
+            let uses_avoided =
                 |path: &routing::Path| path.hops.iter().any(|h| avoid.contains(&h.upstream));
             if let Ok(path) = path
-                && !harms(&path)
+                && !uses_avoided(&path)
             {
                 return Ok(path);
             }
@@ -123,10 +123,10 @@
         routing::choose_path(fleet, &query, &mut rand::rng())
     }
 
-    fn take(&mut self, fleet: &Fleet, path: &routing::Path) {
+    fn apply_path(&mut self, fleet: &Fleet, path: &routing::Path) {
         let mut old = std::mem::take(&mut self.hops);
         for hop in &path.hops {
-            if let Some(at) = old.iter().position(|h| h.serves(hop)) {
+            if let Some(at) = old.iter().position(|h| h.matches(hop)) {
                 self.hops.push(old.swap_remove(at));
                 continue;
             }
@@ -137,11 +137,11 @@
                 name: Arc::clone(&upstream.name),
                 layers: hop.layers.clone(),
                 attempt: self.next_attempt,
-                have: 0,
+                positions_run: 0,
                 rows: Vec::new(),
             });
             self.next_attempt += 1;
         }
-        self.left.extend(old);
+        self.abandoned.extend(old);
     }
 }
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -18,7 +18,7 @@
 use crate::pipeline::driver::Result;
 use crate::pipeline::driver::SessionError;
 use crate::pipeline::driver::jittered;
-use crate::pipeline::path::NO_PATH_WAIT;
+use crate::pipeline::path::NO_PATH_RETRY_INTERVAL;
 use crate::pipeline::session::Session;
 use crate::pipeline::step::StepFailure;
 use crate::quarantine;
@@ -33,9 +33,9 @@
 /// Doublings of that wait, at most, when the same upstream fails again and again.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Wait before a session over the retry budget goes on.
-const SLOWEST_BACKOFF: Duration = Duration::from_secs(1);
+const OVER_BUDGET_BACKOFF: Duration = Duration::from_secs(1);
 /// Recoveries of a session that the budget only slows.
-const SURE_RECOVERIES: u32 = 2;
+const MAX_RECOVERIES_OVER_BUDGET: u32 = 2;
 /// Most recoveries of one session; above it something is wrong that another try won't mend.
 const MAX_RECOVERIES: u32 = 32;
 
@@ -45,7 +45,7 @@
     }
 
     /// Notes that an upstream refused for want of capacity; what is left of its cooldown.
-    pub(super) fn cool(&self, upstream: UpstreamKey, after: Duration) -> Duration {
+    pub(super) fn start_cooldown(&self, upstream: UpstreamKey, after: Duration) -> Duration {
         let fleet = self.fleet.load();
         let Some(counters) = fleet.upstreams.get(upstream).map(|u| &u.counters) else {
             return after;
@@ -55,7 +55,7 @@
     }
 
     /// Notes that an upstream served; it cools no longer.
-    pub(super) fn served(&self, upstream: UpstreamKey, counters: &Counters) {
+    pub(super) fn end_cooldown(&self, upstream: UpstreamKey, counters: &Counters) {
         if counters.busy_until_ms.load(Ordering::Relaxed) != 0 {
             lock(&self.cooldowns).clear_cooldown(upstream, counters);
         }
@@ -68,12 +68,12 @@
 }
 
 impl<E: Engine> Session<'_, E> {
-    pub(super) async fn recover(&mut self, at: usize, failure: StepFailure) -> Result<()> {
-        let upstream = self.hops[at].upstream;
-        let name = Arc::clone(&self.hops[at].name);
+    pub(super) async fn recover(&mut self, stage: usize, failure: StepFailure) -> Result<()> {
+        let upstream = self.hops[stage].upstream;
+        let name = Arc::clone(&self.hops[stage].name);
         info!(
-            target: "decision", decision = "recover", request = self.fixed.session.as_str(),
-            upstream = &*name, position = self.hops[at].have, reason = failure.to_string();
+            target: "decision", decision = "recover", request = self.params.session.as_str(),
+            upstream = &*name, position = self.hops[stage].positions_run, reason = failure.to_string();
             "stage failed"
         );
         if !matches!(failure, StepFailure::Busy(_) | StepFailure::Quarantined(_)) {
@@ -81,20 +81,20 @@
         }
         match failure {
             // Waiting is not a failure of the session; only its deadline bounds it.
-            StepFailure::Busy(after) => self.wait_or_move(at, after).await,
+            StepFailure::Busy(after) => self.wait_or_move(stage, after).await,
             StepFailure::Quarantined(refusal) => Err(SessionError::Quarantined(refusal)),
             StepFailure::Refused {
                 reason: RefusalReason::PositionGap,
                 ..
             }
             | StepFailure::ReplyLost => {
-                self.restart(at);
+                self.restart_stage(stage);
                 Ok(())
             }
             StepFailure::Refused {
                 reason: RefusalReason::HandleMissing,
                 ..
-            } => self.fetch_failed(at).await,
+            } => self.recover_failed_fetch(stage).await,
             StepFailure::Refused {
                 reason: RefusalReason::Invalid,
                 ..
@@ -110,10 +110,10 @@
     }
 
     /// A stage without state moves on; one with state waits for its turn.
-    async fn wait_or_move(&mut self, at: usize, after: Duration) -> Result<()> {
-        let busy = self.hops[at].upstream;
-        let left = self.driver.cool(busy, after);
-        if self.hops[at].have == 0 {
+    async fn wait_or_move(&mut self, stage: usize, after: Duration) -> Result<()> {
+        let busy = self.hops[stage].upstream;
+        let left = self.driver.start_cooldown(busy, after);
+        if self.hops[stage].positions_run == 0 {
             self.avoid(busy);
             self.route("stage busy").await?;
         }
@@ -130,7 +130,7 @@
         self.route(reason).await?;
         if self.hops.iter().any(|h| h.upstream == upstream) {
             let doublings = self.recoveries.min(MAX_BACKOFF_DOUBLINGS);
-            tokio::time::sleep(jittered(NO_PATH_WAIT * (1 << doublings))).await;
+            tokio::time::sleep(jittered(NO_PATH_RETRY_INTERVAL * (1 << doublings))).await;
         }
         Ok(())
     }
@@ -142,11 +142,11 @@
     }
 
     /// The stage's state is gone or unknown: it runs again from position 0 as a new lineage.
-    fn restart(&mut self, at: usize) {
-        let hop = &mut self.hops[at];
-        self.left.push(hop.clone());
+    fn restart_stage(&mut self, stage: usize) {
+        let hop = &mut self.hops[stage];
+        self.abandoned.push(hop.clone());
         hop.attempt = self.next_attempt;
-        hop.have = 0;
+        hop.positions_run = 0;
         hop.rows.clear();
         self.next_attempt += 1;
     }
@@ -156,21 +156,21 @@
     /// The fetch may have met a connection that is dead; the step is sent once more, and finds a new
     /// one. Else that stage may have lost its outputs, and runs again where it is. Where that does
     /// not help, the link between the two may be down, at either end: one moves, then the other.
-    async fn fetch_failed(&mut self, at: usize) -> Result<()> {
-        let before = at.saturating_sub(1);
-        self.unfetched += 1;
-        match self.unfetched {
+    async fn recover_failed_fetch(&mut self, stage: usize) -> Result<()> {
+        let previous_stage = stage.saturating_sub(1);
+        self.failed_fetches += 1;
+        match self.failed_fetches {
             1 => Ok(()),
             2 => {
-                self.restart(before);
+                self.restart_stage(previous_stage);
                 Ok(())
             }
             n if n % 2 == 1 => {
-                let upstream = self.hops[before].upstream;
+                let upstream = self.hops[previous_stage].upstream;
                 self.move_off(upstream, "output can't be fetched").await
             }
             _ => {
-                let upstream = self.hops[at].upstream;
+                let upstream = self.hops[stage].upstream;
                 self.move_off(upstream, "input can't be fetched").await
             }
         }
@@ -183,7 +183,7 @@
         upstream: UpstreamKey,
         failure: &StepFailure,
     ) -> Result<()> {
-        let dead = matches!(
+        let upstream_died = matches!(
             failure,
             StepFailure::Unreachable
                 | StepFailure::Silent
@@ -191,7 +191,7 @@
                 | StepFailure::Gone
                 | StepFailure::Restarted
         );
-        if dead {
+        if upstream_died {
             let _ = self.driver.reports.send(Report::Suspect(upstream));
         }
         let checked = self.driver.quarantine.check(self.job.fingerprint);
@@ -199,7 +199,7 @@
             return Err(SessionError::Quarantined(refusal));
         }
         self.recoveries += 1;
-        let delay = self.back_off(failure)?;
+        let delay = self.retry_delay(failure)?;
         tokio::time::sleep(delay).await;
         Ok(())
     }
@@ -211,7 +211,7 @@
     /// [`SURE_RECOVERIES`], after which it ends with its final answer at once. The loss of a host
     /// that ran more sessions than the budget has retries so costs none its answer, and a stage
     /// that fails every step still gets a bounded number of steps a session.
-    fn back_off(&self, failure: &StepFailure) -> Result<Duration> {
+    fn retry_delay(&self, failure: &StepFailure) -> Result<Duration> {
         let attempt = Attempt {
             verdict: match failure {
                 StepFailure::Unreachable | StepFailure::Refused { .. } => Verdict::NotRun,
@@ -227,10 +227,12 @@
         match decision {
             Decision::RetryAfter(delay) => Ok(delay),
             Decision::Abandon(_) if sent && self.recoveries <= MAX_RECOVERIES => {
-                Ok(jittered(SLOWEST_BACKOFF))
+                Ok(jittered(OVER_BUDGET_BACKOFF))
             }
-            Decision::Abandon(AbandonReason::Budget) if self.recoveries <= SURE_RECOVERIES => {
-                Ok(jittered(SLOWEST_BACKOFF))
+            Decision::Abandon(AbandonReason::Budget)
+                if self.recoveries <= MAX_RECOVERIES_OVER_BUDGET =>
+            {
+                Ok(jittered(OVER_BUDGET_BACKOFF))
             }
             Decision::Abandon(reason) => {
                 let failure = failure.clone();
@@ -240,26 +242,30 @@
     }
 
     /// Notes that the answer is whole.
-    pub(super) fn succeeded(&self) {
+    pub(super) fn record_success(&self) {
         lock(&self.driver.retries).record_success();
-        let known = self.known.len() as u32;
+        let token_count = self.token_ids.len() as u32;
         self.driver
             .quarantine
-            .record_progress(self.job.fingerprint, known, true);
+            .record_progress(self.job.fingerprint, token_count, true);
     }
 
     /// Upstreams that a suspect had better not move to: those where others run, and all in the
     /// failure domain of the one that died with it, which may die for the same reason. Never one
     /// that keeps its place.
-    pub(super) fn apart_from(&self, fleet: &Fleet, keep: &[routing::Hop]) -> Vec<UpstreamKey> {
-        let places = self.driver.quarantine.routing_hints(self.job.fingerprint);
-        let mut apart = places.occupied;
-        if let Some(crashed) = places.crashed.and_then(|key| fleet.upstreams.get(key)) {
-            let same = fleet.upstreams.iter();
-            let same = same.filter(|(_, u)| u.domain == crashed.domain);
-            apart.extend(same.map(|(key, _)| key));
+    pub(super) fn avoided_by_suspect(
+        &self,
+        fleet: &Fleet,
+        keep: &[routing::Hop],
+    ) -> Vec<UpstreamKey> {
+        let hints = self.driver.quarantine.routing_hints(self.job.fingerprint);
+        let mut avoided = hints.occupied;
+        if let Some(crashed) = hints.crashed.and_then(|key| fleet.upstreams.get(key)) {
+            let same_domain = fleet.upstreams.iter();
+            let same_domain = same_domain.filter(|(_, u)| u.domain == crashed.domain);
+            avoided.extend(same_domain.map(|(key, _)| key));
         }
-        apart.retain(|key| keep.iter().all(|h| h.upstream != *key));
-        apart
+        avoided.retain(|key| keep.iter().all(|h| h.upstream != *key));
+        avoided
     }
 }
--- a/crates/kelpworks/src/pipeline/session.rs
+++ b/crates/kelpworks/src/pipeline/session.rs
@@ -10,16 +10,16 @@
 use crate::clients::engine::Engine;
 use crate::fleet::Health;
 use crate::fleet::UpstreamKey;
+use crate::pipeline::cancel::cancel_attempts;
 use crate::pipeline::driver::Driver;
 use crate::pipeline::driver::Job;
 use crate::pipeline::driver::Result;
 use crate::pipeline::driver::SessionError;
 use crate::pipeline::hop::HopState;
-use crate::pipeline::release::release;
-use crate::pipeline::step::Call;
-use crate::pipeline::step::Fixed;
-use crate::pipeline::step::Output;
+use crate::pipeline::step::SessionParams;
+use crate::pipeline::step::StepCall;
 use crate::pipeline::step::StepFailure;
+use crate::pipeline::step::StepOutput;
 use crate::pipeline::tokens;
 use crate::quarantine::PendingStep;
 use crate::routing::PathGuard;
@@ -29,39 +29,39 @@
 use kelpworks_wire::StepInput;
 
 /// Pause until a stage on a leaving upstream that could not move is looked at again.
-const LEAVE_AGAIN: Duration = Duration::from_millis(250);
+const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A session under way.
 pub(super) struct Session<'a, E> {
     pub(super) driver: &'a Driver<E>,
     pub(super) job: &'a Job,
-    pub(super) fixed: Fixed,
+    pub(super) params: SessionParams,
     /// Prompt and the tokens generated so far; those sent to the caller are never changed.
-    pub(super) known: Vec<u32>,
+    pub(super) token_ids: Vec<u32>,
     /// The stages in order of layers; together they cover every layer once.
     pub(super) hops: Vec<HopState>,
     /// When a stage that could not move off a leaving upstream is looked at again.
-    pub(super) leave_again: Instant,
+    pub(super) next_leave_check: Instant,
     /// What the path counts for on its upstreams, while it lasts.
-    pub(super) assignment: Option<PathGuard>,
+    pub(super) path_guard: Option<PathGuard>,
     /// Upstreams that failed or refused this session; taken last.
     pub(super) avoid: Vec<UpstreamKey>,
     /// Attempt number that the next new stage gets.
     pub(super) next_attempt: u32,
     pub(super) recoveries: u32,
     /// Fetches between stages that failed since the last token.
-    pub(super) unfetched: u32,
+    pub(super) failed_fetches: u32,
     /// Worst over all steps sent.
     pub(super) verdict: Verdict,
     /// Stages left behind, to be freed at the end.
-    pub(super) left: Vec<HopState>,
+    pub(super) abandoned: Vec<HopState>,
 }
 
 impl<'a, E: Engine> Session<'a, E> {
     pub(super) fn new(driver: &'a Driver<E>, job: &'a Job) -> Session<'a, E> {
         let fleet = driver.fleet.load();
         let model = &fleet.models[usize::from(job.model.0)];
-        let fixed = Fixed {
+        let params = SessionParams {
             session: job.session.clone(),
             model: model.name.clone(),
             version: String::new(),
@@ -72,44 +72,44 @@
         Session {
             driver,
             job,
-            fixed,
-            known: job.prompt.clone(),
+            params,
+            token_ids: job.prompt.clone(),
             hops: Vec::new(),
-            leave_again: Instant::now(),
-            assignment: None,
+            next_leave_check: Instant::now(),
+            path_guard: None,
             avoid: Vec::new(),
             next_attempt: 0,
             recoveries: 0,
-            unfetched: 0,
+            failed_fetches: 0,
             verdict: Verdict::NotRun,
-            left: Vec::new(),
+            abandoned: Vec::new(),
         }
     }
 
-    pub(super) async fn answer(
+    pub(super) async fn generate(
         &mut self,
         permit: &Permit,
         tx: &mpsc::Sender<u32>,
     ) -> Result<FinishReason> {
         self.route("new session").await?;
-        let most = self.job.prompt.len() + self.job.max_tokens as usize;
+        let max_len = self.job.prompt.len() + self.job.max_tokens as usize;
         loop {
             permit.wait_until_resumed().await;
-            self.leave_if_asked();
-            let asked = Instant::now();
+            self.move_off_leaving_upstreams();
+            let started = Instant::now();
             let token = self.next_token().await?;
-            self.unfetched = 0;
-            permit.observe_token(asked.elapsed());
+            self.failed_fetches = 0;
+            permit.observe_token(started.elapsed());
             if token == tokens::END {
                 return Ok(FinishReason::Stop);
             }
-            self.known.push(token);
-            let known = self.known.len() as u32;
+            self.token_ids.push(token);
+            let token_count = self.token_ids.len() as u32;
             self.driver
                 .quarantine
-                .record_progress(self.job.fingerprint, known, false);
+                .record_progress(self.job.fingerprint, token_count, false);
             tx.send(token).await.map_err(|_| SessionError::CallerGone)?;
-            if self.known.len() == most {
+            if self.token_ids.len() == max_len {
                 return Ok(FinishReason::Length);
             }
         }
@@ -117,98 +117,102 @@
 
     /// Moves stages off upstreams that are leaving, between two tokens. A stage that nobody else
     /// can take stays where it is, as an upstream that leaves still serves what it has begun.
-    fn leave_if_asked(&mut self) {
+    fn move_off_leaving_upstreams(&mut self) {
         let now = Instant::now();
-        if now < self.leave_again {
+        if now < self.next_leave_check {
             return;
         }
         let fleet = self.driver.fleet.load_full();
-        let leaving = |h: &&HopState| {
+        let is_leaving = |h: &&HopState| {
             fleet
                 .upstreams
                 .get(h.upstream)
                 .is_none_or(|u| u.health == Health::Leaving)
         };
-        let asked: Vec<UpstreamKey> = self
+        let leaving: Vec<UpstreamKey> = self
             .hops
             .iter()
-            .filter(leaving)
+            .filter(is_leaving)
             .map(|h| h.upstream)
             .collect();
-        for upstream in asked {
+        for upstream in leaving {
             let avoided = self.avoid.len();
             self.avoid(upstream);
             if self.try_route("upstream leaving").is_err() {
                 self.avoid.truncate(avoided);
-                self.leave_again = now + LEAVE_AGAIN;
+                self.next_leave_check = now + LEAVE_RETRY_INTERVAL;
             }
         }
     }
 
     /// Whether the caller has a part of the answer.
     pub(super) fn has_sent(&self) -> bool {
-        self.known.len() > self.job.prompt.len()
+        self.token_ids.len() > self.job.prompt.len()
     }
 
     async fn next_token(&mut self) -> Result<u32> {
         loop {
-            match self.pass().await {
+            match self.run_stages().await {
                 Ok(token) => return Ok(token),
-                Err((at, failure)) => self.recover(at, failure).await?,
+                Err((stage, failure)) => self.recover(stage, failure).await?,
             }
         }
     }
 
     /// Brings every stage up to the known tokens, in order; the last one gives the next token.
-    async fn pass(&mut self) -> std::result::Result<u32, (usize, StepFailure)> {
-        let target = self.known.len() as u32;
-        for at in 0..self.hops.len() {
-            let hop = &self.hops[at];
-            let count = target - hop.have;
+    async fn run_stages(&mut self) -> std::result::Result<u32, (usize, StepFailure)> {
+        let target = self.token_ids.len() as u32;
+        for stage in 0..self.hops.len() {
+            let hop = &self.hops[stage];
+            let count = target - hop.positions_run;
             if count == 0 {
                 continue;
             }
-            let output = self.step(at, count).await.map_err(|e| (at, e))?;
-            let hop = &mut self.hops[at];
-            hop.have = target;
+            let output = self.step(stage, count).await.map_err(|e| (stage, e))?;
+            let hop = &mut self.hops[stage];
+            hop.positions_run = target;
             match output {
-                Output::Kept => {}
-                Output::Rows(rows) => hop.rows.extend(rows),
-                Output::Token(token) => return Ok(token),
+                StepOutput::Retained => {}
+                StepOutput::Rows(rows) => hop.rows.extend(rows),
+                StepOutput::Token(token) => return Ok(token),
             }
         }
         // Only a last stage that has run without its token being seen gets here.
         Err((self.hops.len() - 1, StepFailure::ReplyLost))
     }
 
-    async fn step(&mut self, at: usize, count: u32) -> std::result::Result<Output, StepFailure> {
+    async fn step(
+        &mut self,
+        stage: usize,
+        count: u32,
+    ) -> std::result::Result<StepOutput, StepFailure> {
         let fleet = self.driver.fleet.load_full();
-        let hop = &self.hops[at];
+        let hop = &self.hops[stage];
         let Some(upstream) = fleet.upstreams.get(hop.upstream) else {
             return Err(StepFailure::Unreachable);
         };
-        let input = match at {
-            0 => StepInput::Tokens(self.known[hop.have as usize..].to_vec()),
-            _ => self.hops[at - 1].output(&self.fixed.session, hop.have, count),
+        let input = match stage {
+            0 => StepInput::Tokens(self.token_ids[hop.positions_run as usize..].to_vec()),
+            _ => self.hops[stage - 1].output(&self.params.session, hop.positions_run, count),
         };
-        let turn = self.driver.quarantine.begin(PendingStep {
+        let step_guard = self.driver.quarantine.begin(PendingStep {
             fingerprint: self.job.fingerprint,
             upstream: hop.upstream,
             name: &upstream.name,
-            known_tokens: self.known.len() as u32,
+            known_tokens: self.token_ids.len() as u32,
         });
-        let turn = turn.await.map_err(StepFailure::Quarantined)?;
-        let mut call = Call {
+        let step_guard = step_guard.await.map_err(StepFailure::Quarantined)?;
+        let mut call = StepCall {
             engine: &*self.driver.engine,
-            fixed: &self.fixed,
+            params: &self.params,
             hop,
             counters: &upstream.counters,
             incarnation: upstream.incarnation,
             deadlines: &self.driver.deadlines,
             count,
         };
-        if turn.is_isolated() {
-            call.incarnation = call.alive().await?;
+        if step_guard.is_isolated() {
+            call.incarnation = call.check_alive().await?;
         }
         // Until the reply says otherwise: this future may be dropped after the step was sent.
         let before = self.verdict;
@@ -223,24 +227,24 @@
         }
         match result {
             // Silence has other causes, which would blame innocent requests.
-            Err(StepFailure::Gone | StepFailure::Restarted) => turn.record_crash(),
-            Ok(_) => self.driver.served(hop.upstream, &upstream.counters),
+            Err(StepFailure::Gone | StepFailure::Restarted) => step_guard.record_crash(),
+            Ok(_) => self.driver.end_cooldown(hop.upstream, &upstream.counters),
             Err(_) => {}
         }
         result
     }
 
     /// Frees the session's memory on every engine that may hold some, without waiting for it.
-    pub(super) fn free(&mut self) {
-        let hops = self.hops.drain(..).chain(self.left.drain(..));
+    pub(super) fn free_all(&mut self) {
+        let hops = self.hops.drain(..).chain(self.abandoned.drain(..));
         for hop in hops {
             let engine = Arc::clone(&self.driver.engine);
-            let session = self.fixed.session.clone();
+            let session = self.params.session.clone();
             let req = CancelRequest {
                 session,
                 attempt: hop.attempt,
             };
-            let free = async move { release(&*engine, &hop.url, &req).await };
+            let free = async move { cancel_attempts(&*engine, &hop.url, &req).await };
             self.driver.tasks.spawn(free);
         }
     }
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -33,7 +33,7 @@
 /// How long a first reply may still take once the engine says that the step has run.
 const LATE_REPLY_GRACE: Duration = Duration::from_millis(20);
 /// A step that an engine is still about is waited for so many ceilings, while it answers probes.
-const SILENT_CEILINGS: u32 = 4;
+const STALL_TIMEOUT_CEILINGS: u32 = 4;
 
 /// Why a step gave no result.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,9 +79,9 @@
 
 /// What a step gave.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Output {
+pub(crate) enum StepOutput {
     /// Activations kept by the engine under the stage's handle.
-    Kept,
+    Retained,
     /// Activations, one a position.
     Rows(Vec<u64>),
     /// The next token, from the last layer.
@@ -90,7 +90,7 @@
 
 /// What stays the same over all steps of a session.
 #[derive(Clone, Debug)]
-pub(crate) struct Fixed {
+pub(crate) struct SessionParams {
     /// Session identifier.
     pub(crate) session: String,
     /// Model name.
@@ -120,31 +120,31 @@
 }
 
 /// One step about to run on a stage.
-pub(crate) struct Call<'a, E> {
+pub(crate) struct StepCall<'a, E> {
     pub(crate) engine: &'a E,
-    pub(crate) fixed: &'a Fixed,
+    pub(crate) params: &'a SessionParams,
     pub(crate) hop: &'a HopState,
     pub(crate) counters: &'a Counters,
     /// The engine's incarnation as last known; 0 when unknown.
     pub(crate) incarnation: u64,
     pub(crate) deadlines: &'a Deadlines,
-    /// Positions to run from `hop.have` on; above 0.
+    /// Positions to run from `hop.positions_run` on; above 0.
     pub(crate) count: u32,
 }
 
-impl<E: Engine> Call<'_, E> {
+impl<E: Engine> StepCall<'_, E> {
     /// Runs the step.
     ///
     /// # Errors
     ///
     /// A failure that says whether the step may have run.
-    pub(crate) async fn run(&self, input: StepInput) -> Result<Output> {
+    pub(crate) async fn run(&self, input: StepInput) -> Result<StepOutput> {
         let counters = self.counters;
         counters.in_flight.fetch_add(1, Ordering::Relaxed);
         counters.sent_since_report.fetch_add(1, Ordering::Relaxed);
-        let guard = InFlight(counters);
+        let guard = InFlightGuard(counters);
         let sent = Instant::now();
-        let result = self.settle(input).await;
+        let result = self.run_with_resend(input).await;
         drop(guard);
         if result.is_ok() {
             self.observe(sent.elapsed());
@@ -164,15 +164,15 @@
 
     fn step(&self, input: StepInput, progress: Duration) -> Step {
         Step {
-            session: self.fixed.session.clone(),
+            session: self.params.session.clone(),
             attempt: self.hop.attempt,
-            position: self.hop.have,
+            position: self.hop.positions_run,
             layers: self.hop.layers.clone(),
-            model: self.fixed.model.clone(),
-            version: self.fixed.version.clone(),
-            class: self.fixed.class,
+            model: self.params.model.clone(),
+            version: self.params.version.clone(),
+            class: self.params.class,
             input,
-            output: self.fixed.output,
+            output: self.params.output,
             // What the engine waits for itself, its input above all, is late by then too. Twice,
             // so that a second send gets its chance first: it may fetch on a new connection.
             deadline_ms: 2 * progress.as_millis() as u32,
@@ -183,40 +183,40 @@
     /// Sends the step; where the reply stays away or the connection breaks, asks the engine on a
     /// new connection and sends it once more there. Sending twice is safe: an engine refuses
     /// positions that it has run.
-    async fn settle(&self, input: StepInput) -> Result<Output> {
+    async fn run_with_resend(&self, input: StepInput) -> Result<StepOutput> {
         let progress = lock(&self.counters.step).deadline(&self.deadlines.step, self.count);
         let batch = StepBatch {
             steps: vec![self.step(input, progress)],
         };
-        let limit = self.deadlines.step.ceiling * SILENT_CEILINGS;
+        let limit = self.deadlines.step.ceiling * STALL_TIMEOUT_CEILINGS;
         let first = self.engine.steps(&self.hop.url, &batch, limit);
         tokio::pin!(first);
         match tokio::time::timeout(progress, &mut first).await {
-            Ok(Ok(reply)) => match self.check(reply) {
+            Ok(Ok(reply)) => match self.check_reply(reply) {
                 // A reply of another step says nothing of this one, which may have run.
-                Err(StepFailure::Mismatch) => return self.again(&batch).await,
+                Err(StepFailure::Mismatch) => return self.resend(&batch).await,
                 result => return result,
             },
             Ok(Err(engine::Error::Connect(_))) => return Err(StepFailure::Unreachable),
             Ok(Err(_)) => {
                 self.probe().await?;
-                return self.again(&batch).await;
+                return self.resend(&batch).await;
             }
             Err(_) => {}
         }
         self.probe().await?;
         self.observe(progress);
-        let again = self.again(&batch);
-        tokio::pin!(again);
+        let resend = self.resend(&batch);
+        tokio::pin!(resend);
         tokio::select! {
             reply = &mut first => match reply {
-                Ok(reply) => self.check(reply),
-                Err(_) => again.await,
+                Ok(reply) => self.check_reply(reply),
+                Err(_) => resend.await,
             },
-            result = &mut again => match result {
+            result = &mut resend => match result {
                 Err(StepFailure::ReplyLost) => {
                     match tokio::time::timeout(LATE_REPLY_GRACE, &mut first).await {
-                        Ok(Ok(reply)) => self.check(reply),
+                        Ok(Ok(reply)) => self.check_reply(reply),
                         _ => Err(StepFailure::ReplyLost),
                     }
                 }
@@ -231,20 +231,20 @@
     /// # Errors
     ///
     /// When it doesn't answer on a new connection; nothing ran.
-    pub(crate) async fn alive(&self) -> Result<u64> {
-        let probed = self.ask().await;
+    pub(crate) async fn check_alive(&self) -> Result<u64> {
+        let probed = self.query_state().await;
         let state = probed.map_err(|_| StepFailure::Unreachable)?;
         Ok(state.incarnation)
     }
 
     /// Asks the engine for its state on a new connection.
-    async fn ask(&self) -> engine::Result<EngineState> {
+    async fn query_state(&self) -> engine::Result<EngineState> {
         let deadline = lock(&self.counters.poll).deadline(&self.deadlines.probe, 1);
         self.engine.probe(&self.hop.url, deadline).await
     }
 
     async fn probe(&self) -> Result<()> {
-        match self.ask().await {
+        match self.query_state().await {
             Ok(state) if self.incarnation != 0 && state.incarnation != self.incarnation => {
                 Err(StepFailure::Restarted)
             }
@@ -258,7 +258,7 @@
         }
     }
 
-    async fn again(&self, batch: &StepBatch) -> Result<Output> {
+    async fn resend(&self, batch: &StepBatch) -> Result<StepOutput> {
         let reply = self
             .engine
             .steps(&self.hop.url, batch, self.deadlines.step.ceiling)
@@ -267,34 +267,34 @@
             self.probe().await?;
             return Err(StepFailure::Broken);
         };
-        match self.check(reply) {
+        match self.check_reply(reply) {
             Err(StepFailure::Refused {
                 reason: RefusalReason::PositionGap,
                 have,
-            }) if have == self.hop.have + self.count => self.ran_unseen(),
+            }) if have == self.hop.positions_run + self.count => self.output_without_reply(),
             other => other,
         }
     }
 
     /// The step has run and its reply is gone: kept outputs can still be fetched, others not.
-    fn ran_unseen(&self) -> Result<Output> {
-        let last = self.hop.layers.end == self.fixed.layers;
-        if last || self.fixed.output == OutputForm::Inline {
+    fn output_without_reply(&self) -> Result<StepOutput> {
+        let last = self.hop.layers.end == self.params.layers;
+        if last || self.params.output == OutputForm::Inline {
             return Err(StepFailure::ReplyLost);
         }
-        Ok(Output::Kept)
+        Ok(StepOutput::Retained)
     }
 
-    fn check(&self, batch: StepBatchReply) -> Result<Output> {
+    fn check_reply(&self, batch: StepBatchReply) -> Result<StepOutput> {
         let mut replies = batch.replies.into_iter();
         let (Some(reply), None) = (replies.next(), replies.next()) else {
-            return Err(self.mismatch());
+            return Err(self.record_mismatch());
         };
-        if !self.echoes(&reply) {
-            return Err(self.mismatch());
+        if !self.is_reply_to_step(&reply) {
+            return Err(self.record_mismatch());
         }
         self.counters.report(&reply.load);
-        let last = self.hop.layers.end == self.fixed.layers;
+        let last = self.hop.layers.end == self.params.layers;
         match reply.outcome {
             StepOutcome::Busy(busy) => Err(StepFailure::Busy(Duration::from_millis(u64::from(
                 busy.retry_after_ms,
@@ -303,39 +303,43 @@
                 reason: r.reason,
                 have: r.have,
             }),
-            _ if reply.count != self.count => Err(self.mismatch()),
-            StepOutcome::Token(token) if last => Ok(Output::Token(token)),
+            _ if reply.count != self.count => Err(self.record_mismatch()),
+            StepOutcome::Token(token) if last => Ok(StepOutput::Token(token)),
             StepOutcome::Rows(rows) if !last && rows.len() == self.count as usize => {
-                Ok(Output::Rows(rows))
+                Ok(StepOutput::Rows(rows))
             }
             StepOutcome::Handle(handle)
-                if !last && handle == self.hop.handle(&self.fixed.session, self.hop.have) =>
+                if !last
+                    && handle
+                        == self
+                            .hop
+                            .handle(&self.params.session, self.hop.positions_run) =>
             {
-                Ok(Output::Kept)
+                Ok(StepOutput::Retained)
             }
-            _ => Err(self.mismatch()),
+            _ => Err(self.record_mismatch()),
         }
     }
 
-    fn echoes(&self, reply: &StepReply) -> bool {
-        reply.session == self.fixed.session
+    fn is_reply_to_step(&self, reply: &StepReply) -> bool {
+        reply.session == self.params.session
             && reply.attempt == self.hop.attempt
-            && reply.position == self.hop.have
+            && reply.position == self.hop.positions_run
             && reply.layers == self.hop.layers
-            && reply.model == self.fixed.model
-            && reply.version == self.fixed.version
+            && reply.model == self.params.model
+            && reply.version == self.params.version
     }
 
-    fn mismatch(&self) -> StepFailure {
+    fn record_mismatch(&self) -> StepFailure {
         metrics::counter!("kelpworks_replies_dropped_total").increment(1);
         StepFailure::Mismatch
     }
 }
 
 /// Counts a call as in flight until dropped, also when its future is.
-struct InFlight<'a>(&'a Counters);
+struct InFlightGuard<'a>(&'a Counters);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/kelpworks/tests/border_era.rs
+++ b/crates/kelpworks/tests/border_era.rs
@@ -189,20 +189,20 @@
     let until = |is_held: bool| {
         let hold = Arc::clone(&hold);
         timeout(LONG, async move {
-            while hold.fence().is_some() != is_held {
+            while hold.fencing_token().is_some() != is_held {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
     };
     until(true).await.expect("it is free");
-    let before = hold.fence().expect("held");
+    let before = hold.fencing_token().expect("held");
     fake.restore();
     eras.observe(Era(1), EraSource::Peer);
     until(false).await.expect("it ends");
     until(true)
         .await
         .expect("taken again once its time is over");
-    assert!(hold.fence().expect("held") > before, "tokens rise");
+    assert!(hold.fencing_token().expect("held") > before, "tokens rise");
     leave.cancel();
     kept.await.expect("no panic");
 }
--- a/crates/kelpworks/tests/executor_fence.rs
+++ b/crates/kelpworks/tests/executor_fence.rs
@@ -173,7 +173,7 @@
     let daemon = daemon(&fakes, "successor").await;
     until_now("version 2 stands", || stands(&all(&fakes), "2")).await;
     assert_eq!(lease(&fakes).expect("a lease").token.0, 2);
-    assert_eq!(paused.hold.fence(), None);
+    assert_eq!(paused.hold.fencing_token(), None);
     answers(&daemon, "2").await;
 
     paused.orders.go.cancel();
