--- a/crates/kelpworks/src/executor/degraded.rs
+++ b/crates/kelpworks/src/executor/degraded.rs
@@ -1,9 +1,9 @@
-//! Finds accelerators that run slower than the register says. No I/O.
+//! Detects accelerators that run slower than the register states. Does no I/O.
 //!
-//! A step's observed time over the time that the register lets expect is compared with that of
-//! the other replicas of the same stage: what slows all of them (batching, load, a slow link to
-//! this daemon's side) is no sign of one being degraded. Routing weighs observed times itself, at
-//! once; this is for placement, which is slower to change.
+//! The ratio of a replica's observed step time to the time expected from the register is compared
+//! with the ratios of the other replicas of the same stage. A slowdown of all replicas (batching,
+//! load, a slow link to this daemon) is thus not taken for a degraded host. Placement uses the
+//! result, since it changes slowly; routing weighs observed step times itself, without delay.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,16 +14,17 @@
 use crate::fleet::Upstream;
 use kelpworks_wire::LayerRange;
 
-/// Times slower than its peers from which a host counts as degraded, and below which it no longer
-/// does.
+/// Slowdown relative to its peers from which a host counts as degraded.
 const DEGRADED_SLOWDOWN: f64 = 2.0;
+/// Slowdown relative to its peers below which a degraded host counts as recovered.
 const RECOVERED_SLOWDOWN: f64 = 1.3;
-/// Least time beyond its peers' in a step, in microseconds: less is noise of the network.
+/// Minimum step time of a degraded host in excess of its peers'; smaller differences are network
+/// noise.
 const MIN_EXCESS_US: f64 = 5_000.0;
-/// New observations in a row that must agree.
+/// Consecutive contrary samples after which the state of a host changes.
 const MIN_CONTRARY_SAMPLES: u32 = 5;
 
-/// What is known of the hosts' rates.
+/// Tracks which hosts are degraded, and by how much.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DegradedHosts {
     hosts: HashMap<Arc<str>, Track>,
@@ -31,28 +32,27 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Track {
-    /// Step time at the last look, in microseconds.
+    /// Step time of the last sample, in microseconds.
     step_us: u64,
-    /// New observations in a row that speak against the present judgement.
+    /// Consecutive samples that contradict the current state.
     contrary_samples: u32,
-    /// Times slower than its peers, as found; `None` while it is not degraded.
+    /// Slowdown relative to its peers when the host was found degraded; `None` while it is not.
     slowdown: Option<f64>,
 }
 
-/// A change of judgement on a host.
+/// A host that became degraded or recovered.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Change {
-    /// The host.
     pub(super) host: Arc<str>,
-    /// Its observed step time, in microseconds.
+    /// Observed step time, in microseconds.
     pub(super) step_us: u64,
-    /// Times slower than its peers.
+    /// Ratio of the host's observed to expected step time, over the median of its peers' ratios.
     pub(super) slowdown: f64,
-    /// Whether it counts as degraded from now on.
+    /// Whether the host counts as degraded from now on, rather than as recovered.
     pub(super) degraded: bool,
 }
 
-/// One replica's step time beside what the register lets expect.
+/// Observed step time of one replica, and the time expected from the register.
 struct Sample<'a> {
     upstream: &'a Upstream,
     stage: (ModelKey, &'a LayerRange),
@@ -67,7 +67,8 @@
 }
 
 impl DegradedHosts {
-    /// Takes the step times of a snapshot; hosts that are gone from it are forgotten.
+    /// Records the step times of a fleet snapshot and returns the changes, sorted by host. Hosts
+    /// that the snapshot no longer contains are removed.
     pub(super) fn observe(&mut self, fleet: &Fleet) -> Vec<Change> {
         let samples: Vec<Sample<'_>> = fleet.upstreams.values().filter_map(sample).collect();
         let mut stages: HashMap<(u16, u32, u32), Vec<&Sample<'_>>> = HashMap::new();
@@ -93,7 +94,7 @@
         changes
     }
 
-    /// Part of the register's rate that a host reaches.
+    /// Returns the fraction of its registered rate that a host reaches; 1 unless it is degraded.
     pub(super) fn rate_fraction(&self, name: &str) -> f64 {
         let slowdown = self.hosts.get(name).and_then(|t| t.slowdown);
         slowdown.map_or(1.0, |s| 1.0 / s)
@@ -132,7 +133,8 @@
     }
 }
 
-/// The step time of an engine that holds one range and has run steps.
+/// Returns the sample of an engine; `None` unless it has loaded exactly one layer range and has run
+/// steps.
 fn sample(upstream: &Upstream) -> Option<Sample<'_>> {
     let step_us = upstream.counters.step_us.load(Ordering::Relaxed);
     let [assignment] = &upstream.layer_assignments[..] else {
@@ -150,7 +152,7 @@
     })
 }
 
-/// The lower median of the other replicas' ratios; `None` when there are no others.
+/// Returns the lower median of the other replicas' ratios; `None` when there are none.
 fn median_of_peers(stage: &[&Sample<'_>], of: &Sample<'_>) -> Option<f64> {
     let peers = stage.iter().filter(|s| s.upstream.name != of.upstream.name);
     let mut ratios: Vec<f64> = peers.map(|s| s.ratio()).collect();
--- a/crates/kelpworks/src/executor/lease_keeper.rs
+++ b/crates/kelpworks/src/executor/lease_keeper.rs
@@ -1,4 +1,5 @@
-//! The placement lease: keeps it through the object API, and says when orders may be sent.
+//! Acquires and renews the placement lease through the object API, and provides the fencing token
+//! of orders.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -29,16 +30,16 @@
 use kelpworks_coord::lease::Token;
 use kelpworks_coord::time;
 
-/// Kind of the lease objects.
+/// Object kind under which leases are stored.
 pub const LEASE_KIND: &str = "kelpworks.lease";
-/// Name of the lease on placement; it also goes with each order.
+/// Object name of the placement lease; each order names it together with the fencing token.
 pub const LEASE_NAME: &str = "placement";
 
-/// How often the lease's state machine is asked whether a call is due.
+/// Interval of the ticks that let the lease's state machine make calls that are due.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One daemon's handle on the placement lease, shared by the task that keeps it and those that use
-/// it.
+/// One daemon's handle to the placement lease, shared by the task that renews the lease and the
+/// tasks that send orders under it.
 #[derive(Debug)]
 pub struct LeaseHandle {
     start: Instant,
@@ -46,7 +47,7 @@
 }
 
 impl LeaseHandle {
-    /// A daemon that holds nothing yet.
+    /// Creates the handle of a daemon that does not hold the lease.
     pub fn new(cfg: lease::Config, me: Owner) -> LeaseHandle {
         LeaseHandle {
             start: Instant::now(),
@@ -54,28 +55,30 @@
         }
     }
 
-    /// The token under which an order may be sent now, if any. To be asked for right before each
-    /// order.
+    /// Returns the fencing token with which an order may be sent now; `None` when this daemon does
+    /// not hold the lease or too little of it is left for an order to take effect. Call it right
+    /// before each order.
     pub fn fencing_token(&self) -> Option<Token> {
         self.lease().fencing_token(self.now())
     }
 
-    /// Whether this daemon holds the lease, as far as it knows.
+    /// Returns whether this daemon holds the lease, even if too little time is left for an order.
     fn is_held(&self) -> bool {
         self.lease().is_held()
     }
 
-    /// The highest token that this daemon has seen, held by whomever.
+    /// Returns the highest fencing token that this daemon has observed, whichever daemon holds it.
     pub fn latest_token(&self) -> Token {
         self.lease().latest_token()
     }
 
-    /// The latest era of the object API that this daemon's lease has entered.
+    /// Returns the latest era of the object API that the lease's state machine has observed.
     fn era(&self) -> Era {
         self.lease().era()
     }
 
-    /// Now, as the state machines count it.
+    /// Returns the current time of the state machines, which starts at 0 when the handle is
+    /// created.
     pub(crate) fn now(&self) -> time::Instant {
         time::Instant::from_millis(self.start.elapsed().as_millis() as u64)
     }
@@ -84,13 +87,14 @@
         self.lease().on_event(self.now(), event)
     }
 
-    /// A panic elsewhere leaves the state machine as it was between two events.
+    /// Locks the state machine. A poisoned lock is usable, because a panic of another task leaves
+    /// the state machine as it was between two events.
     fn lease(&self) -> MutexGuard<'_, Lease> {
         self.lease.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Keeps the lease.
+/// Acquires the placement lease and renews it through the object API.
 #[derive(Debug)]
 pub struct LeaseKeeper<A> {
     pub(super) api: A,
@@ -98,19 +102,19 @@
 }
 
 impl<A: ObjectApi> LeaseKeeper<A> {
-    /// Keeps a hold through an object API.
+    /// Creates the keeper of the lease behind `handle`.
     pub fn new(api: A, handle: Arc<LeaseHandle>) -> LeaseKeeper<A> {
         LeaseKeeper { api, handle }
     }
 
-    /// Takes and renews the lease until `leave`, then gives it up, so that a successor need not
-    /// wait for its end.
+    /// Acquires and renews the lease until `resign` is cancelled, then releases it, so that a
+    /// successor does not wait for its expiry.
     pub async fn run(&self, resign: &CancellationToken) {
         self.run_while(resign, || true).await;
     }
 
-    /// The same, but takes the lease, and looks whether it is free, only while `is_candidate`. Once
-    /// taken, it is kept.
+    /// Runs as [`run`](LeaseKeeper::run), but checks for a free lease and acquires it only while
+    /// `is_candidate` returns true. Once acquired, the lease is renewed regardless.
     pub async fn run_while(&self, resign: &CancellationToken, is_candidate: impl Fn() -> bool) {
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -127,7 +131,8 @@
             if !self.handle.is_held() && !is_candidate() {
                 continue;
             }
-            // Never dropped half way, since the state machine waits for the reply.
+            // Not part of the select: the state machine waits for the reply of each call, so this
+            // future must not be dropped before it completes.
             self.process_event(Event::Tick).await;
         }
         self.process_event(Event::Release).await;
@@ -165,7 +170,7 @@
         let body = match serde_json::to_string(&record) {
             Ok(body) => body,
             Err(e) => {
-                warn!("lease record: {e}");
+                warn!("cannot encode placement lease record: {e}");
                 return ApiReply::Refused;
             }
         };
@@ -175,15 +180,16 @@
             Err(Error::Conflict { current: Some(o) }) => {
                 decode_record(&o).map_or(ApiReply::Lost, ApiReply::Conflict)
             }
-            // Read what stands there.
+            // The stored object is unknown; `Lost` makes the state machine read it.
             Err(Error::Conflict { current: None } | Error::Outdated) => ApiReply::Lost,
             Err(e) => self.classify_error(&e),
         }
     }
 
-    /// What a failed call means; silence may be the connection's, so the next call opens another.
+    /// Returns the reply that a failed call stands for. When the call may have run, the connection
+    /// may be dead, so the next call opens a new one.
     fn classify_error(&self, e: &Error) -> ApiReply {
-        warn!("placement lease: {e}");
+        warn!("placement lease call failed: {e}");
         if e.may_have_run() {
             self.api.reset_connections();
             return ApiReply::Lost;
@@ -192,7 +198,7 @@
     }
 }
 
-/// The lease that an object holds; `None` when its body is none.
+/// Returns the lease record of an object; `None` when its body is not one.
 fn decode_record(object: &Object) -> Option<Stored> {
     match serde_json::from_str(&object.body) {
         Ok(record) => Some(Stored {
@@ -200,7 +206,7 @@
             record,
         }),
         Err(e) => {
-            warn!("placement lease: {e}");
+            warn!("cannot decode placement lease record: {e}");
             None
         }
     }
--- a/crates/kelpworks/src/executor/liveness.rs
+++ b/crates/kelpworks/src/executor/liveness.rs
@@ -1,7 +1,7 @@
-//! Which hosts placement counts on. No I/O.
+//! Determines which hosts placement may use. Does no I/O.
 //!
-//! Routing leaves a silent host within a second or two; placement waits longer, since moving
-//! layers costs minutes of the weight store and most silent hosts come back.
+//! Routing avoids an unresponsive host within a second or two. Placement waits longer, because
+//! moving layers occupies the weight store for minutes and most unresponsive hosts come back.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::fleet::Fleet;
 use crate::fleet::Health;
 
-/// How long hosts have been down.
+/// Tracks the health of hosts, and how long they have been down.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Liveness {
     hosts: HashMap<Arc<str>, HostStatus>,
@@ -21,14 +21,15 @@
 #[derive(Clone, Copy, Debug)]
 struct HostStatus {
     health: Health,
-    /// Since when it is down; set only while it is.
+    /// Start of the current downtime; `None` while the host is not down.
     down_since: Option<Instant>,
-    /// Whether it ever answered.
+    /// Whether the host has been observed in any health but down.
     answered: bool,
 }
 
 impl Liveness {
-    /// Notes a snapshot; hosts that are gone from it are forgotten.
+    /// Records the health of the hosts in a fleet snapshot; hosts that it no longer contains are
+    /// removed.
     pub(super) fn observe(&mut self, fleet: &Fleet, now: Instant) {
         let old = std::mem::take(&mut self.hosts);
         for upstream in fleet.upstreams.values() {
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Whether a host may be given layers: neither leaving nor down for longer than `lost_after`.
+    /// Returns whether layers may be placed on a host: it is neither leaving nor has been down for
+    /// `lost_after`.
     pub(super) fn is_live(&self, name: &str, lost_after: Duration, now: Instant) -> bool {
         let Some(status) = self.hosts.get(name) else {
             return false;
@@ -53,7 +55,8 @@
         status.health != Health::Leaving && !down
     }
 
-    /// Whether every host has answered, or been silent for long enough to count as lost.
+    /// Returns whether the state of every host is known: it has answered once, or has been down for
+    /// `lost_after` and counts as lost. False while there are no hosts.
     pub(super) fn is_warmed_up(&self, lost_after: Duration, now: Instant) -> bool {
         let is_known = |s: &HostStatus| {
             let lost = s.down_since.is_some_and(|at| now - at >= lost_after);
--- a/crates/kelpworks/src/executor/mod.rs
+++ b/crates/kelpworks/src/executor/mod.rs
@@ -1,13 +1,13 @@
-//! Carries placement out: one daemon at a time orders engines to load and drop layers.
+//! Executes placement plans: one daemon at a time orders engines to load and unload layers.
 //!
-//! Every daemon runs an [`Executor`]; the one that holds the placement lease plans and orders, the
-//! others only watch. Each round starts from what is there: the register in force, what engines
-//! say that they hold, and which hosts are up. It settles on a plan, works out the steps to it,
-//! reads back the engines that the first wave of steps concerns, and sends the orders that are
-//! due. Nothing is remembered as done, so a lost order, or a stale one that an engine took, is
-//! made good by a later round.
+//! Every daemon runs an [`Executor`]. The one that holds the placement lease plans and sends
+//! orders; the others only observe the fleet. Each round starts from the current state: the active
+//! register, the layers that engines report as loaded, and the health of the hosts. It decides on a
+//! plan, derives the steps towards it, reads the state of the engines in the first wave of steps,
+//! and sends the orders that are due. No order is recorded as done, so a later round corrects a
+//! lost order, or a stale order that an engine accepted.
 //!
-//! One lease covers all models, since they share hosts and are planned together.
+//! One lease covers all models, because they share hosts and are planned together.
 //!
 //! ```no_run
 //! use std::sync::Arc;
@@ -32,9 +32,9 @@
 //!
 //! # Limits
 //!
-//! While the object API is down the holder's lease runs out and nobody orders anything; serving,
-//! routing and recovery go on over what engines hold. Engines don't say which sessions they hold,
-//! so an old version is dropped only after the longest time that a request may take.
+//! While the object API is down, the lease expires and no daemon sends orders; serving, routing and
+//! recovery continue with the layers that engines have loaded. Engines do not report their
+//! sessions, so an old version is unloaded only after the longest time that a request may take.
 
 mod degraded;
 mod lease_keeper;
@@ -74,19 +74,21 @@
 /// Settings of an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Times of the lease; the same on all daemons.
+    /// Timing of the placement lease; must be equal on all daemons.
     pub lease: lease::Config,
-    /// Time between two rounds. Default 1 s.
+    /// Interval between the starts of two rounds. Default 1 s.
     pub interval: Duration,
     /// How long a host may be down before its layers are placed elsewhere. Default 10 s.
     pub lost_after: Duration,
-    /// How long hosts must stay as they are before a better plan is looked for. Default 60 s.
+    /// How long liveness and rates of all hosts must be unchanged before a better plan is searched
+    /// for. Default 60 s.
     pub improve_after: Duration,
-    /// How long sessions of an old version may last. Default 130 s.
+    /// Longest time that a session of an old version may last; its layers are unloaded after it.
+    /// Default 130 s.
     pub drain: Duration,
-    /// Longest wait for an engine's state. Default 500 ms.
+    /// Timeout of a query for an engine's state. Default 500 ms.
     pub poll_deadline: Duration,
-    /// What the weight store delivers to the whole fleet. Default 1 GB/s.
+    /// Rate at which the weight store delivers to the whole fleet. Default 1 GB/s.
     pub weight_rate: Rate,
 }
 
@@ -105,13 +107,13 @@
 }
 
 impl Config {
-    /// Order bound of the lease, as a duration.
+    /// Returns the longest time from an order to its effect, which is also the timeout of an order.
     fn order_bound(&self) -> Duration {
         Duration::from_millis(self.lease.order_bound.as_millis())
     }
 }
 
-/// Times of a lease of this length: two renewals may fail before it ends.
+/// Returns the timing of a lease with this time to live, which outlasts two failed renewals.
 pub fn lease_config(ttl: Duration, order_bound: Duration) -> lease::Config {
     let millis = |d: Duration| Span::from_millis(d.as_millis() as u64);
     lease::Config {
@@ -124,7 +126,8 @@
     }
 }
 
-/// One daemon's part in placement.
+/// The placement task of one daemon: keeps or watches the lease, and plans and orders while it is
+/// held.
 #[derive(Debug)]
 pub struct Executor<E, A> {
     lease_keeper: LeaseKeeper<A>,
@@ -132,7 +135,8 @@
 }
 
 impl<E: Engine, A: ObjectApi> Executor<E, A> {
-    /// The executor of the daemon of this name.
+    /// Creates the executor of the daemon `name`. The node id in the lease is derived from the
+    /// name.
     pub fn new(
         cfg: Config,
         name: &str,
@@ -156,12 +160,13 @@
         }
     }
 
-    /// This daemon's handle on the placement lease.
+    /// Returns this daemon's handle to the placement lease.
     pub fn lease_handle(&self) -> Arc<LeaseHandle> {
         Arc::clone(&self.lease_keeper.handle)
     }
 
-    /// Runs until `leave`, then gives the lease up; ends at once on `stop`.
+    /// Runs until `resign` is cancelled and then releases the lease; ends at once when `stop` is
+    /// cancelled.
     pub async fn run(self, resign: CancellationToken, stop: CancellationToken) {
         let Executor {
             lease_keeper,
@@ -180,8 +185,8 @@
     }
 }
 
-/// Higher for a later run of the same daemon, as far as its clock goes forward. The lease only
-/// needs it to differ.
+/// Returns an incarnation that differs between runs of the daemon, which is all that the lease
+/// needs. It increases as long as the clock does not go back.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(since.map_or(0, |d| d.as_micros() as u64))
--- a/crates/kelpworks/src/executor/order_scheduler.rs
+++ b/crates/kelpworks/src/executor/order_scheduler.rs
@@ -1,8 +1,8 @@
-//! Which orders of a wave may go out now. No I/O.
+//! Decides which orders of a wave may be sent now. Does no I/O.
 //!
-//! A load waits while the weight store is busy with others; an unload waits until the sessions
-//! that its [`Drain`] names have ended; and no engine gets another order before the effect of the
-//! last one could be read back.
+//! A load waits while the weight store is busy with other loads. An unload waits until the sessions
+//! that its [`Drain`] names have ended. No engine gets another order before the effect of the
+//! previous one can be read.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,55 +24,53 @@
 use kelpworks_wire::LoadedRange;
 use kelpworks_wire::OrderAction;
 
-/// Loads run ahead of the weight store by no more than it delivers in this time, so that the first
-/// replicas come first; but always one.
+/// Bounds the bytes of concurrent loads to what the weight store delivers in this time, so that the
+/// first replicas of all stages load before further ones. A single load is always allowed.
 const MAX_LOAD_BACKLOG: Duration = Duration::from_secs(5);
 
-/// Orders to load the same range, without its being loaded, after which a host is left out.
+/// Orders to load the same range after which a host that has not loaded it becomes unfit.
 const MAX_LOAD_ORDERS: u32 = 3;
-/// How long it is left out; one host that loads nothing must not hold up the others' waves.
+/// How long placement excludes an unfit host. Without the exclusion, one host that fails to load
+/// would block the waves of all others.
 const UNFIT_DURATION: Duration = Duration::from_secs(600);
 
-/// What an engine said of itself.
+/// The state of an engine, as just read from it.
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
-    /// When it was asked.
+    /// When the query was sent.
     pub(super) queried_at: time::Instant,
-    /// Its answer.
     pub(super) state: EngineState,
 }
 
-/// An order that may go out.
+/// An order that may be sent now.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct DueOrder {
-    /// The host.
     pub(super) host: HostKey,
-    /// What it is to do.
     pub(super) action: OrderAction,
-    /// Why.
     pub(super) reason: OrderReason,
 }
 
-/// The time of this round, by both clocks.
+/// The current time on the clocks of tokio and of the state machines, and the fencing token.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Now {
     pub(super) tokio: Instant,
     pub(super) coord: time::Instant,
-    /// Token under which orders may be sent.
+    /// Token with which orders may be sent; `None` when this daemon may send none.
     pub(super) fencing_token: Option<Token>,
 }
 
-/// What was ordered, and what is waited for.
+/// Tracks sent orders and running drains, and selects the orders that are due.
 #[derive(Debug)]
 pub(super) struct OrderScheduler {
+    /// Longest time from sending an order until its effect can be read.
     order_bound: Span,
-    /// How long the sessions of a version may last once new ones go to another.
+    /// Longest time that sessions of a version may last once new sessions use another version.
     drain: Duration,
     repairs: HashMap<Arc<str>, Repair<Vec<LoadedRange>>>,
     drains: Vec<Draining>,
-    /// The range last ordered of each host, and how often.
+    /// Load orders to each host for the range last ordered.
     load_attempts: HashMap<Arc<str>, LoadAttempts>,
-    /// Hosts found unfit since they were last asked for.
+    /// Hosts that became unfit since the last call of `take_newly_unfit`.
     newly_unfit: Vec<(Arc<str>, LoadedRange)>,
 }
 
@@ -91,7 +89,7 @@
 }
 
 impl OrderScheduler {
-    /// A gate that has let nothing through.
+    /// Creates a scheduler that has sent no orders.
     pub(super) fn new(order_bound: Span, drain: Duration) -> OrderScheduler {
         OrderScheduler {
             order_bound,
@@ -103,18 +101,20 @@
         }
     }
 
-    /// Whether a host is left out, since it did not load what it was ordered to.
+    /// Returns whether placement must exclude a host, because it failed to load a range.
     pub(super) fn is_unfit(&self, host: &str, now: Instant) -> bool {
         let until = self.load_attempts.get(host).and_then(|l| l.unfit_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// Hosts found unfit since the last call, with the range that they don't load.
+    /// Returns the hosts that became unfit since the last call, with the range that each failed to
+    /// load.
     pub(super) fn take_newly_unfit(&mut self) -> Vec<(Arc<str>, LoadedRange)> {
         std::mem::take(&mut self.newly_unfit)
     }
 
-    /// Counts an order to load a range; false when there were enough and the host is left out.
+    /// Counts an order to load a range. Returns false when the order must not be sent, because the
+    /// host is unfit or becomes unfit by it.
     fn count_load_order(&mut self, host: &Arc<str>, range: &LoadedRange, now: Instant) -> bool {
         let initial = LoadAttempts {
             range: range.clone(),
@@ -141,14 +141,14 @@
         true
     }
 
-    /// Forgets all, as after the loss of the lease.
+    /// Discards all tracked state, after the loss of the lease.
     pub(super) fn reset(&mut self) {
         self.repairs.clear();
         self.drains.clear();
         self.load_attempts.clear();
     }
 
-    /// The orders of a wave that are due. Steps of hosts without a reading wait.
+    /// Returns the orders of a wave that are due. Steps of hosts without a reading wait.
     pub(super) fn due(
         &mut self,
         input: &Input,
@@ -198,8 +198,8 @@
         due
     }
 
-    /// Whether the effect of the last order to this engine could be read back, and the lease lets
-    /// one go.
+    /// Returns whether an order may be sent to this engine: the lease allows it, and the reading is
+    /// late enough to show the effect of the previous order.
     fn may_order(
         &mut self,
         input: &Input,
@@ -225,7 +225,8 @@
         repair.due_order(now.coord, now.fencing_token).is_some()
     }
 
-    /// Forgets what was noted of steps that are not in the wave, but for hosts that are unfit.
+    /// Discards the tracked drains and loads of steps that are not in the wave, except the loads of
+    /// unfit hosts.
     pub(super) fn retain_steps(&mut self, input: &Input, wave: &[OrderStep]) {
         let names_of = |s: &OrderStep| {
             (
@@ -242,11 +243,12 @@
             .retain(|host, l| l.unfit_until.is_some() || is_in_wave(host, &l.range));
     }
 
-    /// Whether the sessions that an unload waits for have ended.
+    /// Returns whether the sessions that an unload waits for have ended.
     ///
-    /// Engines don't say which sessions they hold, so those of a version are waited out: new ones
-    /// go to the other version, and none lasts longer than `drain`. Those on one host need no
-    /// wait: other hosts hold the same layers, and the pipeline replays the stage there.
+    /// Engines do not report their sessions, so the drain of a version is a wait: new sessions use
+    /// the other version, and none lasts longer than `self.drain`. The drain of a single host needs
+    /// no wait, because other hosts have loaded the same layers and the pipeline replays the stage
+    /// there.
     fn has_drained(
         &mut self,
         input: &Input,
@@ -272,7 +274,7 @@
     }
 }
 
-/// The range of a step, in names.
+/// Returns the range of a step with the names that engines use in place of keys.
 fn loaded_range(input: &Input, step: &OrderStep) -> LoadedRange {
     LoadedRange {
         model: input.model(step.range.model).name.to_string(),
@@ -281,11 +283,12 @@
     }
 }
 
-/// Whether an engine holds or loads a range already.
+/// Returns whether an engine has loaded a range or is loading it.
 fn is_under_way(state: &EngineState, range: &LoadedRange) -> bool {
     state.loaded.contains(range) || state.loading.contains(range)
 }
 
+/// Returns the size of a range; 0 when the model is unknown.
 fn bytes(input: &Input, range: &LoadedRange) -> u64 {
     let layers = range.layers.end - range.layers.first;
     let model = input.models.iter().find(|m| *m.name == range.model);
--- a/crates/kelpworks/src/executor/planning.rs
+++ b/crates/kelpworks/src/executor/planning.rs
@@ -1,4 +1,4 @@
-//! Which plan to follow: from the register, the fleet and the plan followed so far. No I/O.
+//! Decides which plan to follow, from the register, the fleet and the current plan. Does no I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 use crate::register::Register;
 use crate::units::Rate;
 
-/// Link cost of a pair of failure domains that the register does not list.
+/// Link cost between two failure domains that the register does not list.
 const DEFAULT_LINK: LinkCost = LinkCost {
     latency: Duration::from_millis(1),
     bytes_per_second: 1_250_000_000,
 };
 
-/// The register, with what its hosts hold.
+/// Returns the planner's input: the register, and the layer ranges that its hosts have loaded.
 pub(super) fn input(register: &Register, fleet: &Fleet, rate: Rate) -> Input {
     let mut input = Input::from_register(register, DEFAULT_LINK, rate);
     let hosts = input.hosts.iter().enumerate();
@@ -42,7 +42,7 @@
         };
         for assignment in &upstream.layer_assignments {
             let model_info = &fleet.models[usize::from(assignment.model.0)];
-            // The snapshot may still be of the register before this one.
+            // The fleet snapshot may still be built from the previous register.
             let model = input.models.iter().position(|m| *m.name == model_info.name);
             let Some(model) = model else { continue };
             input.loaded_ranges.push(HostRange {
@@ -58,23 +58,23 @@
     input
 }
 
-/// Why a plan was taken.
+/// Why a plan was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlanReason {
-    /// It is what hosts hold already.
+    /// It matches the layers that hosts have loaded, or is the current plan unchanged.
     AlreadyLoaded,
-    /// What hosts hold makes no whole model.
+    /// There was no current plan, and none could be derived from the loaded layers.
     Incomplete,
-    /// A host of the plan before was lost or leaves.
+    /// A host of the previous plan is no longer live.
     Loss,
-    /// A host without layers can be put to use.
+    /// A live host without layers can be used.
     IdleHosts,
-    /// It meets more rules or gains rate.
+    /// It satisfies more rules or serves at a higher rate.
     Improved,
 }
 
 impl PlanReason {
-    /// Short name for the log.
+    /// Returns the value of the log key `reason`.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             PlanReason::AlreadyLoaded => "held",
@@ -86,28 +86,28 @@
     }
 }
 
-/// A plan, and why it was taken.
+/// A plan, and why it was chosen.
 #[derive(Clone, Debug)]
 pub(super) struct PlanDecision {
     pub(super) plan: Arc<Plan>,
     pub(super) reason: PlanReason,
-    /// Whether it differs from the plan before.
+    /// Whether the plan differs from the previous one.
     pub(super) changed: bool,
 }
 
-/// The plan followed so far, and for how long nothing has changed.
+/// The current plan, and since when the hosts have been unchanged.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Planning {
-    /// The plan, with the generation of the configuration that it was made for; its keys mean
-    /// nothing under another.
+    /// The current plan and the configuration generation it was made for. Its keys are not valid in
+    /// another generation.
     current: Option<(u64, Arc<Plan>)>,
-    /// Hosts as they were when last they changed, and when that was.
+    /// The hosts as last observed, and when they last changed.
     last_hosts: Option<(Vec<HostSnapshot>, Instant)>,
-    /// Whether an improvement was looked for since.
+    /// Whether an improvement was searched for since the last change.
     improvement_tried: bool,
 }
 
-/// What of a host bears on the worth of a plan.
+/// The properties of a host that may change between rounds and affect planning.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HostSnapshot {
     live: bool,
@@ -115,9 +115,9 @@
 }
 
 impl Planning {
-    /// The plan to follow now. Repair comes before improvement: a loss or an idle host is dealt
-    /// with at once and by few moves; a better plan is looked for only once hosts have stayed as
-    /// they are for `improve_after`, or when some model can't be served at all.
+    /// Decides on the plan to follow now. Repair precedes improvement: the loss of a host or an
+    /// idle host is handled at once and with few moves. A better plan is searched for only once the
+    /// hosts have been unchanged for `improve_after`, or when some model cannot be served at all.
     pub(super) fn decide(
         &mut self,
         generation: u64,
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Whether it is time to look for a better plan; true once after each change of the hosts.
+    /// Records the hosts and returns whether to search for a better plan: true once after each
+    /// change of the hosts, when `improve_after` has passed since.
     fn is_improvement_due(&mut self, input: &Input, improve_after: Duration, now: Instant) -> bool {
         let hosts = input.hosts.iter().map(|h| HostSnapshot {
             live: h.live,
@@ -205,7 +206,7 @@
     }
 }
 
-/// A host of the plan that is not live.
+/// Returns the first host with layers in the plan that is not live.
 fn lost_host(input: &Input, plan: &Plan) -> Option<HostKey> {
     let assigned = |h: &HostKey| plan.assignments[h.index()].is_some();
     input
@@ -213,13 +214,13 @@
         .find(|h| assigned(h) && !input.host(*h).live)
 }
 
-/// Whether a live host has nothing to do.
+/// Returns whether the plan assigns no layers to some live host.
 fn has_idle_host(input: &Input, plan: &Plan) -> bool {
     let idle = |h: HostKey| plan.assignments[h.index()].is_none() && input.host(h).live;
     input.host_keys().any(idle)
 }
 
-/// Whether some model can't be served by this plan.
+/// Returns whether some model cannot be served with this plan.
 fn has_unservable_model(input: &Input, plan: &Plan) -> bool {
     let is_unservable = |s: &Shortfall| matches!(s, Shortfall::NoReplica { .. });
     plan.models.len() < input.models.len() || plan.shortfalls.iter().any(is_unservable)
--- a/crates/kelpworks/src/executor/round.rs
+++ b/crates/kelpworks/src/executor/round.rs
@@ -1,4 +1,4 @@
-//! One round: plan, read back, order.
+//! The placement rounds: each decides on a plan, reads the engines' state and sends due orders.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -42,12 +42,13 @@
 use kelpworks_wire::OrderAction;
 use kelpworks_wire::OrderReply;
 
-/// Engines asked or ordered at the same time, at most.
+/// Bounds the concurrent queries or orders to engines.
 const MAX_CONCURRENT_CALLS: usize = 32;
-/// Steps of a wave that are looked at in one round, at most; each costs a reading of its engine.
+/// Bounds the steps of a wave that one round considers, because each requires a query of its
+/// engine. A wave with an unload requires a query of every engine instead.
 const MAX_STEPS_PER_ROUND: usize = 64;
 
-/// The rounds of one daemon.
+/// The placement rounds of one daemon, and the state kept between them.
 #[derive(Debug)]
 pub(super) struct Rounds<E> {
     cfg: Config,
@@ -61,7 +62,7 @@
     order_scheduler: OrderScheduler,
 }
 
-/// Base URLs of the engines of an input.
+/// Base URLs of the engines, by their host in the planner's input.
 type Urls = HashMap<HostKey, Arc<str>>;
 
 impl<E: Engine> Rounds<E> {
@@ -95,7 +96,7 @@
             let is_holder = self.lease.fencing_token().is_some();
             metrics::gauge!("kelpworks_placement_lease").set(f64::from(u8::from(is_holder)));
             if !is_holder {
-                // A later hold starts from what engines say then.
+                // After the next acquisition, planning starts from the layers loaded then.
                 self.planning = Planning::default();
                 self.order_scheduler.reset();
                 continue;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Takes note of the fleet, also while another daemon holds the lease.
+    /// Records health and step times of the fleet, also while another daemon holds the lease.
     fn observe(&mut self, now: Instant) {
         let fleet = self.fleet.load();
         self.liveness.observe(&fleet, now);
@@ -115,12 +116,13 @@
                 target: "decision", decision = "degraded", upstream = &*change.host,
                 step_us = change.step_us, slower = change.slowdown,
                 reason = if change.degraded { "slower-than-peers" } else { "recovered" };
-                "observed rate of an engine"
+                "degraded state of an engine changed"
             );
         }
     }
 
-    /// The register as it is: hosts that are live, at the rates they reach, with what they hold.
+    /// Returns the planner's input: the register with the liveness, effective rates and loaded
+    /// layers of its hosts.
     fn input(&self, config: &ActiveConfig, fleet: &Fleet, now: Instant) -> Input {
         let mut input = planning::input(&config.register, fleet, self.cfg.weight_rate);
         for host in &mut input.hosts {
@@ -157,7 +159,8 @@
         let input = with_readings(input, &readings, has_unloads);
         let wave = first_wave(&input, &plan_decision.plan);
         if wave.iter().any(is_unload) && !has_unloads {
-            // Not all engines were read; the next round reads them.
+            // The readings show an unload that the first wave did not have, and only some engines
+            // were read. A later round reads all of them before it unloads.
             return;
         }
         let now = Now {
@@ -167,17 +170,18 @@
         };
         let due = self.order_scheduler.due(&input, &wave, &readings, now);
         for (host, range) in self.order_scheduler.take_newly_unfit() {
-            warn!("{host} does not load {range:?}: left out of placement for a while");
+            warn!("{host} failed to load {range:?}; excluded from placement temporarily");
             info!(
                 target: "decision", decision = "unfit", upstream = &*host, range:? = range,
-                reason = "loads-failed"; "host left out of placement"
+                reason = "loads-failed"; "host excluded from placement"
             );
         }
         self.send_orders(&input, &urls, due).await;
     }
 
-    /// Settles on a plan, away from the threads that serve requests: for a large fleet it takes a
-    /// good part of a second. A plan that can't be made leaves the fleet as it is.
+    /// Decides on a plan, on a blocking thread: for a large fleet this takes a good part of a
+    /// second, which would delay the threads that serve requests. Returns `None` when planning
+    /// panics; the round then sends no orders.
     async fn decide(
         &mut self,
         generation: u64,
@@ -196,12 +200,13 @@
                 Some((input, plan_decision))
             }
             Err(e) => {
-                warn!("placement: {e}");
+                warn!("placement planning failed: {e}");
                 None
             }
         }
     }
 
+    /// Queries engines for their state; engines that do not answer are missing in the result.
     async fn read_engines(&self, hosts: Vec<HostKey>, urls: &Urls) -> HashMap<HostKey, Reading> {
         let read_one = async |host: HostKey| {
             let queried_at = self.lease.now();
@@ -227,7 +232,7 @@
     }
 
     async fn send_order(&self, input: &Input, url: &Arc<str>, due: DueOrder) {
-        // Asked for again: orders before this one may have taken long.
+        // Earlier orders of this round may have taken long, so the lease is checked again.
         let Some(Token(token)) = self.lease.fencing_token() else {
             return;
         };
@@ -252,7 +257,8 @@
     matches!(step.action, Action::Unload { .. })
 }
 
-/// Before something is dropped, every engine is read: what is dropped must stand elsewhere.
+/// Returns the hosts whose engines to read. Before an unload these are all hosts, because the same
+/// layers must be loaded elsewhere.
 fn hosts_to_read(wave: &[OrderStep], urls: &Urls, has_unloads: bool) -> Vec<HostKey> {
     if has_unloads {
         return urls.keys().copied().collect();
@@ -274,8 +280,8 @@
         .collect()
 }
 
-/// The input with holdings as just read. An engine that did not answer holds nothing when
-/// something is to be dropped, and else what it said last.
+/// Returns the input with the loaded ranges as just read. An engine without a reading counts as
+/// having nothing loaded if the wave has an unload; otherwise its last known ranges are kept.
 fn with_readings(
     mut input: Input,
     readings: &HashMap<HostKey, Reading>,
@@ -338,8 +344,14 @@
         "placement order"
     );
     match reply {
-        Ok(OrderReply::Refused(why)) => warn!("{} refused: {why}", input.host(due.host).name),
-        Err(e) => warn!("order to {}: {e}", input.host(due.host).name),
+        Ok(OrderReply::Refused(why)) => warn!(
+            "{} refused placement order: {why}",
+            input.host(due.host).name
+        ),
+        Err(e) => warn!(
+            "placement order to {} failed: {e}",
+            input.host(due.host).name
+        ),
         Ok(_) => {}
     }
 }
--- a/crates/kelpworks/src/executor/tests.rs
+++ b/crates/kelpworks/src/executor/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions of the executor, without I/O.
+//! Tests of the executor's decisions, without I/O: degraded hosts, planning and order scheduling.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -38,7 +38,8 @@
 const GB: u64 = 1_000_000_000;
 const IMPROVE_AFTER: Duration = Duration::from_secs(60);
 
-/// Six hosts of three failure domains; eight of the model's twelve layers fit on one.
+/// Returns an input of six hosts in three failure domains and one model of twelve layers, of which
+/// eight fit on a host beside the KV headroom.
 fn input(weight_rate: Rate) -> Input {
     let host = |i: u16| HostSpec {
         name: format!("host-{i}").into(),
@@ -68,7 +69,8 @@
     }
 }
 
-/// Replicas of one stage, with their step times in milliseconds; 10 ms is expected.
+/// Returns a fleet of replicas of one stage with these step times in milliseconds; the register
+/// gives an expected step time of 10 ms.
 fn replicas(step_ms: &[u64]) -> Fleet {
     let mut fleet = Fleet::default();
     for (at, &ms) in step_ms.iter().enumerate() {
@@ -96,7 +98,8 @@
     fleet
 }
 
-/// Looks so often at step times that change a little each time.
+/// Observes the fleet `rounds` times. Step times change by 1 µs before each, since an unchanged
+/// step time is not a new sample.
 fn observe(degraded: &mut DegradedHosts, fleet: &Fleet, rounds: usize) -> Vec<String> {
     let mut changes = Vec::new();
     for _ in 0..rounds {
@@ -155,7 +158,7 @@
     let repaired = decide(&input, 2);
     assert_eq!(repaired.reason, PlanReason::Loss);
     assert!(repaired.changed && repaired.plan.shortfalls.is_empty());
-    // Now it gains from other cuts: five sixths of the rate are gone with one host.
+    // One host is now six times as fast, so a different partition of the layers is better.
     for host in input.hosts.iter_mut().filter(|h| h.live).take(1) {
         host.layer_rate = 6_000.0;
     }
--- a/crates/kelpworks/src/pipeline/driver.rs
+++ b/crates/kelpworks/src/pipeline/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one session from prompt to last token, over failures of its stages.
+//! Drives a session from its prompt to its last token, across failures of its stages.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -39,53 +39,53 @@
 /// A session to drive.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Session identifier; also the request id in log lines.
+    /// Session identifier, unique per session; also the request id in log lines.
     pub session: String,
     /// Name of the team.
     pub team: String,
     /// Class of the team.
     pub class: Class,
-    /// Fingerprint of the request; the same for its caller's repeats.
+    /// Fingerprint of the request; equal when the caller retries the request.
     pub fingerprint: Fingerprint,
-    /// The model.
+    /// Key of the model in the fleet snapshot at the start of the session.
     pub model: ModelKey,
     /// Tokens of the prompt; never empty.
     pub prompt: Vec<u32>,
-    /// Most tokens to generate; above 0.
+    /// Maximum number of tokens to generate; above 0.
     pub max_tokens: u32,
-    /// When the caller's time is up.
+    /// Time at which the session ends, even if its answer is incomplete.
     pub deadline: Instant,
 }
 
-/// Why a session ended before its answer was whole.
+/// Why a session ended before its answer was complete.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum SessionError {
-    /// No path through the stages within the deadline.
+    /// No path through the stages was available in time.
     #[error("no upstream can take the request: {0}")]
     NoPath(routing::Error),
-    /// The caller's time is up.
+    /// The deadline of the request passed.
     #[error("deadline exceeded")]
     Deadline,
-    /// The caller has gone.
+    /// The caller disconnected.
     #[error("caller gone")]
     CallerGone,
-    /// The daemon ends before the session does.
+    /// The daemon stopped before the session ended.
     #[error("the daemon is stopping")]
     Stopped,
-    /// A stage failed in a way that another try won't mend.
+    /// A stage failed permanently: a retry would fail as well.
     #[error("stage failed: {0}")]
     Stage(StepFailure),
-    /// A stage failed, and too much has been tried again of late.
+    /// A stage failed, and the retry policy does not allow another attempt.
     #[error("stage failed: {failure}; not tried again: {reason}")]
     Retries {
         /// How the stage failed.
         failure: StepFailure,
-        /// Why it is not tried again.
+        /// Why the stage is not retried.
         reason: AbandonReason,
     },
-    /// Upstreams crashed while they ran the request.
+    /// The request is refused, because upstreams crashed while they ran it.
     #[error(transparent)]
     Quarantined(quarantine::Refusal),
 }
@@ -93,46 +93,47 @@
 /// How a session ended.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Why it ended.
+    /// Why the answer is complete, or why the session failed.
     pub result: std::result::Result<FinishReason, SessionError>,
-    /// Whether any of it may have run.
+    /// Whether an upstream may have run any part of the session.
     pub verdict: Verdict,
-    /// Stages replaced on the way.
+    /// Stage failures that the session recovered from, or tried to.
     pub recoveries: u32,
 }
 
-/// Drives sessions; one for the whole daemon.
+/// Drives all sessions of a daemon.
 #[derive(Debug)]
 pub struct Driver<E> {
-    /// The engines.
+    /// Client of the engines.
     pub engine: Arc<E>,
-    /// The fleet, replaced as a whole on each change.
+    /// Snapshot of the fleet; replaced on each change.
     pub fleet: Arc<ArcSwap<Fleet>>,
-    /// Where failures of upstreams are reported.
+    /// Channel to the upstream monitor for reports of failed upstreams.
     pub reports: mpsc::UnboundedSender<Report>,
     /// Failure domain of this daemon.
     pub domain: String,
-    /// Bounds on the wait for a step.
+    /// Timeouts of steps and probes.
     pub deadlines: Deadlines,
-    /// Form in which outputs are asked for.
+    /// Form in which engines return the outputs of stages.
     pub output: OutputForm,
     /// Start of the daemon, the origin of `Counters::busy_until_ms`.
     pub start: Instant,
-    /// Requests that crash upstreams.
+    /// Isolates and refuses requests that crash upstreams.
     pub quarantine: Arc<Quarantine>,
-    /// Bounds how much is tried again, over all sessions.
+    /// Bounds the retries of all sessions together.
     pub retries: Mutex<RetryBudget>,
     /// Cooldowns of busy upstreams.
     pub cooldowns: Mutex<Cooldowns>,
     /// Ends all sessions at once.
     pub abort: CancellationToken,
-    /// Calls that free memory on engines; a stop waits for them.
+    /// Cancel calls that free memory on engines; a planned stop waits for them.
     pub tasks: TaskTracker,
 }
 
 impl<E: Engine> Driver<E> {
-    /// Drives a session; each token goes into `tx` as soon as it is known. Where the receiver is
-    /// dropped the session ends and its memory on the engines is freed.
+    /// Drives a session and sends each token to `tx` as soon as it is generated. The session ends
+    /// when the receiver is dropped. At the end its memory on the engines is freed in the
+    /// background.
     pub async fn run(&self, job: Job, permit: &Permit, tx: &mpsc::Sender<u32>) -> Outcome {
         let mut session = Session::new(self, &job);
         let deadline = job.deadline;
@@ -154,19 +155,21 @@
         }
     }
 
-    /// This daemon's failure domain in a snapshot; the first where the register has no such.
+    /// Returns the key of this daemon's failure domain in a snapshot; the first domain when the
+    /// register does not list it.
     pub(super) fn own_domain(&self, fleet: &Fleet) -> DomainKey {
         let at = fleet.domains.iter().position(|d| *d == self.domain);
         DomainKey(at.unwrap_or(0) as u16)
     }
 
-    /// Milliseconds since the daemon's start.
+    /// Returns the milliseconds since the daemon's start.
     pub(crate) fn now_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 }
 
-/// Full jitter over the upper half, so that waiters spread out.
+/// Returns a random duration from half of `wait` up to `wait`, so that sessions that fail together
+/// do not retry together.
 pub(super) fn jittered(wait: Duration) -> Duration {
     wait.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/kelpworks/src/pipeline/hop.rs
+++ b/crates/kelpworks/src/pipeline/hop.rs
@@ -1,4 +1,4 @@
-//! One stage of a running session: where it runs and how far it has come.
+//! A stage of a running session: the upstream that runs it, and its progress.
 
 use std::sync::Arc;
 
@@ -11,30 +11,32 @@
 /// A stage of a running session.
 #[derive(Clone, Debug)]
 pub(crate) struct HopState {
-    /// The upstream that runs it.
+    /// Upstream that runs the stage.
     pub(crate) upstream: UpstreamKey,
-    /// Its base URL.
+    /// Base URL of the upstream.
     pub(crate) url: Arc<str>,
-    /// Its name, for log lines.
+    /// Name of the upstream, for log lines.
     pub(crate) name: Arc<str>,
-    /// The layers it runs.
+    /// Layers that the stage runs.
     pub(crate) layers: LayerRange,
-    /// Lineage of this stage's KV cache; unique within the session, so that a late reply of an
-    /// earlier stage can't pass for one of this stage.
+    /// Lineage of this stage's KV cache; unique within the session, so that a late reply of a
+    /// replaced stage cannot be taken for one of this stage.
     pub(crate) attempt: u32,
-    /// Positions run, counted from 0. Never above the session's number of known tokens.
+    /// Number of positions that the stage has run, always from position 0. Never above the
+    /// session's number of known tokens.
     pub(crate) positions_run: u32,
-    /// Outputs kept here when the engine returns them inline; as long as `have` then, else empty.
+    /// Outputs of all positions run, when the engine returns them inline; empty when it retains
+    /// them under handles.
     pub(crate) rows: Vec<u64>,
 }
 
 impl HopState {
-    /// Whether this stage is the one that `hop` asks for.
+    /// Returns whether this stage runs the layers of `hop` on its upstream.
     pub(crate) fn matches(&self, hop: &routing::Hop) -> bool {
         self.upstream == hop.upstream && self.layers == hop.layers
     }
 
-    /// The same place on the path, for the router.
+    /// Returns the stage as a hop of a path.
     pub(crate) fn to_hop(&self) -> routing::Hop {
         routing::Hop {
             upstream: self.upstream,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Handle under which the engine keeps this stage's output from `position` on.
+    /// Returns the handle under which the engine retains this stage's output from `position` on.
     pub(crate) fn handle(&self, session: &str, position: u32) -> String {
         format!(
             "{session}/{}/{}/{position}",
@@ -50,7 +52,8 @@
         )
     }
 
-    /// This stage's output of `count` positions from `position` on, as the next stage's input.
+    /// Returns this stage's output of `count` positions from `position` on, as the next stage's
+    /// input.
     pub(crate) fn output(&self, session: &str, position: u32, count: u32) -> StepInput {
         if self.rows.is_empty() {
             let handle = self.handle(session, position);
--- a/crates/kelpworks/src/pipeline/mod.rs
+++ b/crates/kelpworks/src/pipeline/mod.rs
@@ -1,10 +1,10 @@
 //! Drives a session through the stages of a model, token by token.
 //!
-//! The daemon sends each step to one replica of each stage in order; between
-//! the stages activations go from engine to engine by handle, or inline where an
-//! engine can't keep them. A stage that fails is replaced alone: its successor
-//! replays the positions from its predecessor's kept outputs, and the other
-//! stages go on from where they stand. Tokens already sent are never changed.
+//! The daemon sends each step to one replica of each stage in order. Between stages, activations
+//! pass from engine to engine by handle, or inline through the daemon where an engine cannot retain
+//! them. A stage that fails is replaced alone: its replacement replays the positions from the
+//! retained outputs of the stage before it, and the other stages keep their state. Tokens already
+//! sent to the caller never change.
 
 mod cancel;
 mod driver;
--- a/crates/kelpworks/src/pipeline/path.rs
+++ b/crates/kelpworks/src/pipeline/path.rs
@@ -1,4 +1,4 @@
-//! The path of a session: chosen, explained in the log, and taken.
+//! Chooses the path of a session, logs the reasons, and moves the session to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,21 +18,23 @@
 use crate::routing::PathQuery;
 use crate::verdict::Verdict;
 
-/// Wait before the path is asked for again when no stage can take the session.
+/// Interval between searches for a path while none is available; also the initial backoff when a
+/// failed stage has no replacement.
 pub(super) const NO_PATH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time without a path of a session that has sent nothing.
+/// Longest time that a session that has sent nothing waits for a path.
 const NO_PATH_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl<E: Engine> Session<'_, E> {
-    /// Chooses a path; stages that still serve keep their place and state.
+    /// Moves the session to a new path, and waits for one while none is available. Stages whose
+    /// upstreams are not avoided and still serve keep their place and state.
     pub(super) async fn route(&mut self, reason: &'static str) -> Result<()> {
         let timeout_at = Instant::now() + NO_PATH_TIMEOUT;
         loop {
             match self.try_route(reason) {
                 Ok(()) => return Ok(()),
-                // Its caller has nothing yet and may ask elsewhere; one that has a part of the
-                // answer can only get the rest here.
+                // A caller without any part of the answer can retry elsewhere. One that has
+                // received tokens can get the rest only from this session, so it waits longer.
                 Err(e) if !self.has_sent() && timeout_at <= Instant::now() => {
                     return Err(SessionError::NoPath(e));
                 }
@@ -47,9 +49,10 @@
         }
     }
 
-    /// Keys of the session's model and, once its first path is chosen, of its version in a
-    /// snapshot. Looked up by name: a new register gives other keys. One that is gone gets a key
-    /// that nothing has, so that the session never goes on with another.
+    /// Returns the keys in a snapshot of the session's model and, once its first path is chosen, of
+    /// its version. They are looked up by name, because keys change with the register. A model or
+    /// version that the snapshot does not contain gets an unused key, so that the session never
+    /// continues with another.
     fn model_and_version(&self, fleet: &Fleet) -> (ModelKey, Option<u16>) {
         let Some(key) = fleet.model(&self.params.model) else {
             return (ModelKey(u16::MAX), None);
@@ -62,6 +65,7 @@
         (key, Some(at.map_or(u16::MAX, |at| at as u16)))
     }
 
+    /// Moves the session to a new path if one is available now.
     pub(super) fn try_route(&mut self, reason: &'static str) -> routing::Result<()> {
         let fleet = self.driver.fleet.load_full();
         let keep: Vec<routing::Hop> = self
@@ -91,7 +95,8 @@
         Ok(())
     }
 
-    /// Chooses a path; for a suspect, where possible one on which it harms nobody else.
+    /// Chooses a path. The path of a request suspected of crashing upstreams avoids, where
+    /// possible, those on which a crash would affect other requests.
     fn choose_path(&self, fleet: &Fleet, keep: &[routing::Hop]) -> routing::Result<routing::Path> {
         let (model, version) = self.model_and_version(fleet);
         let query = PathQuery {
@@ -123,6 +128,8 @@
         routing::choose_path(fleet, &query, &mut rand::rng())
     }
 
+    /// Replaces the session's stages with those of a path. Stages that are on it already keep their
+    /// state; the others are freed at the end of the session.
     fn apply_path(&mut self, fleet: &Fleet, path: &routing::Path) {
         let mut old = std::mem::take(&mut self.hops);
         for hop in &path.hops {
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -1,4 +1,5 @@
-//! What bounds the recoveries of a session: quarantine, retry budget and cooldowns.
+//! Recovers a session from failures of its stages, within the bounds of quarantine, retry budget
+//! and cooldowns.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -30,13 +31,14 @@
 use crate::verdict::Verdict;
 use kelpworks_wire::RefusalReason;
 
-/// Doublings of that wait, at most, when the same upstream fails again and again.
+/// Bounds the doublings of [`NO_PATH_RETRY_INTERVAL`] while an upstream without replacement fails.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Wait before a session over the retry budget goes on.
+/// Wait before a retry that exceeds the retry budget.
 const OVER_BUDGET_BACKOFF: Duration = Duration::from_secs(1);
-/// Recoveries of a session that the budget only slows.
+/// Bounds the recoveries of a session that has sent nothing, while the retry budget is exhausted.
 const MAX_RECOVERIES_OVER_BUDGET: u32 = 2;
-/// Most recoveries of one session; above it something is wrong that another try won't mend.
+/// Bounds the recoveries of a session that has sent tokens. One that fails more often has a fault
+/// that a retry does not resolve.
 const MAX_RECOVERIES: u32 = 32;
 
 impl<E: Engine> Driver<E> {
@@ -44,7 +46,8 @@
         lock(&self.retries).decide(self.start.elapsed(), attempt, &mut rand::rng())
     }
 
-    /// Notes that an upstream refused for want of capacity; what is left of its cooldown.
+    /// Records that an upstream refused a step for lack of capacity. Returns the time left of its
+    /// cooldown.
     pub(super) fn start_cooldown(&self, upstream: UpstreamKey, after: Duration) -> Duration {
         let fleet = self.fleet.load();
         let Some(counters) = fleet.upstreams.get(upstream).map(|u| &u.counters) else {
@@ -54,7 +57,7 @@
         lock(&self.cooldowns).record_refusal(upstream, counters, after, now_ms, &mut rand::rng())
     }
 
-    /// Notes that an upstream served; it cools no longer.
+    /// Ends the cooldown of an upstream, if any, because it has served a step.
     pub(super) fn end_cooldown(&self, upstream: UpstreamKey, counters: &Counters) {
         if counters.busy_until_ms.load(Ordering::Relaxed) != 0 {
             lock(&self.cooldowns).clear_cooldown(upstream, counters);
@@ -62,25 +65,29 @@
     }
 }
 
-/// Locks; what is behind it is changed by single calls only, so a panic elsewhere leaves it whole.
+/// Locks a mutex, even a poisoned one: its value is changed by single calls only, so a panic of
+/// another task leaves it consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<E: Engine> Session<'_, E> {
+    /// Handles the failure of a stage, so that the session can continue. Returns an error when the
+    /// session must end.
     pub(super) async fn recover(&mut self, stage: usize, failure: StepFailure) -> Result<()> {
         let upstream = self.hops[stage].upstream;
         let name = Arc::clone(&self.hops[stage].name);
         info!(
             target: "decision", decision = "recover", request = self.params.session.as_str(),
-            upstream = &*name, position = self.hops[stage].positions_run, reason = failure.to_string();
+            upstream = &*name, position = self.hops[stage].positions_run,
+            reason = failure.to_string();
             "stage failed"
         );
         if !matches!(failure, StepFailure::Busy(_) | StepFailure::Quarantined(_)) {
             self.before_retry(upstream, &failure).await?;
         }
         match failure {
-            // Waiting is not a failure of the session; only its deadline bounds it.
+            // Waiting for capacity does not count as a recovery; only the deadline bounds it.
             StepFailure::Busy(after) => self.wait_or_move(stage, after).await,
             StepFailure::Quarantined(refusal) => Err(SessionError::Quarantined(refusal)),
             StepFailure::Refused {
@@ -109,7 +116,8 @@
         }
     }
 
-    /// A stage without state moves on; one with state waits for its turn.
+    /// Handles a busy upstream: a stage that has run no position moves to another one; a stage with
+    /// state waits for the cooldown.
     async fn wait_or_move(&mut self, stage: usize, after: Duration) -> Result<()> {
         let busy = self.hops[stage].upstream;
         let left = self.driver.start_cooldown(busy, after);
@@ -123,8 +131,8 @@
         Ok(())
     }
 
-    /// Moves the session off an upstream that failed; where nobody else can take its place, waits
-    /// a growing time before it is tried again.
+    /// Moves the session off an upstream that failed. When no other upstream can replace it, waits
+    /// with exponential backoff before the failed one is tried again.
     async fn move_off(&mut self, upstream: UpstreamKey, reason: &'static str) -> Result<()> {
         self.avoid(upstream);
         self.route(reason).await?;
@@ -135,13 +143,14 @@
         Ok(())
     }
 
+    /// Makes the session use an upstream only when no other can run its layers.
     pub(super) fn avoid(&mut self, upstream: UpstreamKey) {
         if !self.avoid.contains(&upstream) {
             self.avoid.push(upstream);
         }
     }
 
-    /// The stage's state is gone or unknown: it runs again from position 0 as a new lineage.
+    /// Restarts a stage whose state is lost or unknown from position 0, as a new lineage.
     fn restart_stage(&mut self, stage: usize) {
         let hop = &mut self.hops[stage];
         self.abandoned.push(hop.clone());
@@ -151,11 +160,12 @@
         self.next_attempt += 1;
     }
 
-    /// A stage could not fetch its input from the one before it.
+    /// Handles a stage that could not fetch its input from the previous stage.
     ///
-    /// The fetch may have met a connection that is dead; the step is sent once more, and finds a new
-    /// one. Else that stage may have lost its outputs, and runs again where it is. Where that does
-    /// not help, the link between the two may be down, at either end: one moves, then the other.
+    /// The first failure may be due to a dead connection between the engines, so the step is sent
+    /// again, which opens a new one. After the second, the previous stage may have lost its
+    /// outputs, and is restarted where it is. After further failures, the link may be down at
+    /// either end, so the previous stage and this one move to other upstreams alternately.
     async fn recover_failed_fetch(&mut self, stage: usize) -> Result<()> {
         let previous_stage = stage.saturating_sub(1);
         self.failed_fetches += 1;
@@ -176,8 +186,8 @@
         }
     }
 
-    /// What goes before any other try: the failure is reported, the session may end here, and a
-    /// wait keeps tries apart.
+    /// Prepares a retry after a failure: reports a dead upstream, ends the session when its request
+    /// is refused by the quarantine or may not be retried, and waits for the backoff.
     pub(super) async fn before_retry(
         &mut self,
         upstream: UpstreamKey,
@@ -204,20 +214,22 @@
         Ok(())
     }
 
-    /// How long to wait before the session goes on after a failure of a stage.
+    /// Returns the wait before the session continues after a failure of a stage.
     ///
-    /// Over the budget a session goes on at the slowest rate: one whose caller has part of the
-    /// answer until its deadline or [`MAX_RECOVERIES`], one that has sent nothing for
-    /// [`SURE_RECOVERIES`], after which it ends with its final answer at once. The loss of a host
-    /// that ran more sessions than the budget has retries so costs none its answer, and a stage
-    /// that fails every step still gets a bounded number of steps a session.
+    /// When the retry budget is exhausted, the session still continues, with the longest backoff. A
+    /// session whose caller has part of the answer does so until its deadline or for
+    /// [`MAX_RECOVERIES`]. A session that has sent nothing does so for
+    /// [`MAX_RECOVERIES_OVER_BUDGET`] and then fails at once. So no session fails when a host is
+    /// lost that ran more sessions than the budget has retries, and a stage that fails every step
+    /// gets a bounded number of steps per session.
     fn retry_delay(&self, failure: &StepFailure) -> Result<Duration> {
         let attempt = Attempt {
             verdict: match failure {
                 StepFailure::Unreachable | StepFailure::Refused { .. } => Verdict::NotRun,
                 _ => Verdict::MayHaveRun,
             },
-            // An engine refuses positions that it has run, and no token is sent twice.
+            // Engines refuse positions that they have run, and no token is sent twice to the
+            // caller.
             idempotent: true,
             attempts: self.recoveries,
             left: self.job.deadline.saturating_duration_since(Instant::now()),
@@ -241,7 +253,7 @@
         }
     }
 
-    /// Notes that the answer is whole.
+    /// Records in the retry budget and the quarantine that the answer is complete.
     pub(super) fn record_success(&self) {
         lock(&self.driver.retries).record_success();
         let token_count = self.token_ids.len() as u32;
@@ -250,9 +262,10 @@
             .record_progress(self.job.fingerprint, token_count, true);
     }
 
-    /// Upstreams that a suspect had better not move to: those where others run, and all in the
-    /// failure domain of the one that died with it, which may die for the same reason. Never one
-    /// that keeps its place.
+    /// Returns the upstreams that a request suspected of crashing upstreams should not move to:
+    /// those on the paths of other suspects, and all in the failure domain of the upstream that
+    /// died while it ran the request, since they may fail for the same reason. Upstreams in `keep`
+    /// are excluded. Empty for other requests.
     pub(super) fn avoided_by_suspect(
         &self,
         fleet: &Fleet,
--- a/crates/kelpworks/src/pipeline/session.rs
+++ b/crates/kelpworks/src/pipeline/session.rs
@@ -1,4 +1,4 @@
-//! One session: its state, and its way from token to token.
+//! The state of a session, and the loop that generates its tokens.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,32 +28,32 @@
 use kelpworks_wire::FinishReason;
 use kelpworks_wire::StepInput;
 
-/// Pause until a stage on a leaving upstream that could not move is looked at again.
+/// Interval after which the session tries again to move a stage off a leaving upstream.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A session under way.
+/// A running session.
 pub(super) struct Session<'a, E> {
     pub(super) driver: &'a Driver<E>,
     pub(super) job: &'a Job,
     pub(super) params: SessionParams,
-    /// Prompt and the tokens generated so far; those sent to the caller are never changed.
+    /// Prompt and the tokens generated so far; only appended to.
     pub(super) token_ids: Vec<u32>,
-    /// The stages in order of layers; together they cover every layer once.
+    /// Stages in order of their layers, each of which is part of exactly one stage.
     pub(super) hops: Vec<HopState>,
-    /// When a stage that could not move off a leaving upstream is looked at again.
+    /// Earliest time of the next check for stages on leaving upstreams.
     pub(super) next_leave_check: Instant,
-    /// What the path counts for on its upstreams, while it lasts.
+    /// Counts the session on the upstreams of its path.
     pub(super) path_guard: Option<PathGuard>,
-    /// Upstreams that failed or refused this session; taken last.
+    /// Upstreams that failed or refused this session; used only when no other can run the layers.
     pub(super) avoid: Vec<UpstreamKey>,
-    /// Attempt number that the next new stage gets.
+    /// Attempt number of the next new stage.
     pub(super) next_attempt: u32,
     pub(super) recoveries: u32,
-    /// Fetches between stages that failed since the last token.
+    /// Failed fetches between stages since the last token.
     pub(super) failed_fetches: u32,
-    /// Worst over all steps sent.
+    /// Whether any step sent so far may have run.
     pub(super) verdict: Verdict,
-    /// Stages left behind, to be freed at the end.
+    /// Replaced stages, whose memory is freed at the end.
     pub(super) abandoned: Vec<HopState>,
 }
 
@@ -86,6 +86,7 @@
         }
     }
 
+    /// Generates tokens and sends them to `tx` until the answer is complete.
     pub(super) async fn generate(
         &mut self,
         permit: &Permit,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Moves stages off upstreams that are leaving, between two tokens. A stage that nobody else
-    /// can take stays where it is, as an upstream that leaves still serves what it has begun.
+    /// Moves stages off upstreams that are leaving, between two tokens. A stage that no other
+    /// upstream can run stays, since a leaving upstream still serves the sessions that it runs.
     fn move_off_leaving_upstreams(&mut self) {
         let now = Instant::now();
         if now < self.next_leave_check {
@@ -145,11 +146,12 @@
         }
     }
 
-    /// Whether the caller has a part of the answer.
+    /// Returns whether part of the answer was sent to the caller.
     pub(super) fn has_sent(&self) -> bool {
         self.token_ids.len() > self.job.prompt.len()
     }
 
+    /// Generates the next token, with recoveries from failures of stages.
     async fn next_token(&mut self) -> Result<u32> {
         loop {
             match self.run_stages().await {
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Brings every stage up to the known tokens, in order; the last one gives the next token.
+    /// Runs every stage in order up to the last known token; the last stage returns the next token.
+    /// An error contains the index of the stage that failed.
     async fn run_stages(&mut self) -> std::result::Result<u32, (usize, StepFailure)> {
         let target = self.token_ids.len() as u32;
         for stage in 0..self.hops.len() {
@@ -177,10 +180,12 @@
                 StepOutput::Token(token) => return Ok(token),
             }
         }
-        // Only a last stage that has run without its token being seen gets here.
+        // Reached only when the last stage has run all known tokens, but its output was not
+        // received.
         Err((self.hops.len() - 1, StepFailure::ReplyLost))
     }
 
+    /// Runs `count` positions on one stage, once the quarantine lets the step run.
     async fn step(
         &mut self,
         stage: usize,
@@ -214,7 +219,8 @@
         if step_guard.is_isolated() {
             call.incarnation = call.check_alive().await?;
         }
-        // Until the reply says otherwise: this future may be dropped after the step was sent.
+        // Set until the reply shows that nothing ran, because this future may be dropped after the
+        // step was sent.
         let before = self.verdict;
         self.verdict = Verdict::MayHaveRun;
         let result = call.run(input).await;
@@ -226,7 +232,8 @@
             self.verdict = before;
         }
         match result {
-            // Silence has other causes, which would blame innocent requests.
+            // Only a process that ended counts as a crash. A stall has other causes as well, and
+            // would be attributed to innocent requests.
             Err(StepFailure::Gone | StepFailure::Restarted) => step_guard.record_crash(),
             Ok(_) => self.driver.end_cooldown(hop.upstream, &upstream.counters),
             Err(_) => {}
@@ -234,7 +241,7 @@
         result
     }
 
-    /// Frees the session's memory on every engine that may hold some, without waiting for it.
+    /// Starts to free the session's memory on every engine that may have some, and returns at once.
     pub(super) fn free_all(&mut self) {
         let hops = self.hops.drain(..).chain(self.abandoned.drain(..));
         for hop in hops {
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -1,4 +1,5 @@
-//! One step on one stage: sent, checked against its echo, and settled when the reply stays away.
+//! Runs one step on one stage: sends it, checks that the reply belongs to it, and finds out whether
+//! it ran when there is no reply.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -30,114 +31,119 @@
 /// The result of this module.
 pub(crate) type Result<T> = std::result::Result<T, StepFailure>;
 
-/// How long a first reply may still take once the engine says that the step has run.
+/// Time left to the first send's reply once the second send showed that the step has run.
 const LATE_REPLY_GRACE: Duration = Duration::from_millis(20);
-/// A step that an engine is still about is waited for so many ceilings, while it answers probes.
+/// Timeout of the first send of a step, in multiples of the progress deadline's ceiling. It applies
+/// to an engine that still runs the step and answers probes.
 const STALL_TIMEOUT_CEILINGS: u32 = 4;
 
-/// Why a step gave no result.
+/// Why a step has no result.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum StepFailure {
-    /// The engine has no capacity; nothing ran.
+    /// The engine has no capacity now; nothing ran.
     #[error("busy, retry after {0:?}")]
     Busy(Duration),
-    /// The engine refused; nothing ran.
+    /// The engine refused the step; nothing ran.
     #[error("refused: {reason}, have {have}")]
     Refused {
-        /// Why.
+        /// Why the engine refused.
         reason: RefusalReason,
-        /// Positions it holds of this stage.
+        /// Number of positions of this stage that the engine has run.
         have: u32,
     },
     /// No connection could be opened; nothing ran.
     #[error("unreachable")]
     Unreachable,
-    /// The engine doesn't answer on a new connection either; may have run.
+    /// The engine accepts connections, but does not answer on a new one either; the step may have
+    /// run.
     #[error("silent")]
     Silent,
-    /// The engine answers probes and fails the step; may have run.
+    /// The engine answers probes, but the second send failed as well; the step may have run.
     #[error("step failed twice")]
     Broken,
-    /// Nobody listens any more where the step was sent; may have run.
+    /// The engine no longer accepts connections after the step was sent; the step may have run.
     #[error("engine gone")]
     Gone,
-    /// The engine restarted under the step; it may have run before.
+    /// The engine restarted after the step was sent; the step may have run before.
     #[error("engine restarted")]
     Restarted,
-    /// The request is refused for what it did to other upstreams; the step was not sent.
+    /// The quarantine refuses the request, because upstreams crashed while they ran it; the step
+    /// was not sent.
     #[error(transparent)]
     Quarantined(quarantine::Refusal),
-    /// The step ran, but its reply is lost for good.
+    /// The step ran, but its output is lost.
     #[error("reply lost")]
     ReplyLost,
-    /// The reply is not of this step.
+    /// The reply belongs to another step, or its form is wrong; the step may have run.
     #[error("reply does not match the step")]
     Mismatch,
 }
 
-/// What a step gave.
+/// Output of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum StepOutput {
-    /// Activations kept by the engine under the stage's handle.
+    /// The engine retains the activations under the stage's handle.
     Retained,
-    /// Activations, one a position.
+    /// Activations, one for each position.
     Rows(Vec<u64>),
-    /// The next token, from the last layer.
+    /// The next token, from the stage with the last layer.
     Token(u32),
 }
 
-/// What stays the same over all steps of a session.
+/// Parameters that all steps of a session share.
 #[derive(Clone, Debug)]
 pub(crate) struct SessionParams {
-    /// Session identifier.
+    /// Session identifier, unique per session.
     pub(crate) session: String,
-    /// Model name.
+    /// Name of the model.
     pub(crate) model: String,
-    /// Version that the session is bound to.
+    /// Version that the session is bound to; empty until its first path is chosen.
     pub(crate) version: String,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub(crate) layers: u32,
     /// Class of the request.
     pub(crate) class: Class,
-    /// Form in which outputs are asked for.
+    /// Form in which engines return the outputs of stages.
     pub(crate) output: OutputForm,
 }
 
-/// Bounds on the wait for a step.
+/// Timeouts of steps and probes, derived from observed times.
 #[derive(Clone, Debug)]
 pub struct Deadlines {
-    /// Progress deadline of a step.
+    /// Progress deadline of a step, from the observed times of steps. When it passes, the engine is
+    /// probed and the step sent again.
     pub step: DeadlineConfig,
-    /// Wait for the answer to a probe, from the times of answered polls.
+    /// Timeout of a probe, from the observed times of answered polls.
     pub probe: DeadlineConfig,
 }
 
-/// A lock on smoothed times; they are consistent after each call, also when a holder panicked.
+/// Locks smoothed times, even if poisoned: they are consistent after each call, so a panic of
+/// another task leaves them usable.
 fn lock(times: &Mutex<StepDeadline>) -> MutexGuard<'_, StepDeadline> {
     times.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One step about to run on a stage.
+/// A step that is about to run on a stage.
 pub(crate) struct StepCall<'a, E> {
     pub(crate) engine: &'a E,
     pub(crate) params: &'a SessionParams,
     pub(crate) hop: &'a HopState,
     pub(crate) counters: &'a Counters,
-    /// The engine's incarnation as last known; 0 when unknown.
+    /// Last known incarnation of the engine; 0 when unknown.
     pub(crate) incarnation: u64,
     pub(crate) deadlines: &'a Deadlines,
-    /// Positions to run from `hop.positions_run` on; above 0.
+    /// Number of positions to run from `hop.positions_run` on; above 0.
     pub(crate) count: u32,
 }
 
 impl<E: Engine> StepCall<'_, E> {
-    /// Runs the step.
+    /// Runs the step and records its time.
     ///
     /// # Errors
     ///
-    /// A failure that says whether the step may have run.
+    /// When there is no output; the [`StepFailure`] tells whether the step may have run.
     pub(crate) async fn run(&self, input: StepInput) -> Result<StepOutput> {
         let counters = self.counters;
         counters.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -152,7 +158,7 @@
         result
     }
 
-    /// Notes the time of a step, or the time waited in vain for one that is still under way.
+    /// Records the time that a step took, or the time waited so far for one that is still running.
     fn observe(&self, took: Duration) {
         let mut times = lock(&self.counters.step);
         times.observe(took, self.count);
@@ -173,16 +179,17 @@
             class: self.params.class,
             input,
             output: self.params.output,
-            // What the engine waits for itself, its input above all, is late by then too. Twice,
-            // so that a second send gets its chance first: it may fetch on a new connection.
+            // Bounds what the engine itself waits for, above all the fetch of its input. It is
+            // twice the progress deadline, so that the second send comes first: its fetch may use a
+            // new connection.
             deadline_ms: 2 * progress.as_millis() as u32,
             prefix: String::new(),
         }
     }
 
-    /// Sends the step; where the reply stays away or the connection breaks, asks the engine on a
-    /// new connection and sends it once more there. Sending twice is safe: an engine refuses
-    /// positions that it has run.
+    /// Sends the step. If there is no reply in time or the connection breaks, probes the engine on
+    /// a new connection and sends the step a second time there. This is idempotent, because an
+    /// engine refuses positions that it has run.
     async fn run_with_resend(&self, input: StepInput) -> Result<StepOutput> {
         let progress = lock(&self.counters.step).deadline(&self.deadlines.step, self.count);
         let batch = StepBatch {
@@ -193,7 +200,7 @@
         tokio::pin!(first);
         match tokio::time::timeout(progress, &mut first).await {
             Ok(Ok(reply)) => match self.check_reply(reply) {
-                // A reply of another step says nothing of this one, which may have run.
+                // A reply to another step does not show whether this one has run.
                 Err(StepFailure::Mismatch) => return self.resend(&batch).await,
                 result => return result,
             },
@@ -225,24 +232,25 @@
         }
     }
 
-    /// Checks that the engine lives before a suspect's step is sent, so that an engine that died
-    /// of something else isn't held against it. Returns the engine's incarnation.
+    /// Checks that the engine is alive before a step of a suspected request is sent, so that a
+    /// crash with another cause is not attributed to the request. Returns the engine's incarnation.
     ///
     /// # Errors
     ///
-    /// When it doesn't answer on a new connection; nothing ran.
+    /// When the engine does not answer on a new connection; nothing ran.
     pub(crate) async fn check_alive(&self) -> Result<u64> {
         let probed = self.query_state().await;
         let state = probed.map_err(|_| StepFailure::Unreachable)?;
         Ok(state.incarnation)
     }
 
-    /// Asks the engine for its state on a new connection.
+    /// Queries the engine's state on a new connection.
     async fn query_state(&self) -> engine::Result<EngineState> {
         let deadline = lock(&self.counters.poll).deadline(&self.deadlines.probe, 1);
         self.engine.probe(&self.hop.url, deadline).await
     }
 
+    /// Checks that the engine is alive and has not restarted since the step was sent.
     async fn probe(&self) -> Result<()> {
         match self.query_state().await {
             Ok(state) if self.incarnation != 0 && state.incarnation != self.incarnation => {
@@ -252,12 +260,13 @@
                 metrics::counter!("kelpworks_connections_dropped_total").increment(1);
                 Ok(())
             }
-            // The step was sent before, and may have run.
+            // Not `Unreachable`: the step was sent before, and may have run.
             Err(engine::Error::Connect(_)) => Err(StepFailure::Gone),
             Err(_) => Err(StepFailure::Silent),
         }
     }
 
+    /// Sends the step a second time.
     async fn resend(&self, batch: &StepBatch) -> Result<StepOutput> {
         let reply = self
             .engine
@@ -276,7 +285,8 @@
         }
     }
 
-    /// The step has run and its reply is gone: kept outputs can still be fetched, others not.
+    /// Returns the output of a step that has run and whose reply is lost. Retained activations can
+    /// still be fetched; inline activations and tokens are lost.
     fn output_without_reply(&self) -> Result<StepOutput> {
         let last = self.hop.layers.end == self.params.layers;
         if last || self.params.output == OutputForm::Inline {
@@ -285,6 +295,7 @@
         Ok(StepOutput::Retained)
     }
 
+    /// Returns the output or failure in a reply, after checking that it belongs to this step.
     fn check_reply(&self, batch: StepBatchReply) -> Result<StepOutput> {
         let mut replies = batch.replies.into_iter();
         let (Some(reply), None) = (replies.next(), replies.next()) else {
@@ -336,7 +347,7 @@
     }
 }
 
-/// Counts a call as in flight until dropped, also when its future is.
+/// Counts a step as in flight until dropped, also when the future that holds the guard is dropped.
 struct InFlightGuard<'a>(&'a Counters);
 
 impl Drop for InFlightGuard<'_> {
