--- a/crates/kelpworks/src/executor/round.rs
+++ b/crates/kelpworks/src/executor/round.rs
@@ -1,4 +1,4 @@
-//! One round: plan, read back, order.
+//! The placement rounds: each decides on a plan, reads the engines' state and sends due orders.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,16 +12,16 @@
 use tokio::time::Instant;
 
 use super::Config;
-use super::degraded::Degraded;
-use super::gate::Due;
-use super::gate::Gate;
-use super::gate::Now;
-use super::gate::Reading;
+use super::degraded::DegradedHosts;
 use super::lease_keeper::LEASE_NAME;
 use super::lease_keeper::LeaseHandle;
 use super::liveness::Liveness;
+use super::order_scheduler::DueOrder;
+use super::order_scheduler::Now;
+use super::order_scheduler::OrderScheduler;
+use super::order_scheduler::Reading;
 use super::planning;
-use super::planning::Decided;
+use super::planning::PlanDecision;
 use super::planning::Planning;
 use crate::active_config::ActiveConfig;
 use crate::clients::engine;
@@ -42,45 +42,46 @@
 use kelpworks_wire::OrderAction;
 use kelpworks_wire::OrderReply;
 
-/// Engines asked or ordered at the same time, at most.
-const CONCURRENCY: usize = 32;
-/// Steps of a wave that are looked at in one round, at most; each costs a reading of its engine.
-const WINDOW: usize = 64;
+/// Bounds the concurrent queries or orders to engines.
+const MAX_CONCURRENT_CALLS: usize = 32;
+/// Bounds the steps of a wave that one round considers, because each requires a query of its
+/// engine. A wave with an unload requires a query of every engine instead.
+const MAX_STEPS_PER_ROUND: usize = 64;
 
-/// The rounds of one daemon.
+/// The placement rounds of one daemon, and the state kept between them.
 #[derive(Debug)]
 pub(super) struct Rounds<E> {
     cfg: Config,
-    hold: Arc<LeaseHandle>,
+    lease: Arc<LeaseHandle>,
     engine: Arc<E>,
     config: Arc<ArcSwap<ActiveConfig>>,
     fleet: Arc<ArcSwap<Fleet>>,
     liveness: Liveness,
-    degraded: Degraded,
+    degraded: DegradedHosts,
     planning: Planning,
-    gate: Gate,
+    order_scheduler: OrderScheduler,
 }
 
-/// Base URLs of the engines of an input.
+/// Base URLs of the engines, by their host in the planner's input.
 type Urls = HashMap<HostKey, Arc<str>>;
 
 impl<E: Engine> Rounds<E> {
     pub(super) fn new(
         cfg: Config,
-        hold: Arc<LeaseHandle>,
+        lease: Arc<LeaseHandle>,
         engine: Arc<E>,
         config: Arc<ArcSwap<ActiveConfig>>,
         fleet: Arc<ArcSwap<Fleet>>,
     ) -> Rounds<E> {
         Rounds {
-            gate: Gate::new(cfg.lease.order_bound, cfg.drain),
+            order_scheduler: OrderScheduler::new(cfg.lease.order_bound, cfg.drain),
             cfg,
-            hold,
+            lease,
             engine,
             config,
             fleet,
             liveness: Liveness::default(),
-            degraded: Degraded::default(),
+            degraded: DegradedHosts::default(),
             planning: Planning::default(),
         }
     }
@@ -92,41 +93,42 @@
             tick.tick().await;
             let now = Instant::now();
             self.observe(now);
-            let holds = self.hold.fence().is_some();
-            metrics::gauge!("kelpworks_placement_lease").set(f64::from(u8::from(holds)));
-            if !holds {
-                // A later hold starts from what engines say then.
+            let is_holder = self.lease.fencing_token().is_some();
+            metrics::gauge!("kelpworks_placement_lease").set(f64::from(u8::from(is_holder)));
+            if !is_holder {
+                // After the next acquisition, planning starts from the layers loaded then.
                 self.planning = Planning::default();
-                self.gate.reset();
+                self.order_scheduler.reset();
                 continue;
             }
-            if self.liveness.is_settled(self.cfg.lost_after, now) {
+            if self.liveness.is_warmed_up(self.cfg.lost_after, now) {
                 self.round(now).await;
             }
         }
     }
 
-    /// Takes note of the fleet, also while another daemon holds the lease.
+    /// Records health and step times of the fleet, also while another daemon holds the lease.
     fn observe(&mut self, now: Instant) {
         let fleet = self.fleet.load();
         self.liveness.observe(&fleet, now);
         for change in self.degraded.observe(&fleet) {
             info!(
                 target: "decision", decision = "degraded", upstream = &*change.host,
-                step_us = change.step_us, slower = change.slower,
+                step_us = change.step_us, slower = change.slowdown,
                 reason = if change.degraded { "slower-than-peers" } else { "recovered" };
-                "observed rate of an engine"
+                "degraded state of an engine changed"
             );
         }
     }
 
-    /// The register as it is: hosts that are live, at the rates they reach, with what they hold.
+    /// Returns the planner's input: the register with the liveness, effective rates and loaded
+    /// layers of its hosts.
     fn input(&self, config: &ActiveConfig, fleet: &Fleet, now: Instant) -> Input {
         let mut input = planning::input(&config.register, fleet, self.cfg.weight_rate);
         for host in &mut input.hosts {
             let live = self.liveness.is_live(&host.name, self.cfg.lost_after, now);
-            host.live = live && !self.gate.is_unfit(&host.name, now);
-            host.layer_rate *= self.degraded.part_of_rate(&host.name);
+            host.live = live && !self.order_scheduler.is_unfit(&host.name, now);
+            host.layer_rate *= self.degraded.rate_fraction(&host.name);
         }
         input
     }
@@ -138,93 +140,100 @@
         if input.hosts.is_empty() || input.models.is_empty() {
             return;
         }
-        let Some((input, decided)) = self.decide(config.generation, input, now).await else {
+        let Some((input, plan_decision)) = self.decide(config.generation, input, now).await else {
             return;
         };
-        if decided.changed {
-            note_plan(&input, &decided);
+        if plan_decision.changed {
+            log_plan(&input, &plan_decision);
         }
         let urls = urls(&input, &fleet);
-        let wave = first_wave(&input, &decided.plan);
+        let wave = first_wave(&input, &plan_decision.plan);
         if wave.is_empty() {
-            self.gate.keep(&input, &wave);
+            self.order_scheduler.retain_steps(&input, &wave);
             return;
         }
-        let drops = wave.iter().any(is_unload);
-        let readings = self.read(hosts_to_read(&wave, &urls, drops), &urls).await;
-        let input = refreshed(input, &readings, drops);
-        let wave = first_wave(&input, &decided.plan);
-        if wave.iter().any(is_unload) && !drops {
-            // Not all engines were read; the next round reads them.
+        let has_unloads = wave.iter().any(is_unload);
+        let readings = self
+            .read_engines(hosts_to_read(&wave, &urls, has_unloads), &urls)
+            .await;
+        let input = with_readings(input, &readings, has_unloads);
+        let wave = first_wave(&input, &plan_decision.plan);
+        if wave.iter().any(is_unload) && !has_unloads {
+            // The readings show an unload that the first wave did not have, and only some engines
+            // were read. A later round reads all of them before it unloads.
             return;
         }
         let now = Now {
             tokio: Instant::now(),
-            coord: self.hold.now(),
-            fence: self.hold.fence(),
+            coord: self.lease.now(),
+            fencing_token: self.lease.fencing_token(),
         };
-        let due = self.gate.due(&input, &wave, &readings, now);
-        for (host, range) in self.gate.newly_unfit() {
-            warn!("{host} does not load {range:?}: left out of placement for a while");
+        let due = self.order_scheduler.due(&input, &wave, &readings, now);
+        for (host, range) in self.order_scheduler.take_newly_unfit() {
+            warn!("{host} failed to load {range:?}; excluded from placement temporarily");
             info!(
                 target: "decision", decision = "unfit", upstream = &*host, range:? = range,
-                reason = "loads-failed"; "host left out of placement"
+                reason = "loads-failed"; "host excluded from placement"
             );
         }
-        self.send(&input, &urls, due).await;
+        self.send_orders(&input, &urls, due).await;
     }
 
-    /// Settles on a plan, away from the threads that serve requests: for a large fleet it takes a
-    /// good part of a second. A plan that can't be made leaves the fleet as it is.
+    /// Decides on a plan, on a blocking thread: for a large fleet this takes a good part of a
+    /// second, which would delay the threads that serve requests. Returns `None` when planning
+    /// panics; the round then sends no orders.
     async fn decide(
         &mut self,
         generation: u64,
         input: Input,
         now: Instant,
-    ) -> Option<(Input, Decided)> {
+    ) -> Option<(Input, PlanDecision)> {
         let mut planning = std::mem::take(&mut self.planning);
         let improve_after = self.cfg.improve_after;
         let work = move || {
-            let decided = planning.decide(generation, &input, improve_after, now);
-            (planning, input, decided)
+            let plan_decision = planning.decide(generation, &input, improve_after, now);
+            (planning, input, plan_decision)
         };
         match tokio::task::spawn_blocking(work).await {
-            Ok((planning, input, decided)) => {
+            Ok((planning, input, plan_decision)) => {
                 self.planning = planning;
-                Some((input, decided))
+                Some((input, plan_decision))
             }
             Err(e) => {
-                warn!("placement: {e}");
+                warn!("placement planning failed: {e}");
                 None
             }
         }
     }
 
-    async fn read(&self, hosts: Vec<HostKey>, urls: &Urls) -> HashMap<HostKey, Reading> {
-        let one = async |host: HostKey| {
-            let asked = self.hold.now();
+    /// Queries engines for their state; engines that do not answer are missing in the result.
+    async fn read_engines(&self, hosts: Vec<HostKey>, urls: &Urls) -> HashMap<HostKey, Reading> {
+        let read_one = async |host: HostKey| {
+            let queried_at = self.lease.now();
             let state = self.engine.state(urls.get(&host)?, self.cfg.poll_deadline);
             let state = state.await.ok()?;
-            Some((host, Reading { asked, state }))
+            Some((host, Reading { queried_at, state }))
         };
-        let read = stream::iter(hosts).map(one).buffer_unordered(CONCURRENCY);
-        read.filter_map(async |r| r).collect().await
+        let readings = stream::iter(hosts)
+            .map(read_one)
+            .buffer_unordered(MAX_CONCURRENT_CALLS);
+        readings.filter_map(async |r| r).collect().await
     }
 
-    async fn send(&self, input: &Input, urls: &Urls, due: Vec<Due>) {
-        let one = async |due: Due| {
+    async fn send_orders(&self, input: &Input, urls: &Urls, due: Vec<DueOrder>) {
+        let send_due = async |due: DueOrder| {
             if let Some(url) = urls.get(&due.host) {
-                self.send_one(input, url, due).await;
+                self.send_order(input, url, due).await;
             }
         };
         stream::iter(due)
-            .for_each_concurrent(CONCURRENCY, one)
+            .for_each_concurrent(MAX_CONCURRENT_CALLS, send_due)
             .await;
     }
 
-    async fn send_one(&self, input: &Input, url: &Arc<str>, due: Due) {
-        // Asked for again: orders before this one may have taken long.
-        let Some(Token(token)) = self.hold.fence() else {
+    async fn send_order(&self, input: &Input, url: &Arc<str>, due: DueOrder) {
+        // Earlier orders of this round may have taken long, so the lease is checked again.
+        let Some(Token(token)) = self.lease.fencing_token() else {
             return;
         };
         let order = EngineOrder {
@@ -235,7 +244,7 @@
             },
         };
         let reply = self.engine.order(url, &order, self.cfg.order_bound());
-        note_order(input, &due, token, reply.await);
+        log_order(input, &due, token, reply.await);
     }
 }
 
@@ -248,12 +257,17 @@
     matches!(step.action, Action::Unload { .. })
 }
 
-/// Before something is dropped, every engine is read: what is dropped must stand elsewhere.
-fn hosts_to_read(wave: &[OrderStep], urls: &Urls, drops: bool) -> Vec<HostKey> {
-    if drops {
+/// Returns the hosts whose engines to read. Before an unload these are all hosts, because the same
+/// layers must be loaded elsewhere.
+fn hosts_to_read(wave: &[OrderStep], urls: &Urls, has_unloads: bool) -> Vec<HostKey> {
+    if has_unloads {
         return urls.keys().copied().collect();
     }
-    let hosts: HashSet<HostKey> = wave.iter().take(WINDOW).map(|s| s.range.host).collect();
+    let hosts: HashSet<HostKey> = wave
+        .iter()
+        .take(MAX_STEPS_PER_ROUND)
+        .map(|s| s.range.host)
+        .collect();
     hosts.into_iter().collect()
 }
 
@@ -266,22 +280,26 @@
         .collect()
 }
 
-/// The input with holdings as just read. An engine that did not answer holds nothing when
-/// something is to be dropped, and else what it said last.
-fn refreshed(mut input: Input, readings: &HashMap<HostKey, Reading>, drops: bool) -> Input {
-    let stays = |h: &HostRange| !drops && !readings.contains_key(&h.host);
-    input.loaded_ranges.retain(stays);
+/// Returns the input with the loaded ranges as just read. An engine without a reading counts as
+/// having nothing loaded if the wave has an unload; otherwise its last known ranges are kept.
+fn with_readings(
+    mut input: Input,
+    readings: &HashMap<HostKey, Reading>,
+    has_unloads: bool,
+) -> Input {
+    let is_kept = |h: &HostRange| !has_unloads && !readings.contains_key(&h.host);
+    input.loaded_ranges.retain(is_kept);
     let mut read: Vec<(&HostKey, &Reading)> = readings.iter().collect();
     read.sort_by_key(|(host, _)| **host);
     for (&host, reading) in read {
         for range in &reading.state.loaded {
-            input.loaded_ranges.extend(held_range(&input, host, range));
+            input.loaded_ranges.extend(host_range(&input, host, range));
         }
     }
     input
 }
 
-fn held_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HostRange> {
+fn host_range(input: &Input, host: HostKey, range: &LoadedRange) -> Option<HostRange> {
     let model = input.models.iter().position(|m| *m.name == range.model)?;
     Some(HostRange {
         host,
@@ -291,10 +309,10 @@
     })
 }
 
-fn note_plan(input: &Input, decided: &Decided) {
-    let plan = &decided.plan;
+fn log_plan(input: &Input, plan_decision: &PlanDecision) {
+    let plan = &plan_decision.plan;
     info!(
-        target: "decision", decision = "plan", reason = decided.reason.as_str(),
+        target: "decision", decision = "plan", reason = plan_decision.reason.as_str(),
         scale = plan.scale(input), bound = input.bound(), moves = plan.moves(input),
         bytes = plan.bytes_to_load(input), shortfalls:? = plan.shortfalls;
         "placement plan"
@@ -305,7 +323,7 @@
     }
 }
 
-fn note_order(input: &Input, due: &Due, token: u64, reply: engine::Result<OrderReply>) {
+fn log_order(input: &Input, due: &DueOrder, token: u64, reply: engine::Result<OrderReply>) {
     let (kind, range) = match &due.action {
         OrderAction::Load(range) => ("load", Some(range)),
         OrderAction::Unload(range) => ("unload", Some(range)),
@@ -326,8 +344,14 @@
         "placement order"
     );
     match reply {
-        Ok(OrderReply::Refused(why)) => warn!("{} refused: {why}", input.host(due.host).name),
-        Err(e) => warn!("order to {}: {e}", input.host(due.host).name),
+        Ok(OrderReply::Refused(why)) => warn!(
+            "{} refused placement order: {why}",
+            input.host(due.host).name
+        ),
+        Err(e) => warn!(
+            "placement order to {} failed: {e}",
+            input.host(due.host).name
+        ),
         Ok(_) => {}
     }
 }
--- a/crates/kelpworks/src/pipeline/recovery.rs
+++ b/crates/kelpworks/src/pipeline/recovery.rs
@@ -1,4 +1,5 @@
-//! What bounds the recoveries of a session: quarantine, retry budget and cooldowns.
+//! Recovers a session from failures of its stages, within the bounds of quarantine, retry budget
+//! and cooldowns.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,7 +19,7 @@
 use crate::pipeline::driver::Result;
 use crate::pipeline::driver::SessionError;
 use crate::pipeline::driver::jittered;
-use crate::pipeline::path::NO_PATH_WAIT;
+use crate::pipeline::path::NO_PATH_RETRY_INTERVAL;
 use crate::pipeline::session::Session;
 use crate::pipeline::step::StepFailure;
 use crate::quarantine;
@@ -30,13 +31,14 @@
 use crate::verdict::Verdict;
 use kelpworks_wire::RefusalReason;
 
-/// Doublings of that wait, at most, when the same upstream fails again and again.
+/// Bounds the doublings of [`NO_PATH_RETRY_INTERVAL`] while an upstream without replacement fails.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Wait before a session over the retry budget goes on.
-const SLOWEST_BACKOFF: Duration = Duration::from_secs(1);
-/// Recoveries of a session that the budget only slows.
-const SURE_RECOVERIES: u32 = 2;
-/// Most recoveries of one session; above it something is wrong that another try won't mend.
+/// Wait before a retry that exceeds the retry budget.
+const OVER_BUDGET_BACKOFF: Duration = Duration::from_secs(1);
+/// Bounds the recoveries of a session that has sent nothing, while the retry budget is exhausted.
+const MAX_RECOVERIES_OVER_BUDGET: u32 = 2;
+/// Bounds the recoveries of a session that has sent tokens. One that fails more often has a fault
+/// that a retry does not resolve.
 const MAX_RECOVERIES: u32 = 32;
 
 impl<E: Engine> Driver<E> {
@@ -44,8 +46,9 @@
         lock(&self.retries).decide(self.start.elapsed(), attempt, &mut rand::rng())
     }
 
-    /// Notes that an upstream refused for want of capacity; what is left of its cooldown.
-    pub(super) fn cool(&self, upstream: UpstreamKey, after: Duration) -> Duration {
+    /// Records that an upstream refused a step for lack of capacity. Returns the time left of its
+    /// cooldown.
+    pub(super) fn start_cooldown(&self, upstream: UpstreamKey, after: Duration) -> Duration {
         let fleet = self.fleet.load();
         let Some(counters) = fleet.upstreams.get(upstream).map(|u| &u.counters) else {
             return after;
@@ -54,47 +57,51 @@
         lock(&self.cooldowns).record_refusal(upstream, counters, after, now_ms, &mut rand::rng())
     }
 
-    /// Notes that an upstream served; it cools no longer.
-    pub(super) fn served(&self, upstream: UpstreamKey, counters: &Counters) {
+    /// Ends the cooldown of an upstream, if any, because it has served a step.
+    pub(super) fn end_cooldown(&self, upstream: UpstreamKey, counters: &Counters) {
         if counters.busy_until_ms.load(Ordering::Relaxed) != 0 {
             lock(&self.cooldowns).clear_cooldown(upstream, counters);
         }
     }
 }
 
-/// Locks; what is behind it is changed by single calls only, so a panic elsewhere leaves it whole.
+/// Locks a mutex, even a poisoned one: its value is changed by single calls only, so a panic of
+/// another task leaves it consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<E: Engine> Session<'_, E> {
-    pub(super) async fn recover(&mut self, at: usize, failure: StepFailure) -> Result<()> {
-        let upstream = self.hops[at].upstream;
-        let name = Arc::clone(&self.hops[at].name);
+    /// Handles the failure of a stage, so that the session can continue. Returns an error when the
+    /// session must end.
+    pub(super) async fn recover(&mut self, stage: usize, failure: StepFailure) -> Result<()> {
+        let upstream = self.hops[stage].upstream;
+        let name = Arc::clone(&self.hops[stage].name);
         info!(
-            target: "decision", decision = "recover", request = self.fixed.session.as_str(),
-            upstream = &*name, position = self.hops[at].have, reason = failure.to_string();
+            target: "decision", decision = "recover", request = self.params.session.as_str(),
+            upstream = &*name, position = self.hops[stage].positions_run,
+            reason = failure.to_string();
             "stage failed"
         );
         if !matches!(failure, StepFailure::Busy(_) | StepFailure::Quarantined(_)) {
             self.before_retry(upstream, &failure).await?;
         }
         match failure {
-            // Waiting is not a failure of the session; only its deadline bounds it.
-            StepFailure::Busy(after) => self.wait_or_move(at, after).await,
+            // Waiting for capacity does not count as a recovery; only the deadline bounds it.
+            StepFailure::Busy(after) => self.wait_or_move(stage, after).await,
             StepFailure::Quarantined(refusal) => Err(SessionError::Quarantined(refusal)),
             StepFailure::Refused {
                 reason: RefusalReason::PositionGap,
                 ..
             }
             | StepFailure::ReplyLost => {
-                self.restart(at);
+                self.restart_stage(stage);
                 Ok(())
             }
             StepFailure::Refused {
                 reason: RefusalReason::HandleMissing,
                 ..
-            } => self.fetch_failed(at).await,
+            } => self.recover_failed_fetch(stage).await,
             StepFailure::Refused {
                 reason: RefusalReason::Invalid,
                 ..
@@ -109,11 +116,12 @@
         }
     }
 
-    /// A stage without state moves on; one with state waits for its turn.
-    async fn wait_or_move(&mut self, at: usize, after: Duration) -> Result<()> {
-        let busy = self.hops[at].upstream;
-        let left = self.driver.cool(busy, after);
-        if self.hops[at].have == 0 {
+    /// Handles a busy upstream: a stage that has run no position moves to another one; a stage with
+    /// state waits for the cooldown.
+    async fn wait_or_move(&mut self, stage: usize, after: Duration) -> Result<()> {
+        let busy = self.hops[stage].upstream;
+        let left = self.driver.start_cooldown(busy, after);
+        if self.hops[stage].positions_run == 0 {
             self.avoid(busy);
             self.route("stage busy").await?;
         }
@@ -123,67 +131,69 @@
         Ok(())
     }
 
-    /// Moves the session off an upstream that failed; where nobody else can take its place, waits
-    /// a growing time before it is tried again.
+    /// Moves the session off an upstream that failed. When no other upstream can replace it, waits
+    /// with exponential backoff before the failed one is tried again.
     async fn move_off(&mut self, upstream: UpstreamKey, reason: &'static str) -> Result<()> {
         self.avoid(upstream);
         self.route(reason).await?;
         if self.hops.iter().any(|h| h.upstream == upstream) {
             let doublings = self.recoveries.min(MAX_BACKOFF_DOUBLINGS);
-            tokio::time::sleep(jittered(NO_PATH_WAIT * (1 << doublings))).await;
+            tokio::time::sleep(jittered(NO_PATH_RETRY_INTERVAL * (1 << doublings))).await;
         }
         Ok(())
     }
 
+    /// Makes the session use an upstream only when no other can run its layers.
     pub(super) fn avoid(&mut self, upstream: UpstreamKey) {
         if !self.avoid.contains(&upstream) {
             self.avoid.push(upstream);
         }
     }
 
-    /// The stage's state is gone or unknown: it runs again from position 0 as a new lineage.
-    fn restart(&mut self, at: usize) {
-        let hop = &mut self.hops[at];
-        self.left.push(hop.clone());
+    /// Restarts a stage whose state is lost or unknown from position 0, as a new lineage.
+    fn restart_stage(&mut self, stage: usize) {
+        let hop = &mut self.hops[stage];
+        self.abandoned.push(hop.clone());
         hop.attempt = self.next_attempt;
-        hop.have = 0;
+        hop.positions_run = 0;
         hop.rows.clear();
         self.next_attempt += 1;
     }
 
-    /// A stage could not fetch its input from the one before it.
+    /// Handles a stage that could not fetch its input from the previous stage.
     ///
-    /// The fetch may have met a connection that is dead; the step is sent once more, and finds a new
-    /// one. Else that stage may have lost its outputs, and runs again where it is. Where that does
-    /// not help, the link between the two may be down, at either end: one moves, then the other.
-    async fn fetch_failed(&mut self, at: usize) -> Result<()> {
-        let before = at.saturating_sub(1);
-        self.unfetched += 1;
-        match self.unfetched {
+    /// The first failure may be due to a dead connection between the engines, so the step is sent
+    /// again, which opens a new one. After the second, the previous stage may have lost its
+    /// outputs, and is restarted where it is. After further failures, the link may be down at
+    /// either end, so the previous stage and this one move to other upstreams alternately.
+    async fn recover_failed_fetch(&mut self, stage: usize) -> Result<()> {
+        let previous_stage = stage.saturating_sub(1);
+        self.failed_fetches += 1;
+        match self.failed_fetches {
             1 => Ok(()),
             2 => {
-                self.restart(before);
+                self.restart_stage(previous_stage);
                 Ok(())
             }
             n if n % 2 == 1 => {
-                let upstream = self.hops[before].upstream;
+                let upstream = self.hops[previous_stage].upstream;
                 self.move_off(upstream, "output can't be fetched").await
             }
             _ => {
-                let upstream = self.hops[at].upstream;
+                let upstream = self.hops[stage].upstream;
                 self.move_off(upstream, "input can't be fetched").await
             }
         }
     }
 
-    /// What goes before any other try: the failure is reported, the session may end here, and a
-    /// wait keeps tries apart.
+    /// Prepares a retry after a failure: reports a dead upstream, ends the session when its request
+    /// is refused by the quarantine or may not be retried, and waits for the backoff.
     pub(super) async fn before_retry(
         &mut self,
         upstream: UpstreamKey,
         failure: &StepFailure,
     ) -> Result<()> {
-        let dead = matches!(
+        let upstream_died = matches!(
             failure,
             StepFailure::Unreachable
                 | StepFailure::Silent
@@ -191,7 +201,7 @@
                 | StepFailure::Gone
                 | StepFailure::Restarted
         );
-        if dead {
+        if upstream_died {
             let _ = self.driver.reports.send(Report::Suspect(upstream));
         }
         let checked = self.driver.quarantine.check(self.job.fingerprint);
@@ -199,25 +209,27 @@
             return Err(SessionError::Quarantined(refusal));
         }
         self.recoveries += 1;
-        let delay = self.back_off(failure)?;
+        let delay = self.retry_delay(failure)?;
         tokio::time::sleep(delay).await;
         Ok(())
     }
 
-    /// How long to wait before the session goes on after a failure of a stage.
+    /// Returns the wait before the session continues after a failure of a stage.
     ///
-    /// Over the budget a session goes on at the slowest rate: one whose caller has part of the
-    /// answer until its deadline or [`MAX_RECOVERIES`], one that has sent nothing for
-    /// [`SURE_RECOVERIES`], after which it ends with its final answer at once. The loss of a host
-    /// that ran more sessions than the budget has retries so costs none its answer, and a stage
-    /// that fails every step still gets a bounded number of steps a session.
-    fn back_off(&self, failure: &StepFailure) -> Result<Duration> {
+    /// When the retry budget is exhausted, the session still continues, with the longest backoff. A
+    /// session whose caller has part of the answer does so until its deadline or for
+    /// [`MAX_RECOVERIES`]. A session that has sent nothing does so for
+    /// [`MAX_RECOVERIES_OVER_BUDGET`] and then fails at once. So no session fails when a host is
+    /// lost that ran more sessions than the budget has retries, and a stage that fails every step
+    /// gets a bounded number of steps per session.
+    fn retry_delay(&self, failure: &StepFailure) -> Result<Duration> {
         let attempt = Attempt {
             verdict: match failure {
                 StepFailure::Unreachable | StepFailure::Refused { .. } => Verdict::NotRun,
                 _ => Verdict::MayHaveRun,
             },
-            // An engine refuses positions that it has run, and no token is sent twice.
+            // Engines refuse positions that they have run, and no token is sent twice to the
+            // caller.
             idempotent: true,
             attempts: self.recoveries,
             time_left: self.job.deadline.saturating_duration_since(Instant::now()),
@@ -227,10 +239,12 @@
         match decision {
             Decision::RetryAfter(delay) => Ok(delay),
             Decision::Abandon(_) if sent && self.recoveries <= MAX_RECOVERIES => {
-                Ok(jittered(SLOWEST_BACKOFF))
+                Ok(jittered(OVER_BUDGET_BACKOFF))
             }
-            Decision::Abandon(AbandonReason::Budget) if self.recoveries <= SURE_RECOVERIES => {
-                Ok(jittered(SLOWEST_BACKOFF))
+            Decision::Abandon(AbandonReason::Budget)
+                if self.recoveries <= MAX_RECOVERIES_OVER_BUDGET =>
+            {
+                Ok(jittered(OVER_BUDGET_BACKOFF))
             }
             Decision::Abandon(reason) => {
                 let failure = failure.clone();
@@ -239,27 +253,32 @@
         }
     }
 
-    /// Notes that the answer is whole.
-    pub(super) fn succeeded(&self) {
+    /// Records in the retry budget and the quarantine that the answer is complete.
+    pub(super) fn record_success(&self) {
         lock(&self.driver.retries).record_success();
-        let known = self.known.len() as u32;
+        let token_count = self.token_ids.len() as u32;
         self.driver
             .quarantine
-            .record_progress(self.job.fingerprint, known, true);
+            .record_progress(self.job.fingerprint, token_count, true);
     }
 
-    /// Upstreams that a suspect had better not move to: those where others run, and all in the
-    /// failure domain of the one that died with it, which may die for the same reason. Never one
-    /// that keeps its place.
-    pub(super) fn apart_from(&self, fleet: &Fleet, keep: &[routing::Hop]) -> Vec<UpstreamKey> {
-        let places = self.driver.quarantine.routing_hints(self.job.fingerprint);
-        let mut apart = places.occupied;
-        if let Some(crashed) = places.crashed.and_then(|key| fleet.upstreams.get(key)) {
-            let same = fleet.upstreams.iter();
-            let same = same.filter(|(_, u)| u.domain == crashed.domain);
-            apart.extend(same.map(|(key, _)| key));
+    /// Returns the upstreams that a request suspected of crashing upstreams should not move to:
+    /// those on the paths of other suspects, and all in the failure domain of the upstream that
+    /// died while it ran the request, since they may fail for the same reason. Upstreams in `keep`
+    /// are excluded. Empty for other requests.
+    pub(super) fn avoided_by_suspect(
+        &self,
+        fleet: &Fleet,
+        keep: &[routing::Hop],
+    ) -> Vec<UpstreamKey> {
+        let hints = self.driver.quarantine.routing_hints(self.job.fingerprint);
+        let mut avoided = hints.occupied;
+        if let Some(crashed) = hints.crashed.and_then(|key| fleet.upstreams.get(key)) {
+            let same_domain = fleet.upstreams.iter();
+            let same_domain = same_domain.filter(|(_, u)| u.domain == crashed.domain);
+            avoided.extend(same_domain.map(|(key, _)| key));
         }
-        apart.retain(|key| keep.iter().all(|h| h.upstream != *key));
-        apart
+        avoided.retain(|key| keep.iter().all(|h| h.upstream != *key));
+        avoided
     }
 }
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -1,4 +1,5 @@
-//! One step on one stage: sent, checked against its echo, and settled when the reply stays away.
+//! Runs one step on one stage: sends it, checks that the reply belongs to it, and finds out whether
+//! it ran when there is no reply.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -30,121 +31,126 @@
 /// The result of this module.
 pub(crate) type Result<T> = std::result::Result<T, StepFailure>;
 
-/// How long a first reply may still take once the engine says that the step has run.
+/// Time left to the first send's reply once the second send showed that the step has run.
 const LATE_REPLY_GRACE: Duration = Duration::from_millis(20);
-/// A step that an engine is still about is waited for so many ceilings, while it answers probes.
-const SILENT_CEILINGS: u32 = 4;
+/// Timeout of the first send of a step, in multiples of the progress deadline's ceiling. It applies
+/// to an engine that still runs the step and answers probes.
+const STALL_TIMEOUT_CEILINGS: u32 = 4;
 
-/// Why a step gave no result.
+/// Why a step has no result.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum StepFailure {
-    /// The engine has no capacity; nothing ran.
+    /// The engine has no capacity now; nothing ran.
     #[error("busy, retry after {0:?}")]
     Busy(Duration),
-    /// The engine refused; nothing ran.
+    /// The engine refused the step; nothing ran.
     #[error("refused: {reason}, have {have}")]
     Refused {
-        /// Why.
+        /// Why the engine refused.
         reason: RefusalReason,
-        /// Positions it holds of this stage.
+        /// Number of positions of this stage that the engine has run.
         have: u32,
     },
     /// No connection could be opened; nothing ran.
     #[error("unreachable")]
     Unreachable,
-    /// The engine doesn't answer on a new connection either; may have run.
+    /// The engine accepts connections, but does not answer on a new one either; the step may have
+    /// run.
     #[error("silent")]
     Silent,
-    /// The engine answers probes and fails the step; may have run.
+    /// The engine answers probes, but the second send failed as well; the step may have run.
     #[error("step failed twice")]
     Broken,
-    /// Nobody listens any more where the step was sent; may have run.
+    /// The engine no longer accepts connections after the step was sent; the step may have run.
     #[error("engine gone")]
     Gone,
-    /// The engine restarted under the step; it may have run before.
+    /// The engine restarted after the step was sent; the step may have run before.
     #[error("engine restarted")]
     Restarted,
-    /// The request is refused for what it did to other upstreams; the step was not sent.
+    /// The quarantine refuses the request, because upstreams crashed while they ran it; the step
+    /// was not sent.
     #[error(transparent)]
     Quarantined(quarantine::Refusal),
-    /// The step ran, but its reply is lost for good.
+    /// The step ran, but its output is lost.
     #[error("reply lost")]
     ReplyLost,
-    /// The reply is not of this step.
+    /// The reply belongs to another step, or its form is wrong; the step may have run.
     #[error("reply does not match the step")]
     Mismatch,
 }
 
-/// What a step gave.
+/// Output of a step.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Output {
-    /// Activations kept by the engine under the stage's handle.
-    Kept,
-    /// Activations, one a position.
+pub(crate) enum StepOutput {
+    /// The engine retains the activations under the stage's handle.
+    Retained,
+    /// Activations, one for each position.
     Rows(Vec<u64>),
-    /// The next token, from the last layer.
+    /// The next token, from the stage with the last layer.
     Token(u32),
 }
 
-/// What stays the same over all steps of a session.
+/// Parameters that all steps of a session share.
 #[derive(Clone, Debug)]
-pub(crate) struct Fixed {
-    /// Session identifier.
+pub(crate) struct SessionParams {
+    /// Session identifier, unique per session.
     pub(crate) session: String,
-    /// Model name.
+    /// Name of the model.
     pub(crate) model: String,
-    /// Version that the session is bound to.
+    /// Version that the session is bound to; empty until its first path is chosen.
     pub(crate) version: String,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub(crate) layers: u32,
     /// Class of the request.
     pub(crate) class: Class,
-    /// Form in which outputs are asked for.
+    /// Form in which engines return the outputs of stages.
     pub(crate) output: OutputForm,
 }
 
-/// Bounds on the wait for a step.
+/// Timeouts of steps and probes, derived from observed times.
 #[derive(Clone, Debug)]
 pub struct Deadlines {
-    /// Progress deadline of a step.
+    /// Progress deadline of a step, from the observed times of steps. When it passes, the engine is
+    /// probed and the step sent again.
     pub step: DeadlineConfig,
-    /// Wait for the answer to a probe, from the times of answered polls.
+    /// Timeout of a probe, from the observed times of answered polls.
     pub probe: DeadlineConfig,
 }
 
-/// A lock on smoothed times; they are consistent after each call, also when a holder panicked.
+/// Locks smoothed times, even if poisoned: they are consistent after each call, so a panic of
+/// another task leaves them usable.
 fn lock(times: &Mutex<StepDeadline>) -> MutexGuard<'_, StepDeadline> {
     times.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One step about to run on a stage.
-pub(crate) struct Call<'a, E> {
+/// A step that is about to run on a stage.
+pub(crate) struct StepCall<'a, E> {
     pub(crate) engine: &'a E,
-    pub(crate) fixed: &'a Fixed,
+    pub(crate) params: &'a SessionParams,
     pub(crate) hop: &'a HopState,
     pub(crate) counters: &'a Counters,
-    /// The engine's incarnation as last known; 0 when unknown.
+    /// Last known incarnation of the engine; 0 when unknown.
     pub(crate) incarnation: u64,
     pub(crate) deadlines: &'a Deadlines,
-    /// Positions to run from `hop.have` on; above 0.
+    /// Number of positions to run from `hop.positions_run` on; above 0.
     pub(crate) count: u32,
 }
 
-impl<E: Engine> Call<'_, E> {
-    /// Runs the step.
+impl<E: Engine> StepCall<'_, E> {
+    /// Runs the step and records its time.
     ///
     /// # Errors
     ///
-    /// A failure that says whether the step may have run.
-    pub(crate) async fn run(&self, input: StepInput) -> Result<Output> {
+    /// When there is no output; the [`StepFailure`] tells whether the step may have run.
+    pub(crate) async fn run(&self, input: StepInput) -> Result<StepOutput> {
         let counters = self.counters;
         counters.in_flight.fetch_add(1, Ordering::Relaxed);
         counters.sent_since_report.fetch_add(1, Ordering::Relaxed);
-        let guard = InFlight(counters);
+        let guard = InFlightGuard(counters);
         let sent = Instant::now();
-        let result = self.settle(input).await;
+        let result = self.run_with_resend(input).await;
         drop(guard);
         if result.is_ok() {
             self.observe(sent.elapsed());
@@ -152,7 +158,7 @@
         result
     }
 
-    /// Notes the time of a step, or the time waited in vain for one that is still under way.
+    /// Records the time that a step took, or the time waited so far for one that is still running.
     fn observe(&self, took: Duration) {
         let mut times = lock(&self.counters.step);
         times.observe(took, self.count);
@@ -164,59 +170,60 @@
 
     fn step(&self, input: StepInput, progress: Duration) -> Step {
         Step {
-            session: self.fixed.session.clone(),
+            session: self.params.session.clone(),
             attempt: self.hop.attempt,
-            position: self.hop.have,
+            position: self.hop.positions_run,
             layers: self.hop.layers.clone(),
-            model: self.fixed.model.clone(),
-            version: self.fixed.version.clone(),
-            class: self.fixed.class,
+            model: self.params.model.clone(),
+            version: self.params.version.clone(),
+            class: self.params.class,
             input,
-            output: self.fixed.output,
-            // What the engine waits for itself, its input above all, is late by then too. Twice,
-            // so that a second send gets its chance first: it may fetch on a new connection.
+            output: self.params.output,
+            // Bounds what the engine itself waits for, above all the fetch of its input. It is
+            // twice the progress deadline, so that the second send comes first: its fetch may use a
+            // new connection.
             deadline_ms: 2 * progress.as_millis() as u32,
             prefix: String::new(),
         }
     }
 
-    /// Sends the step; where the reply stays away or the connection breaks, asks the engine on a
-    /// new connection and sends it once more there. Sending twice is safe: an engine refuses
-    /// positions that it has run.
-    async fn settle(&self, input: StepInput) -> Result<Output> {
+    /// Sends the step. If there is no reply in time or the connection breaks, probes the engine on
+    /// a new connection and sends the step a second time there. This is idempotent, because an
+    /// engine refuses positions that it has run.
+    async fn run_with_resend(&self, input: StepInput) -> Result<StepOutput> {
         let progress = lock(&self.counters.step).deadline(&self.deadlines.step, self.count);
         let batch = StepBatch {
             steps: vec![self.step(input, progress)],
         };
-        let limit = self.deadlines.step.ceiling * SILENT_CEILINGS;
+        let limit = self.deadlines.step.ceiling * STALL_TIMEOUT_CEILINGS;
         let first = self.engine.steps(&self.hop.url, &batch, limit);
         tokio::pin!(first);
         match tokio::time::timeout(progress, &mut first).await {
-            Ok(Ok(reply)) => match self.check(reply) {
-                // A reply of another step says nothing of this one, which may have run.
-                Err(StepFailure::Mismatch) => return self.again(&batch).await,
+            Ok(Ok(reply)) => match self.check_reply(reply) {
+                // A reply to another step does not show whether this one has run.
+                Err(StepFailure::Mismatch) => return self.resend(&batch).await,
                 result => return result,
             },
             Ok(Err(engine::Error::Connect(_))) => return Err(StepFailure::Unreachable),
             Ok(Err(_)) => {
                 self.probe().await?;
-                return self.again(&batch).await;
+                return self.resend(&batch).await;
             }
             Err(_) => {}
         }
         self.probe().await?;
         self.observe(progress);
-        let again = self.again(&batch);
-        tokio::pin!(again);
+        let resend = self.resend(&batch);
+        tokio::pin!(resend);
         tokio::select! {
             reply = &mut first => match reply {
-                Ok(reply) => self.check(reply),
-                Err(_) => again.await,
+                Ok(reply) => self.check_reply(reply),
+                Err(_) => resend.await,
             },
-            result = &mut again => match result {
+            result = &mut resend => match result {
                 Err(StepFailure::ReplyLost) => {
                     match tokio::time::timeout(LATE_REPLY_GRACE, &mut first).await {
-                        Ok(Ok(reply)) => self.check(reply),
+                        Ok(Ok(reply)) => self.check_reply(reply),
                         _ => Err(StepFailure::ReplyLost),
                     }
                 }
@@ -225,26 +232,27 @@
         }
     }
 
-    /// Checks that the engine lives before a suspect's step is sent, so that an engine that died
-    /// of something else isn't held against it. Returns the engine's incarnation.
+    /// Checks that the engine is alive before a step of a suspected request is sent, so that a
+    /// crash with another cause is not attributed to the request. Returns the engine's incarnation.
     ///
     /// # Errors
     ///
-    /// When it doesn't answer on a new connection; nothing ran.
-    pub(crate) async fn alive(&self) -> Result<u64> {
-        let probed = self.ask().await;
+    /// When the engine does not answer on a new connection; nothing ran.
+    pub(crate) async fn check_alive(&self) -> Result<u64> {
+        let probed = self.query_state().await;
         let state = probed.map_err(|_| StepFailure::Unreachable)?;
         Ok(state.incarnation)
     }
 
-    /// Asks the engine for its state on a new connection.
-    async fn ask(&self) -> engine::Result<EngineState> {
+    /// Queries the engine's state on a new connection.
+    async fn query_state(&self) -> engine::Result<EngineState> {
         let deadline = lock(&self.counters.poll).deadline(&self.deadlines.probe, 1);
         self.engine.probe(&self.hop.url, deadline).await
     }
 
+    /// Checks that the engine is alive and has not restarted since the step was sent.
     async fn probe(&self) -> Result<()> {
-        match self.ask().await {
+        match self.query_state().await {
             Ok(state) if self.incarnation != 0 && state.incarnation != self.incarnation => {
                 Err(StepFailure::Restarted)
             }
@@ -252,13 +260,14 @@
                 metrics::counter!("kelpworks_connections_dropped_total").increment(1);
                 Ok(())
             }
-            // The step was sent before, and may have run.
+            // Not `Unreachable`: the step was sent before, and may have run.
             Err(engine::Error::Connect(_)) => Err(StepFailure::Gone),
             Err(_) => Err(StepFailure::Silent),
         }
     }
 
-    async fn again(&self, batch: &StepBatch) -> Result<Output> {
+    /// Sends the step a second time.
+    async fn resend(&self, batch: &StepBatch) -> Result<StepOutput> {
         let reply = self
             .engine
             .steps(&self.hop.url, batch, self.deadlines.step.ceiling)
@@ -267,34 +276,36 @@
             self.probe().await?;
             return Err(StepFailure::Broken);
         };
-        match self.check(reply) {
+        match self.check_reply(reply) {
             Err(StepFailure::Refused {
                 reason: RefusalReason::PositionGap,
                 have,
-            }) if have == self.hop.have + self.count => self.ran_unseen(),
+            }) if have == self.hop.positions_run + self.count => self.output_without_reply(),
             other => other,
         }
     }
 
-    /// The step has run and its reply is gone: kept outputs can still be fetched, others not.
-    fn ran_unseen(&self) -> Result<Output> {
-        let last = self.hop.layers.end == self.fixed.layers;
-        if last || self.fixed.output == OutputForm::Inline {
+    /// Returns the output of a step that has run and whose reply is lost. Retained activations can
+    /// still be fetched; inline activations and tokens are lost.
+    fn output_without_reply(&self) -> Result<StepOutput> {
+        let last = self.hop.layers.end == self.params.layers;
+        if last || self.params.output == OutputForm::Inline {
             return Err(StepFailure::ReplyLost);
         }
-        Ok(Output::Kept)
+        Ok(StepOutput::Retained)
     }
 
-    fn check(&self, batch: StepBatchReply) -> Result<Output> {
+    /// Returns the output or failure in a reply, after checking that it belongs to this step.
+    fn check_reply(&self, batch: StepBatchReply) -> Result<StepOutput> {
         let mut replies = batch.replies.into_iter();
         let (Some(reply), None) = (replies.next(), replies.next()) else {
-            return Err(self.mismatch());
+            return Err(self.record_mismatch());
         };
-        if !self.echoes(&reply) {
-            return Err(self.mismatch());
+        if !self.is_reply_to_step(&reply) {
+            return Err(self.record_mismatch());
         }
         self.counters.report(&reply.load);
-        let last = self.hop.layers.end == self.fixed.layers;
+        let last = self.hop.layers.end == self.params.layers;
         match reply.outcome {
             StepOutcome::Busy(busy) => Err(StepFailure::Busy(Duration::from_millis(u64::from(
                 busy.retry_after_ms,
@@ -303,39 +314,43 @@
                 reason: r.reason,
                 have: r.have,
             }),
-            _ if reply.count != self.count => Err(self.mismatch()),
-            StepOutcome::Token(token) if last => Ok(Output::Token(token)),
+            _ if reply.count != self.count => Err(self.record_mismatch()),
+            StepOutcome::Token(token) if last => Ok(StepOutput::Token(token)),
             StepOutcome::Rows(rows) if !last && rows.len() == self.count as usize => {
-                Ok(Output::Rows(rows))
+                Ok(StepOutput::Rows(rows))
             }
             StepOutcome::Handle(handle)
-                if !last && handle == self.hop.handle(&self.fixed.session, self.hop.have) =>
+                if !last
+                    && handle
+                        == self
+                            .hop
+                            .handle(&self.params.session, self.hop.positions_run) =>
             {
-                Ok(Output::Kept)
+                Ok(StepOutput::Retained)
             }
-            _ => Err(self.mismatch()),
+            _ => Err(self.record_mismatch()),
         }
     }
 
-    fn echoes(&self, reply: &StepReply) -> bool {
-        reply.session == self.fixed.session
+    fn is_reply_to_step(&self, reply: &StepReply) -> bool {
+        reply.session == self.params.session
             && reply.attempt == self.hop.attempt
-            && reply.position == self.hop.have
+            && reply.position == self.hop.positions_run
             && reply.layers == self.hop.layers
-            && reply.model == self.fixed.model
-            && reply.version == self.fixed.version
+            && reply.model == self.params.model
+            && reply.version == self.params.version
     }
 
-    fn mismatch(&self) -> StepFailure {
+    fn record_mismatch(&self) -> StepFailure {
         metrics::counter!("kelpworks_replies_dropped_total").increment(1);
         StepFailure::Mismatch
     }
 }
 
-/// Counts a call as in flight until dropped, also when its future is.
-struct InFlight<'a>(&'a Counters);
+/// Counts a step as in flight until dropped, also when the future that holds the guard is dropped.
+struct InFlightGuard<'a>(&'a Counters);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
