--- a/crates/kelpworks-cli/src/args.rs
+++ b/crates/kelpworks-cli/src/args.rs
@@ -12,7 +12,7 @@
 use crate::failure::Result;
 use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::name_of;
-use kelpworks::units::Span;
+use kelpworks::units::DurationSetting;
 
 /// Time to wait until a change is in force on every daemon, when `--wait` is absent.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
@@ -129,7 +129,7 @@
     let object_api = args.opt_value_from_str("--object-api").map_err(usage)?;
     let operators = operators(&mut args)?;
     let wait = args
-        .opt_value_from_str::<_, Span>("--wait")
+        .opt_value_from_str::<_, DurationSetting>("--wait")
         .map_err(usage)?;
     let mut rest = args.finish();
     if settings.is_none() && object_api.is_none() {
--- a/crates/kelpworks-relay/src/peers.rs
+++ b/crates/kelpworks-relay/src/peers.rs
@@ -41,8 +41,8 @@
 use jsonrpsee::server::ServerConfig;
 use jsonrpsee::server::ServerHandle;
 use kelpworks::clients::era::Eras;
-use kelpworks::membership::links;
-use kelpworks::membership::links::Links;
+use kelpworks::membership::connections;
+use kelpworks::membership::connections::Connections;
 use rand::seq::IndexedRandom;
 use rand::seq::IteratorRandom;
 use tokio::sync::Semaphore;
@@ -119,7 +119,7 @@
     store_cache: Arc<StoreCache>,
     /// Eras of the store, shared with the store clients of this daemon.
     eras: Eras,
-    links: Links,
+    connections: Connections,
     started: Instant,
     seeds: Mutex<Vec<SocketAddr>>,
     /// Lock order: before `roles` and `loads`.
@@ -148,7 +148,7 @@
             shared,
             store_cache,
             eras,
-            links: Links::default(),
+            connections: Connections::default(),
             started,
             seeds: Mutex::default(),
             members: Mutex::default(),
@@ -252,7 +252,7 @@
         let address = partner.to_string();
         let called = Instant::now();
         let digest = self.digest(usize::MAX);
-        let exchange = self.links.call(
+        let exchange = self.connections.call(
             &address,
             EXCHANGE_TIMEOUT,
             &digest,
@@ -260,8 +260,8 @@
         );
         let theirs = match exchange.await {
             Ok(theirs) => theirs,
-            Err(links::Error::Refused { .. }) => return,
-            Err(links::Error::Silent(_)) => {
+            Err(connections::Error::Refused { .. }) => return,
+            Err(connections::Error::NoAnswer(_)) => {
                 // A refused connection fails at once. Wait for the other partners of this exchange
                 // to answer, so that `record_unanswered` can tell whether this daemon is isolated.
                 tokio::time::sleep(EXCHANGE_INTERVAL).await;
@@ -276,11 +276,11 @@
         let Ok(_permit) = self.fetch_permits.try_acquire() else {
             return;
         };
-        let texts = self
-            .links
-            .call(&address, TEXTS_TIMEOUT, &held, |client, held| async move {
-                client.texts(held).await
-            });
+        let texts =
+            self.connections
+                .call(&address, TEXTS_TIMEOUT, &held, |client, held| async move {
+                    client.texts(held).await
+                });
         if let Ok(texts) = texts.await {
             self.apply_texts::<D>(texts);
         }
--- a/crates/kelpworks-relay/src/settings.rs
+++ b/crates/kelpworks-relay/src/settings.rs
@@ -33,7 +33,7 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-use kelpworks::units::Span;
+use kelpworks::units::DurationSetting;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -131,7 +131,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Stop {
     /// Time from the signal to the end of the process.
-    pub grace: Span,
+    pub grace: DurationSetting,
 }
 
 /// The bound on repeats, for all daemons together.
@@ -140,7 +140,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Repeats {
     /// Length of the window that is counted over.
-    pub window: Span,
+    pub window: DurationSetting,
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed besides.
--- a/crates/kelpworks/examples/measure/control.rs
+++ b/crates/kelpworks/examples/measure/control.rs
@@ -129,7 +129,7 @@
         }
         let contacts: Vec<_> = all.iter().map(Peers::contact).collect();
         for peers in &all {
-            peers.listed(&contacts);
+            peers.set_member_list(&contacts);
         }
         tokio::time::sleep(WARM_UP).await;
         let before: Vec<TrafficTotals> = all.iter().map(Peers::traffic).collect();
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -169,11 +169,11 @@
 fn one(daemons: usize, case: &Case, way: Way, seed: u64) -> Run {
     let mut node = Config::default();
     if matches!(way, Way::HeartbeatsOnly) {
-        node.spread = dissemination::Config { fanout: 0 };
-        node.ring = 0;
+        node.dissemination = dissemination::Config { fanout: 0 };
+        node.ring_successors = 0;
     }
     if matches!(way, Way::PushOnly) {
-        node.ring = 0;
+        node.ring_successors = 0;
     }
     let mut net = Net::new(NetConfig {
         daemons,
--- a/crates/kelpworks/src/claims/mod.rs
+++ b/crates/kelpworks/src/claims/mod.rs
@@ -33,9 +33,9 @@
 //!
 //! Limits: claims are not removed after a retention, see `docs/design/claims.md`.
 
-mod drive;
 mod key;
 mod record;
+mod submission;
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -52,7 +52,7 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use crate::claims::drive::Drive;
+use crate::claims::submission::Submission;
 use crate::clients::object_api::ObjectApi;
 use crate::verdict::Verdict;
 use kelpworks_coord::budget;
@@ -83,15 +83,15 @@
 pub const CLAIM_KIND: &str = "kelpworks.claim";
 
 /// Writes that each claim takes from the budget at its start: its creation and its outcome.
-const WRITES_A_CLAIM: u64 = 2;
+const WRITES_PER_CLAIM: u64 = 2;
 /// Daemons that are assumed to share the write rate until their number is known. Above the 7 of
 /// the present deployments, so that a daemon that knows no peers can't take more than its part.
 const ASSUMED_MEMBERS: usize = 8;
 /// When to come back after an answer that says that an earlier submission is under way.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long keyed calls are refused after a daemon has entered a later era of the object API, which may
 /// have lost the claims of calls that ran: callers repeat theirs within this time.
-const REFUSED_IN_NEW_ERA: Duration = Duration::from_secs(30);
+const NEW_ERA_REFUSAL_TIME: Duration = Duration::from_secs(30);
 
 /// Bounds of the slice.
 #[derive(Clone, Debug, PartialEq)]
@@ -104,10 +104,10 @@
     pub burst: u64,
     /// Longest wait for one reply of the object API, after which it counts as lost. Default
     /// 500 ms.
-    pub api_call: Duration,
+    pub api_timeout: Duration,
     /// Claims in memory, at most: those running and those that still have to be recorded or
     /// removed. Default 4096.
-    pub held: usize,
+    pub pending: usize,
     /// Largest outcome that is recorded, in bytes as encoded. Default 64 KiB.
     pub max_outcome_bytes: usize,
 }
@@ -119,8 +119,8 @@
             name: name.to_owned(),
             writes_per_second: 200,
             burst: 16,
-            api_call: Duration::from_millis(500),
-            held: 4096,
+            api_timeout: Duration::from_millis(500),
+            pending: 4096,
             max_outcome_bytes: 64 * 1024,
         }
     }
@@ -236,8 +236,8 @@
     /// Origin of the times of budget and claims.
     start: Instant,
     budget: Mutex<WriteBudget>,
-    /// Claims that are not settled; at most [`Config::held`].
-    held: Mutex<HashMap<Nonce, Arc<Mutex<Claim>>>>,
+    /// Claims that are not settled; at most [`Config::pending`].
+    pending: Mutex<HashMap<Nonce, Arc<Mutex<Claim>>>>,
     /// The latest era of the object API that a call here has met, and since when.
     entered: Mutex<Option<(Era, Instant)>>,
 }
@@ -248,7 +248,7 @@
         let defaults = budget::Config::default();
         let rates = budget::Config {
             fleet_per_second: cfg.writes_per_second + defaults.reserved_per_second,
-            burst: cfg.burst.max(WRITES_A_CLAIM),
+            burst: cfg.burst.max(WRITES_PER_CLAIM),
             ..defaults
         };
         let mut budget = WriteBudget::new(rates, time::Instant::ZERO);
@@ -258,7 +258,7 @@
             incarnation: Incarnation(unix_millis()),
             start: Instant::now(),
             budget: Mutex::new(budget),
-            held: Mutex::default(),
+            pending: Mutex::default(),
             entered: Mutex::default(),
             cfg,
             api,
@@ -283,7 +283,7 @@
         if incarnation != self.incarnation {
             return None;
         }
-        let claim = lock(&self.held).get(&nonce).cloned();
+        let claim = lock(&self.pending).get(&nonce).cloned();
         Some(claim.map_or(PeerStatus::MayHaveRun, |c| lock(&c).status()))
     }
 
@@ -306,10 +306,10 @@
     {
         self.admit()?;
         let (tx, rx) = oneshot::channel();
-        let drive = Drive::new(self, key, self.at(deadline), run, tx);
-        self.tasks.spawn(drive.run());
+        let submission = Submission::new(self, key, self.coord_time(deadline), run, tx);
+        self.tasks.spawn(submission.run());
         let lost = Error::MayHaveRun {
-            retry_after: COME_BACK,
+            retry_after: RETRY_AFTER,
         };
         rx.await.unwrap_or(Err(lost))
     }
@@ -328,16 +328,16 @@
             _ => now,
         };
         *entered = Some((latest, since));
-        now.duration_since(since) < REFUSED_IN_NEW_ERA
+        now.duration_since(since) < NEW_ERA_REFUSAL_TIME
     }
 
     /// Takes the writes of a claim from the budget.
     fn admit<E>(&self) -> Result<(), E> {
-        if lock(&self.held).len() >= self.cfg.held {
-            let retry_after = COME_BACK;
+        if lock(&self.pending).len() >= self.cfg.pending {
+            let retry_after = RETRY_AFTER;
             return Err(Error::Busy { retry_after });
         }
-        self.take_writes(WRITES_A_CLAIM).map_err(|e| Error::Busy {
+        self.take_writes(WRITES_PER_CLAIM).map_err(|e| Error::Busy {
             retry_after: Duration::from_millis(e.retry_after.as_millis()),
         })
     }
@@ -347,7 +347,7 @@
         lock(&self.budget).try_take(now, Purpose::Claim, writes)
     }
 
-    fn machine(&self) -> claim::Config {
+    fn claim_config(&self) -> claim::Config {
         claim::Config {
             max_outcome_bytes: self.cfg.max_outcome_bytes,
             ..claim::Config::default()
@@ -355,11 +355,11 @@
     }
 
     fn now(&self) -> time::Instant {
-        self.at(Instant::now())
+        self.coord_time(Instant::now())
     }
 
     /// The time of the claims and of the budget; the past counts as the start.
-    fn at(&self, t: Instant) -> time::Instant {
+    fn coord_time(&self, t: Instant) -> time::Instant {
         let passed = t.saturating_duration_since(self.start);
         time::Instant::ZERO + Span::from_millis(passed.as_millis() as u64)
     }
--- a/crates/kelpworks/src/claims/drive.rs
+++ b/crates/kelpworks/src/claims/submission.rs
@@ -10,16 +10,16 @@
 use tokio::sync::oneshot;
 
 use crate::claims::CLAIM_KIND;
-use crate::claims::COME_BACK;
 use crate::claims::ClaimKey;
 use crate::claims::Claims;
 use crate::claims::Error;
 use crate::claims::KeyedReply;
 use crate::claims::Peers;
+use crate::claims::RETRY_AFTER;
 use crate::claims::Reply;
 use crate::claims::Result;
 use crate::claims::RunError;
-use crate::claims::WRITES_A_CLAIM;
+use crate::claims::WRITES_PER_CLAIM;
 use crate::claims::lock;
 use crate::clients::object_api;
 use crate::clients::object_api::Condition;
@@ -42,42 +42,42 @@
 use kelpworks_coord::id::Version;
 use kelpworks_coord::time::Instant;
 
-/// First pause between two looks at a claim; it doubles up to [`LONGEST_PAUSE`] once the caller
+/// First pause between two looks at a claim; it doubles up to [`MAX_POLL_INTERVAL`] once the caller
 /// has its answer, so that many unsettled claims don't meet the object API at once when it is back.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// One claim and what its API calls need.
-struct Holding<A: ObjectApi + 'static, P: Peers> {
+struct ClaimHandle<A: ObjectApi + 'static, P: Peers> {
     claims: Arc<Claims<A, P>>,
     name: String,
     nonce: Nonce,
     claim: Arc<Mutex<Claim>>,
     /// Writes already taken from the budget.
-    prepaid: u64,
+    prepaid_writes: u64,
     /// The claim is not written for the first time after this. The machine itself writes again
     /// whenever it reads that there is none, which could hold the caller for as long as each write
     /// is lost and each read answered.
-    create_by: Instant,
+    create_deadline: Instant,
 }
 
-impl<A: ObjectApi + 'static, P: Peers> Drop for Holding<A, P> {
+impl<A: ObjectApi + 'static, P: Peers> Drop for ClaimHandle<A, P> {
     fn drop(&mut self) {
-        lock(&self.claims.held).remove(&self.nonce);
+        lock(&self.claims.pending).remove(&self.nonce);
     }
 }
 
-impl<A: ObjectApi + 'static, P: Peers> Holding<A, P> {
+impl<A: ObjectApi + 'static, P: Peers> ClaimHandle<A, P> {
     fn step(&self, event: Event) -> Vec<Action> {
         let now = self.claims.now();
         lock(&self.claim).on_event(now, event)
     }
 
-    fn is_settled(&self) -> bool {
+    fn is_complete(&self) -> bool {
         lock(&self.claim).is_finished()
     }
 
-    fn was_given_up(&self) -> bool {
+    fn was_abandoned(&self) -> bool {
         lock(&self.claim).status() == PeerStatus::NeverDispatched
     }
 
@@ -107,61 +107,61 @@
 
     async fn read(&self) -> ApiReply {
         let call = self.claims.api.get(CLAIM_KIND, &self.name);
-        match self.bounded(call).await {
-            Ok(object) => found(&object).map_or(ApiReply::Lost, ApiReply::Found),
+        match self.with_timeout(call).await {
+            Ok(object) => parse_claim(&object).map_or(ApiReply::Lost, ApiReply::Found),
             Err(object_api::Error::NotFound) => ApiReply::Absent,
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
     async fn write(&mut self, if_version: Version, record: &Record) -> ApiReply {
         let creates = record.phase == Phase::Claimed;
-        let is_late = self.claims.now() > self.create_by;
-        if creates && (is_late || self.claims.may_miss_claims()) || !self.pay() {
+        let is_late = self.claims.now() > self.create_deadline;
+        if creates && (is_late || self.claims.may_miss_claims()) || !self.charge_write() {
             return ApiReply::Refused;
         }
         let body = serde_json::to_string(record).expect("a record has no maps");
         let condition = Condition::at(if_version);
         let api = &self.claims.api;
         let call = api.put(CLAIM_KIND, &self.name, body, condition);
-        match self.bounded(call).await {
+        match self.with_timeout(call).await {
             // This answer told of the later era.
             Ok(object) if creates && self.claims.may_miss_claims() => {
                 self.remove(object.version).await;
                 ApiReply::Refused
             }
             Ok(object) => ApiReply::Stored(object.version),
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
     async fn remove(&mut self, if_version: Version) -> ApiReply {
-        if !self.pay() {
+        if !self.charge_write() {
             return ApiReply::Refused;
         }
         let condition = Condition::at(if_version);
         let call = self.claims.api.delete(CLAIM_KIND, &self.name, condition);
-        match self.bounded(call).await {
+        match self.with_timeout(call).await {
             Ok(()) | Err(object_api::Error::NotFound) => ApiReply::Removed,
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
     /// Takes a write from what was paid at the start, or else from the budget.
-    fn pay(&mut self) -> bool {
-        if self.prepaid > 0 {
-            self.prepaid -= 1;
+    fn charge_write(&mut self) -> bool {
+        if self.prepaid_writes > 0 {
+            self.prepaid_writes -= 1;
             return true;
         }
         self.claims.take_writes(1).is_ok()
     }
 
     /// A call that gets no reply in time counts as lost, and its connection as silent.
-    async fn bounded<T>(
+    async fn with_timeout<T>(
         &self,
         call: impl Future<Output = object_api::Result<T>>,
     ) -> object_api::Result<T> {
-        let reply = tokio::time::timeout(self.claims.cfg.api_call, call).await;
+        let reply = tokio::time::timeout(self.claims.cfg.api_timeout, call).await;
         reply.unwrap_or_else(|_| {
             self.claims.api.reset_connections();
             Err(object_api::Error::Lost)
@@ -170,24 +170,24 @@
 
     /// Removes a claim that was given up, however long the object API is out.
     async fn clean_up(mut self) {
-        let mut pause = FIRST_PAUSE;
-        let mut todo = VecDeque::new();
-        while !self.is_settled() {
-            while let Some(action) = todo.pop_front() {
+        let mut poll_interval = INITIAL_POLL_INTERVAL;
+        let mut actions = VecDeque::new();
+        while !self.is_complete() {
+            while let Some(action) = actions.pop_front() {
                 if let Some(event) = self.act(action).await {
-                    todo.extend(self.step(event));
+                    actions.extend(self.step(event));
                 }
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
-            todo.extend(self.step(Event::Tick));
+            tokio::time::sleep(poll_interval).await;
+            poll_interval = (poll_interval * 2).min(MAX_POLL_INTERVAL);
+            actions.extend(self.step(Event::Tick));
         }
     }
 }
 
 /// One submission of a keyed call.
-pub(super) struct Drive<A: ObjectApi + 'static, P: Peers, F, E> {
-    holding: Holding<A, P>,
+pub(super) struct Submission<A: ObjectApi + 'static, P: Peers, F, E> {
+    handle: ClaimHandle<A, P>,
     run: Option<F>,
     /// How the call ended, when it was let run.
     ran: Option<std::result::Result<Reply, RunError<E>>>,
@@ -195,7 +195,7 @@
     tx: Option<oneshot::Sender<Result<KeyedReply, E>>>,
 }
 
-impl<A, P, F, Fut, E> Drive<A, P, F, E>
+impl<A, P, F, Fut, E> Submission<A, P, F, E>
 where
     A: ObjectApi + 'static,
     P: Peers,
@@ -208,7 +208,7 @@
         deadline: Instant,
         run: F,
         tx: oneshot::Sender<Result<KeyedReply, E>>,
-    ) -> Drive<A, P, F, E> {
+    ) -> Submission<A, P, F, E> {
         let nonce = Nonce(rand::random());
         let req = Request {
             digest: key.digest,
@@ -217,18 +217,18 @@
             nonce,
             deadline,
         };
-        let claim = Arc::new(Mutex::new(Claim::new(claims.machine(), req)));
-        lock(&claims.held).insert(nonce, Arc::clone(&claim));
-        let holding = Holding {
+        let claim = Arc::new(Mutex::new(Claim::new(claims.claim_config(), req)));
+        lock(&claims.pending).insert(nonce, Arc::clone(&claim));
+        let handle = ClaimHandle {
             claims: Arc::clone(claims),
             name: key.name,
             nonce,
             claim,
-            prepaid: WRITES_A_CLAIM,
-            create_by: claims.now() + claims.machine().create_timeout,
+            prepaid_writes: WRITES_PER_CLAIM,
+            create_deadline: claims.now() + claims.claim_config().create_timeout,
         };
-        Drive {
-            holding,
+        Submission {
+            handle,
             run: Some(run),
             ran: None,
             tx: Some(tx),
@@ -238,27 +238,27 @@
     /// Runs until the caller has its answer and the outcome is recorded. What is left of a claim
     /// that was given up is removed by a task of its own, for which a planned stop does not wait.
     pub(super) async fn run(mut self) {
-        let mut pause = FIRST_PAUSE;
-        let mut todo: VecDeque<Action> = self.holding.step(Event::Start).into();
+        let mut poll_interval = INITIAL_POLL_INTERVAL;
+        let mut actions: VecDeque<Action> = self.handle.step(Event::Start).into();
         loop {
-            while let Some(action) = todo.pop_front() {
+            while let Some(action) = actions.pop_front() {
                 if let Some(event) = self.act(action).await {
-                    todo.extend(self.holding.step(event));
+                    actions.extend(self.handle.step(event));
                 }
             }
             let answered = self.tx.is_none();
-            if answered && self.holding.is_settled() {
+            if answered && self.handle.is_complete() {
                 return;
             }
-            if answered && self.holding.was_given_up() {
-                tokio::spawn(self.holding.clean_up());
+            if answered && self.handle.was_abandoned() {
+                tokio::spawn(self.handle.clean_up());
                 return;
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(poll_interval).await;
             if answered {
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                poll_interval = (poll_interval * 2).min(MAX_POLL_INTERVAL);
             }
-            todo.extend(self.holding.step(Event::Tick));
+            actions.extend(self.handle.step(Event::Tick));
         }
     }
 
@@ -269,7 +269,7 @@
                 self.answer(answer);
                 None
             }
-            other => self.holding.act(other).await,
+            other => self.handle.act(other).await,
         }
     }
 
@@ -289,7 +289,7 @@
         let Some(tx) = self.tx.take() else {
             return;
         };
-        let retry_after = COME_BACK;
+        let retry_after = RETRY_AFTER;
         let result = match (self.ran.take(), answer) {
             (Some(Ok(reply)), _) => Ok(KeyedReply {
                 reply,
@@ -310,7 +310,7 @@
             (None, Answer::MayHaveRun) => Err(Error::MayHaveRun { retry_after }),
         };
         info!(
-            target: "decision", decision = "claim", claim = self.holding.name.as_str(),
+            target: "decision", decision = "claim", claim = self.handle.name.as_str(),
             reason = reason(&result);
             "keyed call answered"
         );
@@ -321,7 +321,7 @@
 
 fn reason<E>(result: &Result<KeyedReply, E>) -> &'static str {
     match result {
-        Ok(kept) if kept.replayed => "recorded outcome",
+        Ok(keyed) if keyed.replayed => "recorded outcome",
         Ok(_) => "ran",
         Err(Error::KeyReused) => "key used for another request",
         Err(Error::InProgress { .. }) => "in progress",
@@ -332,7 +332,7 @@
 }
 
 /// The claim in an object; `None` where its body is not one.
-fn found(object: &Object) -> Option<Stored> {
+fn parse_claim(object: &Object) -> Option<Stored> {
     let record = serde_json::from_str(&object.body).ok()?;
     Some(Stored {
         version: object.version,
@@ -340,12 +340,12 @@
     })
 }
 
-fn failed(error: &object_api::Error) -> ApiReply {
+fn error_reply(error: &object_api::Error) -> ApiReply {
     match error {
         object_api::Error::Conflict { current: None } => ApiReply::Conflict(None),
         object_api::Error::Conflict {
             current: Some(object),
-        } => found(object).map_or(ApiReply::Lost, |s| ApiReply::Conflict(Some(s))),
+        } => parse_claim(object).map_or(ApiReply::Lost, |s| ApiReply::Conflict(Some(s))),
         e if e.may_have_run() => ApiReply::Lost,
         object_api::Error::NotFound => ApiReply::Conflict(None),
         object_api::Error::TooLarge
--- a/crates/kelpworks/src/fleet.rs
+++ b/crates/kelpworks/src/fleet.rs
@@ -78,7 +78,7 @@
 impl Counters {
     /// Takes the load that the upstream reports, on a poll or with a reply. It covers what was
     /// sent before.
-    pub fn report(&self, load: &EngineLoad) {
+    pub fn record_load(&self, load: &EngineLoad) {
         self.reported
             .store(load.queued + load.running, Ordering::Relaxed);
         self.sent_since_report.store(0, Ordering::Relaxed);
--- a/crates/kelpworks/src/membership/claim_status.rs
+++ b/crates/kelpworks/src/membership/claim_status.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Peers;
-use super::links::Client;
+use super::connections::Client;
 use super::rpc::PeerApiClient;
 use crate::claims;
 use crate::claims::Claims;
@@ -29,9 +29,9 @@
 
 /// Wait for a holder's word on one connection; a caller waits for it, and a holder that says
 /// nothing costs it two of these.
-const ASK: Duration = Duration::from_millis(500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the number of daemons is looked at.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl claims::Peers for Peers {
     async fn claim_status(
@@ -46,7 +46,10 @@
             nonce: nonce.0,
         };
         let call = |client: Client, req| async move { client.claim_status(req).await };
-        let reply = self.links().call(&contact.address, ASK, &req, call).await;
+        let reply = self
+            .connections()
+            .call(&contact.address, STATUS_TIMEOUT, &req, call)
+            .await;
         match reply {
             Ok(reply) => from_wire(reply),
             Err(e) => {
@@ -72,14 +75,14 @@
     /// A daemon that knows of no other keeps the number it has: it can't tell whether it is alone
     /// or cut off.
     async fn count_members(self, claims: Weak<PeerClaims>) {
-        let mut look = tokio::time::interval(COUNT_EVERY);
+        let mut tick = tokio::time::interval(COUNT_INTERVAL);
         let mut last = 0;
         loop {
-            look.tick().await;
+            tick.tick().await;
             let Some(claims) = claims.upgrade() else {
                 return;
             };
-            let others = self.live();
+            let others = self.live_count();
             if others != 0 && others != last {
                 claims.set_members(others + 1);
                 last = others;
--- a/crates/kelpworks/src/membership/links.rs
+++ b/crates/kelpworks/src/membership/connections.rs
@@ -36,7 +36,7 @@
 pub enum Error {
     /// Nothing came within the deadline, on a new connection too.
     #[error("no answer from {0}")]
-    Silent(String),
+    NoAnswer(String),
     /// It answered with an error.
     #[error("{address} refused: {reason}")]
     Refused {
@@ -49,26 +49,26 @@
 
 /// A kept connection.
 #[derive(Clone, Debug)]
-struct Kept {
+struct PooledConnection {
     /// Rises with each connection to any peer, so that a newer one is not taken for this one.
     serial: u64,
     client: Client,
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    kept: HashMap<String, Kept>,
+struct Pool {
+    by_address: HashMap<String, PooledConnection>,
     serial: u64,
 }
 
 /// One connection an address, opened when it is first needed.
 #[derive(Debug, Default)]
-pub struct Links {
-    table: Mutex<Table>,
+pub struct Connections {
+    pool: Mutex<Pool>,
     pub(super) traffic: Traffic,
 }
 
-impl Links {
+impl Connections {
     /// Calls a peer: on the kept connection first, then, after silence, once on a new one. Each
     /// of the two tries may take `deadline`, opening a connection included.
     ///
@@ -87,22 +87,22 @@
         T: Serialize,
         F: Future<Output = std::result::Result<T, ClientError>>,
     {
-        if let Some(kept) = self.kept(address) {
-            let client = Arc::clone(&kept.client);
+        if let Some(pooled) = self.pooled(address) {
+            let client = Arc::clone(&pooled.client);
             match self.attempt(deadline, req, call(client, req.clone())).await {
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(ClientError::Call(e))) => return Err(refused(address, &e.to_string())),
-                _ => self.drop_link(address, kept.serial),
+                _ => self.discard(address, pooled.serial),
             }
         }
-        let fresh = async {
+        let on_new_connection = async {
             let client = self.open(address, deadline).await?;
             call(client, req.clone()).await
         };
-        match self.attempt(deadline, req, fresh).await {
+        match self.attempt(deadline, req, on_new_connection).await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(ClientError::Call(e))) => Err(refused(address, &e.to_string())),
-            _ => Err(Error::Silent(address.to_owned())),
+            _ => Err(Error::NoAnswer(address.to_owned())),
         }
     }
 
@@ -117,17 +117,17 @@
         T: Serialize,
         F: Future<Output = std::result::Result<T, ClientError>>,
     {
-        self.traffic.called(req);
+        self.traffic.count_call(req);
         let reply = tokio::time::timeout(deadline, call).await;
         if let Ok(Ok(reply)) = &reply {
-            self.traffic.answered(reply);
+            self.traffic.count_answer(reply);
         }
         reply
     }
 
     /// Drops the connections to all addresses but these.
     pub(super) fn retain(&self, keep: impl Fn(&str) -> bool) {
-        self.lock().kept.retain(|address, _| keep(address));
+        self.lock().by_address.retain(|address, _| keep(address));
     }
 
     async fn open(
@@ -142,33 +142,37 @@
             .max_response_size(MAX_MESSAGE)
             .build(format!("ws://{address}"))
             .await?;
-        self.traffic.opened();
+        self.traffic.count_connection();
         let client = Arc::new(client);
-        let mut table = self.lock();
-        table.serial += 1;
-        let serial = table.serial;
-        let kept = Kept {
+        let mut pool = self.lock();
+        pool.serial += 1;
+        let serial = pool.serial;
+        let pooled = PooledConnection {
             serial,
             client: Arc::clone(&client),
         };
-        table.kept.insert(address.to_owned(), kept);
+        pool.by_address.insert(address.to_owned(), pooled);
         Ok(client)
     }
 
-    fn kept(&self, address: &str) -> Option<Kept> {
-        self.lock().kept.get(address).cloned()
+    fn pooled(&self, address: &str) -> Option<PooledConnection> {
+        self.lock().by_address.get(address).cloned()
     }
 
-    fn drop_link(&self, address: &str, serial: u64) {
-        let mut table = self.lock();
-        if table.kept.get(address).is_some_and(|k| k.serial == serial) {
-            table.kept.remove(address);
+    fn discard(&self, address: &str, serial: u64) {
+        let mut pool = self.lock();
+        if pool
+            .by_address
+            .get(address)
+            .is_some_and(|k| k.serial == serial)
+        {
+            pool.by_address.remove(address);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
+    fn lock(&self) -> MutexGuard<'_, Pool> {
         // The table is consistent after each call, also when a holder of the lock panicked.
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/kelpworks/src/membership/contract.rs
+++ b/crates/kelpworks/src/membership/contract.rs
@@ -16,19 +16,19 @@
     /// Of the store of facts.
     pub facts: facts::Config,
     /// Of the spreading of generations.
-    pub spread: dissemination::Config,
+    pub dissemination: dissemination::Config,
     /// Peers next in order of identifier that a generation is pushed to as well. Default 2.
-    pub ring: usize,
+    pub ring_successors: usize,
     /// Daemons of each failure domain that watch the object API. Default 2.
     pub watchers: usize,
     /// Bytes of news a second, on average. Default 700.
-    pub news_rate: u64,
+    pub gossip_bytes_per_second: u64,
     /// Bytes of news at once. Default 32 KiB.
-    pub news_burst: u64,
+    pub gossip_burst_bytes: u64,
     /// How long two daemons may differ before one asks the other for all it holds. Default 5 s.
-    pub settle: Span,
+    pub divergence_timeout: Span,
     /// Least time between two such exchanges. Default 10 s.
-    pub sync_every: Span,
+    pub min_sync_interval: Span,
 }
 
 impl Default for Config {
@@ -36,13 +36,13 @@
         Config {
             membership: membership::Config::default(),
             facts: facts::Config::default(),
-            spread: dissemination::Config::default(),
-            ring: 2,
+            dissemination: dissemination::Config::default(),
+            ring_successors: 2,
             watchers: 2,
-            news_rate: 700,
-            news_burst: 32 << 10,
-            settle: Span::from_secs(5),
-            sync_every: Span::from_secs(10),
+            gossip_bytes_per_second: 700,
+            gossip_burst_bytes: 32 << 10,
+            divergence_timeout: Span::from_secs(5),
+            min_sync_interval: Span::from_secs(10),
         }
     }
 }
--- a/crates/kelpworks/src/membership/directory.rs
+++ b/crates/kelpworks/src/membership/directory.rs
@@ -23,15 +23,15 @@
 pub(crate) const MEMBER_KIND: &str = "kelpworks.member";
 
 /// Interval of reading the list while no peer is known or this daemon is not on it yet.
-const SEARCH: Duration = Duration::from_secs(1);
+const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval of reading the list for a daemon that watches the object API anyway.
-const POLL_WATCHER: Duration = Duration::from_secs(10);
+const WATCHER_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval of reading the list for the others: news reach them from peers.
-const POLL: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_secs(60);
 /// Addresses of the host list tried in one turn.
-const TRIES: usize = 4;
+const MAX_HOST_ATTEMPTS: usize = 4;
 /// Longest wait for the deletion on a planned stop.
-const DELETE_WAIT: Duration = Duration::from_secs(1);
+const DELETE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Keeps a daemon findable and finds the others.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     pub(crate) async fn run(self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = self.keep() => {}
+            () = self.maintain() => {}
         }
     }
 
@@ -56,28 +56,28 @@
     pub(crate) async fn withdraw(api: &A, peers: &Peers) {
         let name = peers.contact().name;
         let delete = api.delete(MEMBER_KIND, &name, Condition::Always);
-        let _ = tokio::time::timeout(DELETE_WAIT, delete).await;
+        let _ = tokio::time::timeout(DELETE_TIMEOUT, delete).await;
     }
 
-    async fn keep(&self) {
+    async fn maintain(&self) {
         let mut announced = false;
         loop {
             if !announced {
                 announced = self.announce().await;
             }
             let listed = self.list().await;
-            if self.peers.is_alone() && !listed {
-                self.try_hosts().await;
+            if self.peers.has_no_peers() && !listed {
+                self.join_listed_host().await;
             }
-            let pause = if !announced || !listed || self.peers.is_alone() {
-                SEARCH
+            let interval = if !announced || !listed || self.peers.has_no_peers() {
+                SEARCH_INTERVAL
             } else if *self.peers.watcher().borrow() {
-                POLL_WATCHER
+                WATCHER_POLL_INTERVAL
             } else {
-                POLL
+                POLL_INTERVAL
             };
             let jitter = rand::rng().random_range(0.75..1.0);
-            tokio::time::sleep(pause.mul_f64(jitter)).await;
+            tokio::time::sleep(interval.mul_f64(jitter)).await;
         }
     }
 
@@ -87,20 +87,20 @@
         let put = self
             .api
             .put(MEMBER_KIND, &contact.name, body, Condition::Always);
-        self.heard(put.await.map(|_| ())).is_some()
+        self.ok_or_reset(put.await.map(|_| ())).is_some()
     }
 
     async fn list(&self) -> bool {
-        let Some(list) = self.heard(self.api.list(MEMBER_KIND).await) else {
+        let Some(list) = self.ok_or_reset(self.api.list(MEMBER_KIND).await) else {
             return false;
         };
         let read = |o: &Object| serde_json::from_str(&o.body).ok();
         let contacts: Vec<MemberContact> = list.items.iter().filter_map(read).collect();
-        self.peers.listed(&contacts);
+        self.peers.set_member_list(&contacts);
         true
     }
 
-    fn heard<T>(&self, reply: object_api::Result<T>) -> Option<T> {
+    fn ok_or_reset<T>(&self, reply: object_api::Result<T>) -> Option<T> {
         match reply {
             Ok(reply) => Some(reply),
             Err(e) => {
@@ -113,7 +113,7 @@
 
     /// Tries some hosts of the list: at this daemon's own port for peers, which daemons of one
     /// deployment share as a rule, and at the port listed. What is no daemon refuses.
-    async fn try_hosts(&self) {
+    async fn join_listed_host(&self) {
         let own = self.peers.address();
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for host in self.hosts.borrow().iter() {
@@ -124,7 +124,7 @@
         addresses.dedup();
         addresses.retain(|a| *a != own);
         addresses.shuffle(&mut rand::rng());
-        for address in addresses.into_iter().take(TRIES) {
+        for address in addresses.into_iter().take(MAX_HOST_ATTEMPTS) {
             if self.peers.join(&address.to_string()).await {
                 info!("found a peer at {address} by the host list");
                 return;
--- a/crates/kelpworks/src/membership/methods.rs
+++ b/crates/kelpworks/src/membership/methods.rs
@@ -42,46 +42,49 @@
 impl PeerApiServer for Methods {
     async fn heartbeat(&self, message: PeerMessage) -> RpcResult<PeerMessage> {
         let peers = self.peers()?;
-        let reply = peers.act_and(|node, now| {
+        let reply = peers.with_node_returning(|node, now| {
             let Answer { message, actions } = node.on_heartbeat(now, &message);
             (message, actions)
         });
-        Ok(peers.served(&message, reply))
+        Ok(peers.count_served(&message, reply))
     }
 
     async fn probe(&self, req: ProbeRequest) -> RpcResult<ProbeReply> {
         let peers = self.peers()?;
         let message = req.message.clone();
-        let answer = peers.exchange(&req.target.address, message).await.ok();
-        Ok(peers.served(&req, ProbeReply { answer }))
+        let answer = peers
+            .exchange_heartbeat(&req.target.address, message)
+            .await
+            .ok();
+        Ok(peers.count_served(&req, ProbeReply { answer }))
     }
 
     async fn sync(&self, state: PeerState) -> RpcResult<PeerState> {
         let peers = self.peers()?;
-        peers.act(|node, now| node.on_state(now, &state));
-        Ok(peers.served(&state, peers.state()))
+        peers.with_node(|node, now| node.on_state(now, &state));
+        Ok(peers.count_served(&state, peers.state()))
     }
 
     async fn config_push(&self, head: ConfigHead) -> RpcResult<()> {
         let peers = self.peers()?;
-        peers.served(&head, ());
-        peers.seen(head);
+        peers.count_served(&head, ());
+        peers.report_head(head);
         Ok(())
     }
 
     async fn config_head(&self) -> RpcResult<ConfigHead> {
         let peers = self.peers()?;
-        Ok(peers.served(&(), peers.head()))
+        Ok(peers.count_served(&(), peers.head()))
     }
 
     async fn config_text(&self, req: ConfigTextRequest) -> RpcResult<ConfigText> {
         let peers = self.peers()?;
-        let text = peers.held_text(&req.digest);
-        Ok(peers.served(&req, ConfigText { text }))
+        let text = peers.served_text(&req.digest);
+        Ok(peers.count_served(&req, ConfigText { text }))
     }
 
     async fn claim_status(&self, req: ClaimStatusRequest) -> RpcResult<ClaimStatusReply> {
         let peers = self.peers()?;
-        Ok(peers.served(&req, peers.own_claim(&req)))
+        Ok(peers.count_served(&req, peers.own_claim(&req)))
     }
 }
--- a/crates/kelpworks/src/membership/mod.rs
+++ b/crates/kelpworks/src/membership/mod.rs
@@ -31,13 +31,13 @@
 //! Limits: peers are trusted; the peers' address must not be reachable from outside. What a daemon
 //! shows of another's generation is as old as the news that brought it.
 
-mod allowance;
-mod book;
+mod byte_budget;
 mod claim_status;
+pub mod connections;
 mod contract;
 mod convert;
 mod directory;
-pub mod links;
+mod member_table;
 mod methods;
 mod node;
 mod peers;
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -4,16 +4,16 @@
 mod digests;
 mod push;
 
-use super::allowance::Allowance;
-use super::book::Book;
-use super::book::Known;
+use super::byte_budget::ByteBudget;
 use super::contract::Action;
 use super::contract::Answer;
 use super::contract::Config;
 use super::convert;
+use super::member_table::MemberRecord;
+use super::member_table::MemberTable;
 use crate::status::Member;
 use crate::status::MemberState;
-use digests::Settled;
+use digests::StableDigest;
 use kelpworks_coord::dissemination;
 use kelpworks_coord::dissemination::Dissemination;
 use kelpworks_coord::facts;
@@ -37,13 +37,13 @@
 use kelpworks_wire::PeerState;
 
 /// Duty under which the watchers of the head are chosen.
-const WATCH_DUTY: &str = "kelpworks.head";
+const WATCHER_ROLE: &str = "kelpworks.head";
 /// Largest size of each piece of news in JSON, for byte budgets.
-const UPDATE_BYTES: usize = 170;
-const CONTACT_BYTES: usize = 160;
-const SAMPLE_BYTES: usize = 125;
+const MAX_UPDATE_BYTES: usize = 170;
+const MAX_CONTACT_BYTES: usize = 160;
+const MAX_SAMPLE_BYTES: usize = 125;
 /// Peers that a daemon asks for all they hold when it joins.
-const JOIN_PEERS: usize = 3;
+const JOIN_FANOUT: usize = 3;
 
 /// One daemon's knowledge of the others.
 #[derive(Clone, Debug)]
@@ -53,19 +53,19 @@
     contact: MemberContact,
     members: Membership,
     facts: Facts,
-    spread: Dissemination,
-    book: Book,
+    dissemination: Dissemination,
+    member_table: MemberTable,
     /// In force here.
     generation: u64,
-    allowance: Allowance,
-    members_settled: Settled,
-    facts_settled: Settled,
-    next_digests: Instant,
+    byte_budget: ByteBudget,
+    own_members_digest: StableDigest,
+    own_facts_digest: StableDigest,
+    digests_due: Instant,
     last_sync: Option<Instant>,
     /// Whether any peer has told all it holds since the start.
-    joined: bool,
+    has_synced: bool,
     /// Whether facts of others changed since the driver was last told.
-    news: bool,
+    facts_changed: bool,
 }
 
 impl Node {
@@ -74,9 +74,9 @@
         let id = NodeId::of(&contact.name);
         let incarnation = Incarnation(contact.started);
         let domain = DomainId::of(&contact.failure_domain);
-        let mut book = Book::default();
-        book.take_contact(&contact);
-        let settled = Settled {
+        let mut member_table = MemberTable::default();
+        member_table.merge_contact(&contact);
+        let initial_digest = StableDigest {
             digest: 0,
             since: now,
         };
@@ -85,17 +85,17 @@
             id,
             members: Membership::new(cfg.membership, id, domain, incarnation),
             facts: Facts::new(cfg.facts, id, incarnation),
-            spread: Dissemination::new(cfg.spread, id),
-            book,
+            dissemination: Dissemination::new(cfg.dissemination, id),
+            member_table,
             contact,
             generation: 0,
-            allowance: Allowance::new(cfg.news_rate, cfg.news_burst, now),
-            members_settled: settled,
-            facts_settled: settled,
-            next_digests: now,
+            byte_budget: ByteBudget::new(cfg.gossip_bytes_per_second, cfg.gossip_burst_bytes, now),
+            own_members_digest: initial_digest,
+            own_facts_digest: initial_digest,
+            digests_due: now,
             last_sync: None,
-            joined: false,
-            news: false,
+            has_synced: false,
+            facts_changed: false,
         }
     }
 
@@ -111,22 +111,22 @@
 
     /// How a daemon is reached; `None` when it is not known.
     pub fn contact(&self, node: NodeId) -> Option<&MemberContact> {
-        self.book.get(node).map(|k| &k.contact)
+        self.member_table.get(node).map(|k| &k.contact)
     }
 
     /// Time passed.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let actions = self.members.on_event(now, membership::Event::Tick);
         let mut actions = self.carry_out(now, actions);
-        self.note_digests(now);
+        self.refresh_digests(now);
         let due = self
             .last_sync
             .is_none_or(|at| now.since(at) >= self.cfg.membership.probe_interval);
-        if !self.joined && due {
+        if !self.has_synced && due {
             let peers = self.peers();
             if !peers.is_empty() {
                 self.last_sync = Some(now);
-                let chosen = peers.into_iter().take(JOIN_PEERS);
+                let chosen = peers.into_iter().take(JOIN_FANOUT);
                 actions.extend(chosen.map(Action::Sync));
             }
         }
@@ -135,7 +135,7 @@
 
     /// The object API's list of daemons was read.
     pub fn on_member_list(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
-        let mut actions = self.take_contacts(now, contacts);
+        let mut actions = self.merge_contacts(now, contacts);
         let entries = contacts.iter().map(|c| membership::Entry {
             node: NodeId::of(&c.name),
             domain: DomainId::of(&c.failure_domain),
@@ -150,13 +150,13 @@
     /// A heartbeat came in.
     pub fn on_heartbeat(&mut self, now: Instant, message: &PeerMessage) -> Answer {
         let from = NodeId::of(&message.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&message.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
         let incarnation = Incarnation(message.incarnation);
         let view = message.view.as_ref().map(convert::update_from_wire);
         let event = membership::Event::Probed {
             from,
             incarnation,
-            view: view.unwrap_or_else(|| self.unremarkable(from)),
+            view: view.unwrap_or_else(|| self.alive_view(from)),
         };
         let done = self.members.on_event(now, event);
         let view = done.iter().find_map(|a| match a {
@@ -164,9 +164,9 @@
             _ => None,
         });
         actions.extend(self.carry_out(now, done));
-        actions.extend(self.take_news(now, from, message));
+        actions.extend(self.merge_gossip(now, from, message));
         Answer {
-            message: self.message(now, view),
+            message: self.message_with_gossip(now, view),
             actions,
         }
     }
@@ -174,10 +174,10 @@
     /// The answer to a heartbeat came.
     pub fn on_answer(&mut self, now: Instant, message: &PeerMessage) -> Vec<Action> {
         let from = NodeId::of(&message.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&message.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
         let incarnation = Incarnation(message.incarnation);
-        let heard = membership::Event::Contact { from, incarnation };
-        let done = self.members.on_event(now, heard);
+        let contact_event = membership::Event::Contact { from, incarnation };
+        let done = self.members.on_event(now, contact_event);
         actions.extend(self.carry_out(now, done));
         if let Some(view) = &message.view {
             let view = convert::update_from_wire(view);
@@ -186,15 +186,15 @@
                 .on_event(now, membership::Event::Updates(vec![view]));
             actions.extend(self.carry_out(now, done));
         }
-        actions.extend(self.take_news(now, from, message));
+        actions.extend(self.merge_gossip(now, from, message));
         actions
     }
 
     /// All that this daemon holds.
     pub fn state(&self, now: Instant) -> PeerState {
         let live = |n: NodeId| self.members.health(n).is_none_or(|h| h <= Health::Suspect);
-        let known: Vec<&Known> = self
-            .book
+        let known: Vec<&MemberRecord> = self
+            .member_table
             .iter()
             .filter(|&(n, _)| live(n))
             .map(|(_, k)| k)
@@ -223,21 +223,21 @@
 
     /// A peer told all that it holds.
     pub fn on_state(&mut self, now: Instant, state: &PeerState) -> Vec<Action> {
-        self.joined = true;
+        self.has_synced = true;
         let from = NodeId::of(&state.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&state.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&state.from));
         let incarnation = Incarnation(state.incarnation);
-        let heard = membership::Event::Contact { from, incarnation };
-        let done = self.members.on_event(now, heard);
+        let contact_event = membership::Event::Contact { from, incarnation };
+        let done = self.members.on_event(now, contact_event);
         actions.extend(self.carry_out(now, done));
-        actions.extend(self.take_contacts(now, &state.contacts));
-        actions.extend(self.take_updates(now, &state.updates));
-        self.take_facts(now, &state.facts);
+        actions.extend(self.merge_contacts(now, &state.contacts));
+        actions.extend(self.merge_updates(now, &state.updates));
+        self.merge_facts(now, &state.facts);
         for sample in &state.samples {
-            self.take_sample(sample);
+            self.merge_sample(sample);
         }
         actions.extend(self.compare_generation(from, state.generation));
-        actions.extend(self.told_of_news());
+        actions.extend(self.take_facts_changed());
         actions
     }
 
@@ -247,22 +247,22 @@
         self.change_sample(|s| s.generation = s.generation.max(generation));
         let peers = self.peers();
         let learned = dissemination::Event::Learned(Generation(generation));
-        let mut done = self.spread.on_event(learned, &peers);
+        let mut done = self.dissemination.on_event(learned, &peers);
         if !done.is_empty() {
-            let next = self.next_on_ring(peers).into_iter();
+            let next = self.successors_on_ring(peers).into_iter();
             done.extend(next.map(dissemination::Action::Push));
             done.sort_unstable();
             done.dedup();
         }
-        done.into_iter().map(spread_action).collect()
+        done.into_iter().map(dissemination_action).collect()
     }
 
     /// The peers that follow this daemon in order of identifier. Targets drawn by hash alone miss
     /// a share of `e^-fanout` of the daemons; pushed to along the ring too, a daemon is missed
     /// only when those before it are gone or cut off as well.
-    fn next_on_ring(&self, mut peers: Vec<NodeId>) -> Vec<NodeId> {
+    fn successors_on_ring(&self, mut peers: Vec<NodeId>) -> Vec<NodeId> {
         peers.sort_by_key(|n| n.0.wrapping_sub(self.id.0));
-        peers.truncate(self.cfg.ring);
+        peers.truncate(self.cfg.ring_successors);
         peers
     }
 
@@ -279,13 +279,13 @@
     /// Says good-bye: heartbeats to send before the end.
     pub fn leave(&mut self, now: Instant) -> Vec<Action> {
         self.members.on_event(now, membership::Event::Leave);
-        let peers = self.peers().into_iter().take(JOIN_PEERS);
+        let peers = self.peers().into_iter().take(JOIN_FANOUT);
         let chosen: Vec<NodeId> = peers.collect();
         chosen
             .into_iter()
             .map(|to| Action::Heartbeat {
                 to,
-                message: Box::new(self.message(now, None)),
+                message: Box::new(self.message_with_gossip(now, None)),
             })
             .collect()
     }
@@ -311,7 +311,7 @@
             .members
             .live()
             .map(|(node, _)| node)
-            .filter(|&node| self.book.get(node).is_some())
+            .filter(|&node| self.member_table.get(node).is_some())
             .collect();
         peers.sort_by_key(|n| n.0.wrapping_mul(self.id.0 | 1).rotate_left(17));
         peers
@@ -319,10 +319,10 @@
 
     /// Whether this daemon is one of those that watch the object API.
     pub fn is_watcher(&self) -> bool {
-        let leaving = |n: NodeId| self.book.get(n).is_some_and(|k| k.sample.leaving);
+        let leaving = |n: NodeId| self.member_table.get(n).is_some_and(|k| k.sample.leaving);
         let mut members: Vec<_> = self.members.live().filter(|&(n, _)| !leaving(n)).collect();
         members.push((self.id, DomainId::of(&self.contact.failure_domain)));
-        rendezvous::choose(&members, WATCH_DUTY, self.cfg.watchers).contains(&self.id)
+        rendezvous::choose(&members, WATCHER_ROLE, self.cfg.watchers).contains(&self.id)
     }
 
     /// How much trials ask of each other live daemon, in positions a second. Suspects are left
@@ -331,7 +331,7 @@
         self.members
             .live()
             .filter(|&(node, _)| self.members.health(node) == Some(Health::Alive))
-            .filter_map(|(node, _)| self.book.get(node))
+            .filter_map(|(node, _)| self.member_table.get(node))
             .map(|k| k.sample.trial_demand)
             .collect()
     }
@@ -339,7 +339,7 @@
     /// The other daemons, for operators; those that left are not shown.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self
-            .book
+            .member_table
             .iter()
             .filter(|&(node, _)| node != self.id)
             .filter_map(|(node, known)| {
@@ -367,20 +367,20 @@
     }
 
     fn change_sample(&mut self, change: impl FnOnce(&mut MemberSample)) {
-        let Some(known) = self.book.get(self.id) else {
+        let Some(known) = self.member_table.get(self.id) else {
             return;
         };
         let mut sample = known.sample.clone();
         change(&mut sample);
         if sample != known.sample {
             sample.version = known.sample.version.max(self.contact.started) + 1;
-            self.book.take_sample(&sample);
+            self.member_table.merge_sample(&sample);
         }
     }
 
-    fn take_sample(&mut self, sample: &MemberSample) {
+    fn merge_sample(&mut self, sample: &MemberSample) {
         if sample.node != self.id.0 {
-            self.book.take_sample(sample);
+            self.member_table.merge_sample(sample);
         }
     }
 
@@ -390,13 +390,13 @@
             match action {
                 membership::Action::Probe { target, view } => done.push(Action::Heartbeat {
                     to: target,
-                    message: Box::new(self.message(now, Some(view))),
+                    message: Box::new(self.message_with_gossip(now, Some(view))),
                 }),
                 membership::Action::IndirectProbe { via, target, view } => {
                     done.push(Action::HeartbeatVia {
                         via,
                         target,
-                        message: Box::new(self.message(now, Some(view))),
+                        message: Box::new(self.message_with_gossip(now, Some(view))),
                     });
                 }
                 membership::Action::HealthChanged { node, health } => {
@@ -409,7 +409,7 @@
     }
 
     /// A view of this daemon that has nothing to refute.
-    fn unremarkable(&self, by: NodeId) -> Update {
+    fn alive_view(&self, by: NodeId) -> Update {
         Update {
             node: self.id,
             domain: DomainId::of(&self.contact.failure_domain),
@@ -420,31 +420,31 @@
     }
 
     /// A heartbeat or an answer, with as much news as the allowance lets through.
-    fn message(&mut self, now: Instant, view: Option<Update>) -> PeerMessage {
-        let available = self.allowance.available(now);
+    fn message_with_gossip(&mut self, now: Instant, view: Option<Update>) -> PeerMessage {
+        let available = self.byte_budget.available(now);
         let mut left = available;
-        let updates = self.members.take_updates(left / UPDATE_BYTES);
-        left -= updates.len() * UPDATE_BYTES;
-        let contacts = self.book.next_contacts(left / CONTACT_BYTES);
-        left -= contacts.len() * CONTACT_BYTES;
-        let members = self.book.iter().count();
+        let updates = self.members.take_updates(left / MAX_UPDATE_BYTES);
+        left -= updates.len() * MAX_UPDATE_BYTES;
+        let contacts = self.member_table.next_contacts(left / MAX_CONTACT_BYTES);
+        left -= contacts.len() * MAX_CONTACT_BYTES;
+        let members = self.member_table.iter().count();
         let facts = self.facts.take_delta(now, left, members);
         left -= facts.len() * facts::FACT_BYTES;
-        let samples = self.book.next_samples(left / SAMPLE_BYTES);
-        left -= samples.len() * SAMPLE_BYTES;
-        self.allowance.spend(available - left);
-        self.note_digests(now);
+        let samples = self.member_table.next_samples(left / MAX_SAMPLE_BYTES);
+        left -= samples.len() * MAX_SAMPLE_BYTES;
+        self.byte_budget.spend(available - left);
+        self.refresh_digests(now);
         PeerMessage {
             contacts,
             updates: updates.iter().map(convert::update_to_wire).collect(),
             facts: facts.iter().map(convert::fact_to_wire).collect(),
             samples,
-            ..self.plain_message(view)
+            ..self.message_without_gossip(view)
         }
     }
 
     /// A heartbeat or an answer without news.
-    fn plain_message(&self, view: Option<Update>) -> PeerMessage {
+    fn message_without_gossip(&self, view: Option<Update>) -> PeerMessage {
         PeerMessage {
             from: self.contact.clone(),
             incarnation: self.members.incarnation().0,
@@ -453,8 +453,8 @@
                 .filter(|v| v.health != Health::Alive)
                 .as_ref()
                 .map(convert::update_to_wire),
-            members_digest: self.members_settled.digest,
-            facts_digest: self.facts_settled.digest,
+            members_digest: self.own_members_digest.digest,
+            facts_digest: self.own_facts_digest.digest,
             contacts: Vec::new(),
             updates: Vec::new(),
             facts: Vec::new(),
@@ -462,25 +462,25 @@
         }
     }
 
-    fn take_news(&mut self, now: Instant, from: NodeId, message: &PeerMessage) -> Vec<Action> {
-        let mut actions = self.take_contacts(now, &message.contacts);
-        actions.extend(self.take_updates(now, &message.updates));
-        self.take_facts(now, &message.facts);
+    fn merge_gossip(&mut self, now: Instant, from: NodeId, message: &PeerMessage) -> Vec<Action> {
+        let mut actions = self.merge_contacts(now, &message.contacts);
+        actions.extend(self.merge_updates(now, &message.updates));
+        self.merge_facts(now, &message.facts);
         for sample in &message.samples {
-            self.take_sample(sample);
+            self.merge_sample(sample);
         }
         actions.extend(self.compare_generation(from, message.generation));
         actions.extend(self.compare_digests(now, from, message));
-        actions.extend(self.told_of_news());
+        actions.extend(self.take_facts_changed());
         actions
     }
 
     /// Takes contacts; those of a new run count as alive until a probe says otherwise.
-    fn take_contacts(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
+    fn merge_contacts(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = Vec::new();
         for contact in contacts {
             let node = NodeId::of(&contact.name);
-            if node == self.id || !self.book.take_contact(contact) {
+            if node == self.id || !self.member_table.merge_contact(contact) {
                 continue;
             }
             let alive = Update {
@@ -499,7 +499,7 @@
     }
 
     /// Takes reports of members that can be reached; of others the contact must come first.
-    fn take_updates(
+    fn merge_updates(
         &mut self,
         now: Instant,
         updates: &[kelpworks_wire::MemberUpdate],
@@ -507,7 +507,7 @@
         let known = updates
             .iter()
             .map(convert::update_from_wire)
-            .filter(|u| self.book.get(u.node).is_some())
+            .filter(|u| self.member_table.get(u.node).is_some())
             .collect();
         let done = self
             .members
@@ -515,25 +515,25 @@
         self.carry_out(now, done)
     }
 
-    fn take_facts(&mut self, now: Instant, facts: &[kelpworks_wire::PeerFact]) {
+    fn merge_facts(&mut self, now: Instant, facts: &[kelpworks_wire::PeerFact]) {
         for fact in facts {
-            self.news |= self.facts.merge(now, convert::fact_from_wire(fact));
+            self.facts_changed |= self.facts.merge(now, convert::fact_from_wire(fact));
         }
     }
 
-    fn told_of_news(&mut self) -> Option<Action> {
-        std::mem::take(&mut self.news).then_some(Action::FactsChanged)
+    fn take_facts_changed(&mut self) -> Option<Action> {
+        std::mem::take(&mut self.facts_changed).then_some(Action::FactsChanged)
     }
 
     fn compare_generation(&mut self, from: NodeId, generation: u64) -> Vec<Action> {
         let generation = Generation(generation);
         let event = dissemination::Event::Heartbeat { from, generation };
-        let done = self.spread.on_event(event, &[]);
-        done.into_iter().map(spread_action).collect()
+        let done = self.dissemination.on_event(event, &[]);
+        done.into_iter().map(dissemination_action).collect()
     }
 }
 
-fn spread_action(action: dissemination::Action) -> Action {
+fn dissemination_action(action: dissemination::Action) -> Action {
     match action {
         dissemination::Action::Push(to) => Action::Push(to),
         dissemination::Action::Pull(from) => Action::Pull(from),
--- a/crates/kelpworks/src/membership/node/digests.rs
+++ b/crates/kelpworks/src/membership/node/digests.rs
@@ -11,24 +11,24 @@
 use kelpworks_wire::PeerMessage;
 
 /// Least time between two computations of the digests.
-const DIGESTS_EVERY: Span = Span::from_millis(500);
+const MIN_DIGEST_INTERVAL: Span = Span::from_millis(500);
 
 /// A digest of this daemon's, and since when it has been the same.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Settled {
+pub(super) struct StableDigest {
     pub(super) digest: u64,
     pub(super) since: Instant,
 }
 
-impl Settled {
-    fn note(&mut self, now: Instant, digest: u64) {
+impl StableDigest {
+    fn record(&mut self, now: Instant, digest: u64) {
         if self.digest != digest {
-            *self = Settled { digest, since: now };
+            *self = StableDigest { digest, since: now };
         }
     }
 
-    fn differs(&self, now: Instant, theirs: u64, settle: Span) -> bool {
-        self.digest != theirs && now.since(self.since) >= settle
+    fn has_diverged(&self, now: Instant, theirs: u64, timeout: Span) -> bool {
+        self.digest != theirs && now.since(self.since) >= timeout
     }
 }
 
@@ -39,17 +39,17 @@
         from: NodeId,
         message: &PeerMessage,
     ) -> Option<Action> {
-        self.note_digests(now);
-        let settle = self.cfg.settle;
+        self.refresh_digests(now);
+        let timeout = self.cfg.divergence_timeout;
         let members = self
-            .members_settled
-            .differs(now, message.members_digest, settle);
+            .own_members_digest
+            .has_diverged(now, message.members_digest, timeout);
         let facts = self
-            .facts_settled
-            .differs(now, message.facts_digest, settle);
+            .own_facts_digest
+            .has_diverged(now, message.facts_digest, timeout);
         let due = self
             .last_sync
-            .is_none_or(|at| now.since(at) >= self.cfg.sync_every);
+            .is_none_or(|at| now.since(at) >= self.cfg.min_sync_interval);
         if !(members || facts) || !due {
             return None;
         }
@@ -58,14 +58,14 @@
     }
 
     /// Works the digests out anew when the last ones are old enough: it takes a look at all that
-    /// is held, and differences count only after [`Config::settle`].
-    pub(super) fn note_digests(&mut self, now: Instant) {
-        if now < self.next_digests {
+    /// is held, and differences count only after [`Config::timeout`].
+    pub(super) fn refresh_digests(&mut self, now: Instant) {
+        if now < self.digests_due {
             return;
         }
-        self.next_digests = now + DIGESTS_EVERY;
-        self.book
-            .forget(|n| n == self.id || self.members.health(n).is_some());
+        self.digests_due = now + MIN_DIGEST_INTERVAL;
+        self.member_table
+            .retain_members(|n| n == self.id || self.members.health(n).is_some());
         let mut live: Vec<(u64, u64)> = self
             .members
             .snapshot()
@@ -79,7 +79,7 @@
             hasher.update(&node.to_le_bytes());
             hasher.update(&incarnation.to_le_bytes());
         }
-        self.members_settled.note(now, hasher.digest());
-        self.facts_settled.note(now, self.facts.digest(now));
+        self.own_members_digest.record(now, hasher.digest());
+        self.own_facts_digest.record(now, self.facts.digest(now));
     }
 }
--- a/crates/kelpworks/src/membership/node/push.rs
+++ b/crates/kelpworks/src/membership/node/push.rs
@@ -21,8 +21,8 @@
         if facts.is_empty() || peers.is_empty() {
             return Vec::new();
         }
-        self.note_digests(now);
-        let mut message = self.plain_message(None);
+        self.refresh_digests(now);
+        let mut message = self.message_without_gossip(None);
         message.facts = facts.iter().map(convert::fact_to_wire).collect();
         let heartbeat = |to| Action::Heartbeat {
             to,
--- a/crates/kelpworks/src/membership/peers.rs
+++ b/crates/kelpworks/src/membership/peers.rs
@@ -27,10 +27,10 @@
 
 use super::claim_status::PeerClaims;
 use super::claim_status::may_answer;
+use super::connections;
+use super::connections::Client;
+use super::connections::Connections;
 use super::contract::Action;
-use super::links;
-use super::links::Client;
-use super::links::Links;
 use super::methods::Methods;
 use super::node::Node;
 use super::rpc::PeerApiClient;
@@ -62,13 +62,13 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Ticks of the state machine in a heartbeat's interval.
-const TICKS: u32 = 10;
+const TICKS_PER_HEARTBEAT: u32 = 10;
 /// Longest wait for the good-byes of a planned stop.
-const GOOD_BYE: Duration = Duration::from_secs(1);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Peers asked for a text that neither the object API nor the peer that told of it gives.
-const TEXT_TRIES: usize = 4;
+const MAX_TEXT_PEERS: usize = 4;
 /// Deadline of an exchange of a configuration or of a whole state, beyond that of a heartbeat.
-const TRANSFER: Duration = Duration::from_secs(1);
+const TRANSFER_MARGIN: Duration = Duration::from_secs(1);
 
 /// Why peers could not be served.
 #[derive(Debug)]
@@ -112,7 +112,7 @@
 
 /// The configuration that this daemon serves to its peers.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct ServedConfig {
     /// Body of the head object; empty before the first.
     body: String,
     /// Texts of the register and the rules.
@@ -131,8 +131,8 @@
     /// Zero of the state machine's times.
     start: Instant,
     heartbeat: Duration,
-    links: Links,
-    held: ArcSwap<Held>,
+    connections: Connections,
+    served_config: ArcSwap<ServedConfig>,
     heads: mpsc::UnboundedSender<ReceivedHead>,
     watcher: watch::Sender<bool>,
     /// Rises when facts of others change.
@@ -179,8 +179,8 @@
                 node: Mutex::new(node),
                 start: Instant::now(),
                 heartbeat: cfg.heartbeat,
-                links: Links::default(),
-                held: ArcSwap::default(),
+                connections: Connections::default(),
+                served_config: ArcSwap::default(),
                 heads,
                 watcher: watch::Sender::new(true),
                 facts: watch::Sender::new(0),
@@ -242,7 +242,7 @@
 
     /// Sends facts that this daemon stated or cleared to all live peers, at once.
     pub(super) fn push_facts(&self, keys: &BTreeSet<Key>) {
-        self.act(|node, now| node.push_facts(now, keys));
+        self.with_node(|node, now| node.push_facts(now, keys));
     }
 
     /// Tells the others how much trials ask of this daemon, in positions a second.
@@ -256,29 +256,36 @@
     }
 
     /// Whether no live peer is known.
-    pub fn is_alone(&self) -> bool {
+    pub fn has_no_peers(&self) -> bool {
         self.lock().peers().is_empty()
     }
 
     /// The object API's list of daemons was read.
-    pub fn listed(&self, contacts: &[MemberContact]) {
-        self.act(|node, now| node.on_member_list(now, contacts));
+    pub fn set_member_list(&self, contacts: &[MemberContact]) {
+        self.with_node(|node, now| node.on_member_list(now, contacts));
     }
 
     /// A generation is in force; peers are told, and may fetch its texts here from now on.
     pub fn set_active_config(&self, generation: u64, body: String, texts: Vec<String>) {
-        self.inner.held.store(Arc::new(Held { body, texts }));
-        self.act(|node, _| node.on_config_activated(generation));
+        self.inner
+            .served_config
+            .store(Arc::new(ServedConfig { body, texts }));
+        self.with_node(|node, _| node.on_config_activated(generation));
     }
 
     /// Asks an address for all that a daemon there holds; tells whether one answered.
     pub async fn join(&self, address: &str) -> bool {
         let mine = self.state();
-        let deadline = self.inner.heartbeat + TRANSFER;
+        let deadline = self.inner.heartbeat + TRANSFER_MARGIN;
         let call = |client: Client, mine| async move { client.sync(mine).await };
-        match self.inner.links.call(address, deadline, &mine, call).await {
+        match self
+            .inner
+            .connections
+            .call(address, deadline, &mine, call)
+            .await
+        {
             Ok(theirs) => {
-                self.act(|node, now| node.on_state(now, &theirs));
+                self.with_node(|node, now| node.on_state(now, &theirs));
                 true
             }
             Err(e) => {
@@ -290,19 +297,23 @@
 
     /// The text of a digest, from the peer at an address.
     pub async fn text(&self, digest: Digest, holder: &str) -> Option<String> {
-        let deadline = self.inner.heartbeat + TRANSFER;
+        let deadline = self.inner.heartbeat + TRANSFER_MARGIN;
         let req = ConfigTextRequest {
             digest: digest.to_string(),
         };
         let call = |client: Client, req| async move { client.config_text(req).await };
-        let reply = self.inner.links.call(holder, deadline, &req, call).await;
+        let reply = self
+            .inner
+            .connections
+            .call(holder, deadline, &req, call)
+            .await;
         let text = reply.ok()?.text?;
         (digest_of(&text) == digest).then_some(text)
     }
 
     /// The text of a digest, from any of some live peers.
     pub async fn text_from_any(&self, digest: Digest) -> Option<String> {
-        for address in self.addresses().into_iter().take(TEXT_TRIES) {
+        for address in self.addresses().into_iter().take(MAX_TEXT_PEERS) {
             if let Some(text) = self.text(digest, &address).await {
                 return Some(text);
             }
@@ -312,7 +323,7 @@
 
     /// Bytes exchanged with peers since the start.
     pub fn traffic(&self) -> TrafficTotals {
-        self.inner.links.traffic.totals()
+        self.inner.connections.traffic.totals()
     }
 
     /// Tells the others that this daemon is about to stop.
@@ -322,9 +333,9 @@
 
     /// Says good-bye to some peers, who pass it on, and stops serving peers.
     pub async fn leave(&self) {
-        self.act(Node::leave);
+        self.with_node(Node::leave);
         self.inner.tasks.close();
-        let _ = tokio::time::timeout(GOOD_BYE, self.inner.tasks.wait()).await;
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, self.inner.tasks.wait()).await;
         self.close();
     }
 
@@ -332,18 +343,18 @@
     pub fn close(&self) {
         self.inner.stop.cancel();
         let _ = self.inner.server.stop();
-        self.inner.links.retain(|_| false);
+        self.inner.connections.retain(|_| false);
     }
 
     /// A text in force here, by its digest in hex.
-    pub(super) fn held_text(&self, digest: &str) -> Option<String> {
-        let held = self.inner.held.load();
-        let mut texts = held.texts.iter();
+    pub(super) fn served_text(&self, digest: &str) -> Option<String> {
+        let served_config = self.inner.served_config.load();
+        let mut texts = served_config.texts.iter();
         texts.find(|t| digest_of(t).to_string() == digest).cloned()
     }
 
-    pub(super) fn links(&self) -> &Links {
-        &self.inner.links
+    pub(super) fn connections(&self) -> &Connections {
+        &self.inner.connections
     }
 
     pub(super) fn set_claims(&self, claims: Weak<PeerClaims>) {
@@ -362,7 +373,7 @@
     }
 
     /// Number of live members, without this daemon.
-    pub(super) fn live(&self) -> usize {
+    pub(super) fn live_count(&self) -> usize {
         self.lock().peers().len()
     }
 
@@ -374,12 +385,12 @@
     }
 
     async fn run(self, stop: CancellationToken) {
-        let mut tick = tokio::time::interval(self.inner.heartbeat / TICKS);
+        let mut tick = tokio::time::interval(self.inner.heartbeat / TICKS_PER_HEARTBEAT);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
-                _ = tick.tick() => self.act(Node::tick),
+                _ = tick.tick() => self.with_node(Node::tick),
             }
         }
         self.close();
@@ -403,12 +414,12 @@
     }
 
     /// Lets the node do something and carries out what follows.
-    pub(super) fn act(&self, call: impl FnOnce(&mut Node, CoordInstant) -> Vec<Action>) {
-        self.act_and(|node, now| ((), call(node, now)));
+    pub(super) fn with_node(&self, call: impl FnOnce(&mut Node, CoordInstant) -> Vec<Action>) {
+        self.with_node_returning(|node, now| ((), call(node, now)));
     }
 
-    /// As [`Peers::act`], with a result.
-    pub(super) fn act_and<T>(
+    /// As [`Peers::with_node`], with a result.
+    pub(super) fn with_node_returning<T>(
         &self,
         call: impl FnOnce(&mut Node, CoordInstant) -> (T, Vec<Action>),
     ) -> T {
@@ -428,8 +439,8 @@
     }
 
     /// Counts a peer's call with its answer; returns the answer.
-    pub(super) fn served<T: Serialize>(&self, req: &impl Serialize, reply: T) -> T {
-        self.inner.links.traffic.served(req, &reply);
+    pub(super) fn count_served<T: Serialize>(&self, req: &impl Serialize, reply: T) -> T {
+        self.inner.connections.traffic.count_served(req, &reply);
         reply
     }
 
@@ -448,7 +459,7 @@
             Action::Sync(with) => self.spawn(with, |peers, with| async move {
                 peers.join(&with.address).await;
             }),
-            Action::Changed { node, health } => self.changed(node, health),
+            Action::Changed { node, health } => self.log_health_change(node, health),
             Action::FactsChanged => self.inner.facts.send_modify(|n| *n += 1),
         }
     }
@@ -476,35 +487,35 @@
             let req = ProbeRequest { target, message };
             let call = |client: Client, req| async move { client.probe(req).await };
             let deadline = peers.inner.heartbeat;
-            let links = &peers.inner.links;
-            let reply = links.call(&via.address, deadline, &req, call).await;
+            let connections = &peers.inner.connections;
+            let reply = connections.call(&via.address, deadline, &req, call).await;
             if let Ok(ProbeReply {
                 answer: Some(answer),
             }) = reply
             {
-                peers.act(|node, now| node.on_answer(now, &answer));
+                peers.with_node(|node, now| node.on_answer(now, &answer));
             }
         });
     }
 
     async fn heartbeat(self, to: MemberContact, message: PeerMessage) {
-        match self.exchange(&to.address, message).await {
-            Ok(answer) => self.act(|node, now| node.on_answer(now, &answer)),
+        match self.exchange_heartbeat(&to.address, message).await {
+            Ok(answer) => self.with_node(|node, now| node.on_answer(now, &answer)),
             Err(e) => debug!("heartbeat to {}: {e}", to.name),
         }
     }
 
     /// Half of the probe's timeout for each try, so that a new connection has its chance before
     /// the peer counts as silent.
-    pub(super) async fn exchange(
+    pub(super) async fn exchange_heartbeat(
         &self,
         address: &str,
         message: PeerMessage,
-    ) -> links::Result<PeerMessage> {
+    ) -> connections::Result<PeerMessage> {
         let deadline = probe_timeout(self.inner.heartbeat) / 2;
         let call = |client: Client, message| async move { client.heartbeat(message).await };
-        let links = &self.inner.links;
-        links.call(address, deadline, &message, call).await
+        let connections = &self.inner.connections;
+        connections.call(address, deadline, &message, call).await
     }
 
     async fn push(self, to: MemberContact) {
@@ -514,8 +525,8 @@
         }
         let call = |client: Client, head| async move { client.config_push(head).await };
         let deadline = self.inner.heartbeat;
-        let links = &self.inner.links;
-        if let Err(e) = links.call(&to.address, deadline, &head, call).await {
+        let connections = &self.inner.connections;
+        if let Err(e) = connections.call(&to.address, deadline, &head, call).await {
             debug!("push to {}: {e}", to.name);
         }
     }
@@ -523,9 +534,9 @@
     async fn pull(self, from: MemberContact) {
         let call = |client: Client, ()| async move { client.config_head().await };
         let deadline = self.inner.heartbeat;
-        let links = &self.inner.links;
-        match links.call(&from.address, deadline, &(), call).await {
-            Ok(head) => self.seen(head),
+        let connections = &self.inner.connections;
+        match connections.call(&from.address, deadline, &(), call).await {
+            Ok(head) => self.report_head(head),
             Err(e) => debug!("pull from {}: {e}", from.name),
         }
     }
@@ -533,18 +544,18 @@
     pub(super) fn head(&self) -> ConfigHead {
         ConfigHead {
             from: self.contact(),
-            body: self.inner.held.load().body.clone(),
+            body: self.inner.served_config.load().body.clone(),
         }
     }
 
-    pub(super) fn seen(&self, head: ConfigHead) {
+    pub(super) fn report_head(&self, head: ConfigHead) {
         if !head.body.is_empty() {
             let ConfigHead { from, body } = head;
             let _ = self.inner.heads.send(ReceivedHead { from, body });
         }
     }
 
-    fn changed(&self, node: NodeId, health: Health) {
+    fn log_health_change(&self, node: NodeId, health: Health) {
         let name = self.lock().contact(node).map(|c| c.name.clone());
         let name = name.unwrap_or_default();
         info!(
--- a/crates/kelpworks/src/membership/peers/bounds.rs
+++ b/crates/kelpworks/src/membership/peers/bounds.rs
@@ -6,8 +6,8 @@
 
 use jsonrpsee::server::ServerConfig;
 
+use crate::membership::connections;
 use crate::membership::contract::Config;
-use crate::membership::links;
 use kelpworks_coord::membership;
 use kelpworks_coord::time::Span;
 
@@ -18,8 +18,8 @@
     ServerConfig::builder()
         .ws_only()
         .max_connections(MAX_CONNECTIONS)
-        .max_request_body_size(links::MAX_MESSAGE)
-        .max_response_body_size(links::MAX_MESSAGE)
+        .max_request_body_size(connections::MAX_MESSAGE)
+        .max_response_body_size(connections::MAX_MESSAGE)
         .set_tcp_no_delay(true)
         .build()
 }
@@ -41,8 +41,8 @@
             dead_probe_interval: scale(times.dead_probe_interval),
             ..times
         },
-        settle: scale(defaults.settle),
-        sync_every: scale(defaults.sync_every),
+        divergence_timeout: scale(defaults.divergence_timeout),
+        min_sync_interval: scale(defaults.min_sync_interval),
         ..defaults
     }
 }
--- a/crates/kelpworks/src/membership/request_facts.rs
+++ b/crates/kelpworks/src/membership/request_facts.rs
@@ -29,9 +29,9 @@
 
 /// Least time between two pushes: the suspects of one crash are cleared one after another, and
 /// those of a few milliseconds go together.
-const PUSH_EVERY: Duration = Duration::from_millis(5);
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(5);
 /// How often facts are looked at for those that expired.
-const LOOK: Duration = Duration::from_secs(1);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Carries facts both ways.
 #[derive(Debug)]
@@ -39,23 +39,23 @@
     peers: Peers,
     quarantine: Arc<Quarantine>,
     found: broadcast::Receiver<Fact>,
-    me: NodeId,
+    own_id: NodeId,
     /// Stated or cleared, and not pushed yet.
-    unsent: BTreeSet<Key>,
+    unpushed: BTreeSet<Key>,
     /// What others state, as the quarantine was told.
-    told: BTreeMap<Key, Stamp>,
+    applied: BTreeMap<Key, Stamp>,
 }
 
 impl RequestFacts {
     /// Facts found out from now on are carried.
     pub(crate) fn new(peers: Peers, quarantine: Arc<Quarantine>) -> RequestFacts {
         RequestFacts {
-            me: NodeId::of(&peers.contact().name),
+            own_id: NodeId::of(&peers.contact().name),
             found: quarantine.subscribe(),
             peers,
             quarantine,
-            unsent: BTreeSet::new(),
-            told: BTreeMap::new(),
+            unpushed: BTreeSet::new(),
+            applied: BTreeMap::new(),
         }
     }
 
@@ -63,42 +63,42 @@
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = self.carry() => {}
+            () = self.exchange_facts() => {}
         }
     }
 
-    async fn carry(&mut self) {
-        let mut news = self.peers.facts_changed();
-        let mut look = tokio::time::interval(LOOK);
+    async fn exchange_facts(&mut self) {
+        let mut peer_facts = self.peers.facts_changed();
+        let mut expiry_check = tokio::time::interval(EXPIRY_CHECK_INTERVAL);
         let mut push_at = Instant::now();
         loop {
             let push = tokio::time::sleep_until(push_at);
             tokio::select! {
                 fact = self.found.recv() => match fact {
-                    Ok(fact) => self.state_all(fact),
+                    Ok(fact) => self.publish_all(fact),
                     // What was missed is known here all the same; others find it out themselves.
                     Err(RecvError::Lagged(_)) => {}
                     Err(RecvError::Closed) => return,
                 },
-                () = push, if !self.unsent.is_empty() => {
-                    self.peers.push_facts(&std::mem::take(&mut self.unsent));
-                    push_at = Instant::now() + PUSH_EVERY;
+                () = push, if !self.unpushed.is_empty() => {
+                    self.peers.push_facts(&std::mem::take(&mut self.unpushed));
+                    push_at = Instant::now() + MIN_PUSH_INTERVAL;
                 }
-                Ok(()) = news.changed() => self.learn(),
-                _ = look.tick() => self.learn(),
+                Ok(()) = peer_facts.changed() => self.apply_peer_facts(),
+                _ = expiry_check.tick() => self.apply_peer_facts(),
             }
         }
     }
 
     /// States a fact and those that wait behind it.
-    fn state_all(&mut self, first: Fact) {
-        self.state(first);
+    fn publish_all(&mut self, first: Fact) {
+        self.publish(first);
         while let Ok(fact) = self.found.try_recv() {
-            self.state(fact);
+            self.publish(fact);
         }
     }
 
-    fn state(&mut self, fact: Fact) {
+    fn publish(&mut self, fact: Fact) {
         let request = fact.fingerprint.0;
         match fact.statement {
             Statement::Suspect {
@@ -115,45 +115,45 @@
 
     fn set(&mut self, kind: Kind, request: u64, detail: u64, remaining: Duration) {
         self.peers.set_fact(kind, request, detail, remaining);
-        self.unsent.insert(self.key(kind, request));
+        self.unpushed.insert(self.key(kind, request));
     }
 
     fn clear(&mut self, request: u64) {
         self.peers.clear_fact(Kind::Suspect, request);
-        self.unsent.insert(self.key(Kind::Suspect, request));
+        self.unpushed.insert(self.key(Kind::Suspect, request));
     }
 
     fn key(&self, kind: Kind, subject: u64) -> Key {
         Key {
-            author: self.me,
+            author: self.own_id,
             kind,
             subject,
         }
     }
 
     /// Tells the quarantine what others state now and did not before, and what they no longer do.
-    fn learn(&mut self) {
+    fn apply_peer_facts(&mut self) {
         let mut now = BTreeMap::new();
         // A request's refusal before the end of its suspicion, so that it is never let run between.
         for kind in [Kind::Poison, Kind::Suspect] {
             for fact in self.peers.active_facts(kind) {
-                if fact.key.author == self.me {
+                if fact.key.author == self.own_id {
                     continue;
                 }
                 now.insert(fact.key, fact.stamp);
-                if self.told.get(&fact.key) != Some(&fact.stamp) {
-                    self.tell(fact.key, statement(&fact));
+                if self.applied.get(&fact.key) != Some(&fact.stamp) {
+                    self.apply(fact.key, statement(&fact));
                 }
             }
         }
-        let gone = self.told.keys().filter(|key| !now.contains_key(key));
+        let gone = self.applied.keys().filter(|key| !now.contains_key(key));
         for key in gone.filter(|key| key.kind == Kind::Suspect) {
-            self.tell(*key, Statement::Cleared);
+            self.apply(*key, Statement::Cleared);
         }
-        self.told = now;
+        self.applied = now;
     }
 
-    fn tell(&self, key: Key, statement: Statement) {
+    fn apply(&self, key: Key, statement: Statement) {
         self.quarantine.apply_fact(Fact {
             by: key.author,
             fingerprint: Fingerprint(key.subject),
--- a/crates/kelpworks/src/membership/share.rs
+++ b/crates/kelpworks/src/membership/share.rs
@@ -17,7 +17,7 @@
 
 /// Least weight of a daemon, as a part of the mean demand: a daemon that trials turn to next has
 /// something to give them at once.
-const LEAST_WEIGHT: f64 = 0.02;
+const MIN_WEIGHT: f64 = 0.02;
 
 /// The part of `rate` that falls to a daemon by its demand and that of the other live ones.
 pub fn fair_share(rate: f64, own: u32, others: &[u32]) -> f64 {
@@ -27,9 +27,10 @@
     if total <= 0.0 {
         return rate / count;
     }
-    let least = total / count * LEAST_WEIGHT;
-    let whole: f64 = demands.map(|d| d.max(least)).sum::<f64>() + f64::from(own).max(least);
-    rate * f64::from(own).max(least) / whole
+    let min_demand = total / count * MIN_WEIGHT;
+    let total_weight: f64 =
+        demands.map(|d| d.max(min_demand)).sum::<f64>() + f64::from(own).max(min_demand);
+    rate * f64::from(own).max(min_demand) / total_weight
 }
 
 /// Positions a second that the whole fleet runs, by the register: layers of one token a second
@@ -54,31 +55,32 @@
 }
 
 /// Weight of what came before in the smoothed demand.
-const MEMORY: f64 = 0.5;
+const PREVIOUS_DEMAND_WEIGHT: f64 = 0.5;
 /// A smoothed demand is told again when it differs by more than this part from what was told.
-const TELL: f64 = 0.1;
+const REPORT_THRESHOLD: f64 = 0.1;
 
 /// Smoothed demand of one daemon, in positions a second, and what its peers were told of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     smoothed: f64,
-    told: u32,
+    reported: u32,
 }
 
 impl Demand {
     /// What peers should know, in positions a second.
     pub fn reported(&self) -> u32 {
-        self.told
+        self.reported
     }
 
     /// Notes the positions that trials asked for in the last second; returns what peers should
     /// know, which changes only when the demand does by more than a tenth.
-    pub fn observe(&mut self, asked: u64) -> u32 {
-        self.smoothed = self.smoothed * MEMORY + asked as f64 * (1.0 - MEMORY);
-        let told = f64::from(self.told);
-        if (self.smoothed - told).abs() > told * TELL {
-            self.told = self.smoothed.round() as u32;
+    pub fn observe(&mut self, requested: u64) -> u32 {
+        self.smoothed = self.smoothed * PREVIOUS_DEMAND_WEIGHT
+            + requested as f64 * (1.0 - PREVIOUS_DEMAND_WEIGHT);
+        let reported = f64::from(self.reported);
+        if (self.smoothed - reported).abs() > reported * REPORT_THRESHOLD {
+            self.reported = self.smoothed.round() as u32;
         }
-        self.told
+        self.reported
     }
 }
--- a/crates/kelpworks/src/membership/traffic.rs
+++ b/crates/kelpworks/src/membership/traffic.rs
@@ -9,16 +9,16 @@
 use serde::Serialize;
 
 /// JSON-RPC envelope of a call: version, identifier, method and brackets.
-const CALL: u64 = 75;
+const CALL_ENVELOPE_BYTES: u64 = 75;
 /// JSON-RPC envelope of an answer.
-const ANSWER: u64 = 40;
+const ANSWER_ENVELOPE_BYTES: u64 = 40;
 /// WebSocket frame with mask, and headers of TCP with timestamps and of IPv4.
-const FRAME: u64 = 8 + 32 + 20;
+const FRAME_BYTES: u64 = 8 + 32 + 20;
 /// An acknowledgement without data, one for each answer; a call's rides on its answer.
-const ACK: u64 = 52;
+const ACK_BYTES: u64 = 52;
 /// Opening a connection: handshakes of TCP and of the WebSocket.
-const OPEN_SENT: u64 = 600;
-const OPEN_RECEIVED: u64 = 450;
+const OPEN_SENT_BYTES: u64 = 600;
+const OPEN_RECEIVED_BYTES: u64 = 450;
 
 /// Counters since the start.
 #[derive(Debug, Default)]
@@ -41,28 +41,28 @@
 
 impl Traffic {
     /// A call went out, whether or not its answer comes.
-    pub(super) fn called(&self, req: &impl Serialize) {
+    pub(super) fn count_call(&self, req: &impl Serialize) {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        self.send(size(req) + CALL + FRAME);
+        self.send(size(req) + CALL_ENVELOPE_BYTES + FRAME_BYTES);
     }
 
     /// The answer to a call came.
-    pub(super) fn answered(&self, reply: &impl Serialize) {
-        self.receive(size(reply) + ANSWER + FRAME);
-        self.send(ACK);
+    pub(super) fn count_answer(&self, reply: &impl Serialize) {
+        self.receive(size(reply) + ANSWER_ENVELOPE_BYTES + FRAME_BYTES);
+        self.send(ACK_BYTES);
     }
 
     /// A peer's call came and was answered.
-    pub(super) fn served(&self, req: &impl Serialize, reply: &impl Serialize) {
+    pub(super) fn count_served(&self, req: &impl Serialize, reply: &impl Serialize) {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        self.receive(size(req) + CALL + FRAME + ACK);
-        self.send(size(reply) + ANSWER + FRAME);
+        self.receive(size(req) + CALL_ENVELOPE_BYTES + FRAME_BYTES + ACK_BYTES);
+        self.send(size(reply) + ANSWER_ENVELOPE_BYTES + FRAME_BYTES);
     }
 
     /// A connection was opened to a peer.
-    pub(super) fn opened(&self) {
-        self.send(OPEN_SENT);
-        self.receive(OPEN_RECEIVED);
+    pub(super) fn count_connection(&self) {
+        self.send(OPEN_SENT_BYTES);
+        self.receive(OPEN_RECEIVED_BYTES);
     }
 
     pub(super) fn totals(&self) -> TrafficTotals {
@@ -91,5 +91,11 @@
 
 /// Bytes on the wire of one exchange, for those that carry the messages otherwise.
 pub fn exchange_bytes(req: &impl Serialize, reply: &impl Serialize) -> u64 {
-    size(req) + CALL + FRAME + size(reply) + ANSWER + FRAME + ACK
+    size(req)
+        + CALL_ENVELOPE_BYTES
+        + FRAME_BYTES
+        + size(reply)
+        + ANSWER_ENVELOPE_BYTES
+        + FRAME_BYTES
+        + ACK_BYTES
 }
--- a/crates/kelpworks/src/membership/trials.rs
+++ b/crates/kelpworks/src/membership/trials.rs
@@ -16,7 +16,7 @@
 use crate::register::Register;
 
 /// How often the rate is set; the demand is that of one such interval.
-const INTERVAL: Duration = Duration::from_secs(1);
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sets the trial rate again and again.
 #[derive(Debug)]
@@ -31,10 +31,10 @@
 impl TrialShare {
     /// Runs until `stop`.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
-        let mut tick = tokio::time::interval(INTERVAL);
+        let mut tick = tokio::time::interval(UPDATE_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut demand = Demand::default();
-        let mut asked_before = 0;
+        let mut previous_total = 0;
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
@@ -46,9 +46,9 @@
                 }
                 _ = tick.tick() => {}
             }
-            let asked = self.admission.trial_demand();
-            let own = demand.observe(asked - asked_before);
-            asked_before = asked;
+            let total_demand = self.admission.trial_demand();
+            let own = demand.observe(total_demand - previous_total);
+            previous_total = total_demand;
             self.peers.set_trial_demand(own);
             self.set_rate(own);
         }
@@ -59,8 +59,8 @@
         if config.generation == 0 {
             return;
         }
-        let whole = config.rules.trial_share * fleet_positions(&config.register);
-        let rate = fair_share(whole, own, &self.peers.trial_demands());
+        let fleet_rate = config.rules.trial_share * fleet_positions(&config.register);
+        let rate = fair_share(fleet_rate, own, &self.peers.trial_demands());
         metrics::gauge!("kelpworks_trial_rate").set(rate);
         self.admission.set_trial_rate(rate);
     }
--- a/crates/kelpworks/src/membership/upstream_facts.rs
+++ b/crates/kelpworks/src/membership/upstream_facts.rs
@@ -18,11 +18,11 @@
 use kelpworks_coord::id::UpstreamId;
 
 /// Life of a fact that is not renewed, so that the word of a daemon that is gone fades.
-const TTL: Duration = Duration::from_secs(30);
+const FACT_TTL: Duration = Duration::from_secs(30);
 /// How often standing facts are renewed.
-const RENEW: Duration = Duration::from_secs(10);
+const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 /// How often facts are looked at for those that expired.
-const LOOK: Duration = Duration::from_secs(1);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Carries facts both ways.
 #[derive(Debug)]
@@ -37,72 +37,74 @@
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = self.carry() => {}
+            () = self.exchange_facts() => {}
         }
     }
 
-    async fn carry(&mut self) {
-        let mut stated = BTreeSet::new();
-        let mut told = Vec::new();
-        let mut news = self.peers.facts_changed();
-        let mut look = tokio::time::interval(LOOK);
-        let mut renew = tokio::time::interval(RENEW);
+    async fn exchange_facts(&mut self) {
+        let mut published = BTreeSet::new();
+        let mut last_reported = Vec::new();
+        let mut peer_facts = self.peers.facts_changed();
+        let mut expiry_check = tokio::time::interval(EXPIRY_CHECK_INTERVAL);
+        let mut renew = tokio::time::interval(RENEW_INTERVAL);
         loop {
             tokio::select! {
-                Ok(()) = self.observed.changed() => self.state(&mut stated),
-                Ok(()) = news.changed() => self.tell(&mut told),
-                _ = look.tick() => self.tell(&mut told),
-                _ = renew.tick() => self.state(&mut stated),
+                Ok(()) = self.observed.changed() => self.publish(&mut published),
+                Ok(()) = peer_facts.changed() => self.report_to_monitor(&mut last_reported),
+                _ = expiry_check.tick() => self.report_to_monitor(&mut last_reported),
+                _ = renew.tick() => self.publish(&mut published),
                 else => return,
             }
         }
     }
 
     /// States what this daemon observes now, and clears what it no longer does.
-    fn state(&mut self, stated: &mut BTreeSet<(Kind, UpstreamId)>) {
+    fn publish(&mut self, published: &mut BTreeSet<(Kind, UpstreamId)>) {
         let observed = self.observed.borrow_and_update().clone();
         let now: BTreeSet<(Kind, UpstreamId)> = observed
             .iter()
             .map(|o| (kind(o.kind), UpstreamId::of(&o.upstream)))
             .collect();
         for &(kind, upstream) in &now {
-            self.peers.set_fact(kind, upstream.0, 0, TTL);
+            self.peers.set_fact(kind, upstream.0, 0, FACT_TTL);
         }
-        for &(kind, upstream) in stated.difference(&now) {
+        for &(kind, upstream) in published.difference(&now) {
             self.peers.clear_fact(kind, upstream.0);
         }
-        *stated = now;
+        *published = now;
     }
 
     /// Tells the monitor what the others state, when it differs from what it was told.
-    fn tell(&self, told: &mut Vec<PeerReport>) {
-        let me = NodeId::of(&self.peers.contact().name);
-        let mut words: BTreeMap<UpstreamId, PeerReport> = BTreeMap::new();
+    fn report_to_monitor(&self, last_reported: &mut Vec<PeerReport>) {
+        let own_id = NodeId::of(&self.peers.contact().name);
+        let mut reports_by_upstream: BTreeMap<UpstreamId, PeerReport> = BTreeMap::new();
         for kind in [Kind::Leaving, Kind::Quarantine, Kind::Down] {
             let facts = self.peers.active_facts(kind);
-            for fact in facts.iter().filter(|f| f.key.author != me) {
+            for fact in facts.iter().filter(|f| f.key.author != own_id) {
                 let upstream = UpstreamId(fact.key.subject);
-                let word = words.entry(upstream).or_insert(PeerReport {
+                let peer_report = reports_by_upstream.entry(upstream).or_insert(PeerReport {
                     upstream,
                     leaving: false,
                     down: 0,
                 });
                 match kind {
-                    Kind::Down => word.down += 1,
-                    _ => word.leaving = true,
+                    Kind::Down => peer_report.down += 1,
+                    _ => peer_report.leaving = true,
                 }
             }
         }
-        let words: Vec<PeerReport> = words.into_values().collect();
-        if *told != words {
-            let _ = self.reports.send(Report::Peers(words.clone()));
-            *told = words;
+        let reports_by_upstream: Vec<PeerReport> = reports_by_upstream.into_values().collect();
+        if *last_reported != reports_by_upstream {
+            let _ = self
+                .reports
+                .send(Report::Peers(reports_by_upstream.clone()));
+            *last_reported = reports_by_upstream;
         }
     }
 }
 
-fn kind(trouble: ObservationKind) -> Kind {
-    match trouble {
+fn kind(observation: ObservationKind) -> Kind {
+    match observation {
         ObservationKind::Leaving => Kind::Leaving,
         ObservationKind::Down => Kind::Down,
     }
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -293,7 +293,7 @@
         if !self.echoes(&reply) {
             return Err(self.mismatch());
         }
-        self.counters.report(&reply.load);
+        self.counters.record_load(&reply.load);
         let last = self.hop.layers.end == self.fixed.layers;
         match reply.outcome {
             StepOutcome::Busy(busy) => Err(StepFailure::Busy(Duration::from_millis(u64::from(
--- a/crates/kelpworks/src/placement/tests.rs
+++ b/crates/kelpworks/src/placement/tests.rs
@@ -21,9 +21,9 @@
 use crate::register::Link;
 use crate::register::Model;
 use crate::register::Register;
+use crate::units::DurationSetting;
 use crate::units::Rate;
 use crate::units::Size;
-use crate::units::Span;
 use kelpworks_wire::LayerRange;
 
 mod changes;
@@ -293,7 +293,7 @@
         links: vec![Link {
             from: "a".into(),
             to: "b".into(),
-            latency: Span(Duration::from_millis(9)),
+            latency: DurationSetting(Duration::from_millis(9)),
             bandwidth: Rate(11),
         }],
     };
--- a/crates/kelpworks/src/register/file.rs
+++ b/crates/kelpworks/src/register/file.rs
@@ -5,9 +5,9 @@
 use serde::Deserialize;
 use toml::Spanned;
 
+use crate::units::DurationSetting;
 use crate::units::Rate;
 use crate::units::Size;
-use crate::units::Span;
 
 /// The file.
 #[derive(Debug)]
@@ -76,6 +76,6 @@
 pub(super) struct LinkTable {
     pub(super) from: Spanned<String>,
     pub(super) to: Spanned<String>,
-    pub(super) latency: Span,
+    pub(super) latency: DurationSetting,
     pub(super) bandwidth: Spanned<Rate>,
 }
--- a/crates/kelpworks/src/register/mod.rs
+++ b/crates/kelpworks/src/register/mod.rs
@@ -27,9 +27,9 @@
 
 use std::net::SocketAddr;
 
+use crate::units::DurationSetting;
 use crate::units::Rate;
 use crate::units::Size;
-use crate::units::Span;
 
 pub use crate::config::document::Error;
 pub use crate::config::document::Result;
@@ -153,7 +153,7 @@
     /// The other end; may be the same failure domain.
     pub to: String,
     /// One-way latency.
-    pub latency: Span,
+    pub latency: DurationSetting,
     /// Bandwidth of one connection.
     pub bandwidth: Rate,
 }
--- a/crates/kelpworks/src/settings/file.rs
+++ b/crates/kelpworks/src/settings/file.rs
@@ -6,9 +6,9 @@
 use serde::Deserialize;
 use toml::Spanned;
 
+use crate::units::DurationSetting;
 use crate::units::Rate;
 use crate::units::Size;
-use crate::units::Span;
 
 /// The file.
 #[derive(Debug)]
@@ -91,7 +91,7 @@
     pub(super) max_tokens: Spanned<u32>,
     pub(super) queue: Spanned<u32>,
     pub(super) claim_writes_per_second: Spanned<u32>,
-    pub(super) token_target: Spanned<Span>,
+    pub(super) token_target: Spanned<DurationSetting>,
 }
 
 impl Default for LimitsTable {
@@ -111,16 +111,16 @@
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct TimingTable {
-    pub(super) request: Spanned<Span>,
-    pub(super) connect: Spanned<Span>,
-    pub(super) step_floor: Spanned<Span>,
-    pub(super) step_ceiling: Spanned<Span>,
-    pub(super) state_poll: Spanned<Span>,
-    pub(super) host_list_poll: Spanned<Span>,
-    pub(super) watch: Spanned<Span>,
-    pub(super) heartbeat: Spanned<Span>,
-    pub(super) balancer_notice: Spanned<Span>,
-    pub(super) drain: Spanned<Span>,
+    pub(super) request: Spanned<DurationSetting>,
+    pub(super) connect: Spanned<DurationSetting>,
+    pub(super) step_floor: Spanned<DurationSetting>,
+    pub(super) step_ceiling: Spanned<DurationSetting>,
+    pub(super) state_poll: Spanned<DurationSetting>,
+    pub(super) host_list_poll: Spanned<DurationSetting>,
+    pub(super) watch: Spanned<DurationSetting>,
+    pub(super) heartbeat: Spanned<DurationSetting>,
+    pub(super) balancer_notice: Spanned<DurationSetting>,
+    pub(super) drain: Spanned<DurationSetting>,
 }
 
 impl Default for TimingTable {
@@ -146,11 +146,11 @@
 #[serde(default, deny_unknown_fields)]
 pub(super) struct PlacementTable {
     pub(super) enabled: bool,
-    pub(super) lease: Spanned<Span>,
-    pub(super) order_bound: Spanned<Span>,
-    pub(super) interval: Spanned<Span>,
-    pub(super) lost_after: Spanned<Span>,
-    pub(super) improve_after: Spanned<Span>,
+    pub(super) lease: Spanned<DurationSetting>,
+    pub(super) order_bound: Spanned<DurationSetting>,
+    pub(super) interval: Spanned<DurationSetting>,
+    pub(super) lost_after: Spanned<DurationSetting>,
+    pub(super) improve_after: Spanned<DurationSetting>,
     pub(super) weight_rate: Spanned<Rate>,
 }
 
@@ -173,6 +173,6 @@
     Spanned::new(0..0, value)
 }
 
-fn millis(n: u64) -> Spanned<Span> {
-    unplaced(Span(Duration::from_millis(n)))
+fn millis(n: u64) -> Spanned<DurationSetting> {
+    unplaced(DurationSetting(Duration::from_millis(n)))
 }
--- a/crates/kelpworks/src/settings/mod.rs
+++ b/crates/kelpworks/src/settings/mod.rs
@@ -30,8 +30,8 @@
 use std::net::SocketAddr;
 
 use crate::register::Register;
+use crate::units::DurationSetting;
 use crate::units::Rate;
-use crate::units::Span;
 
 pub use crate::config::document::Error;
 pub use crate::config::document::Result;
@@ -112,34 +112,34 @@
     pub claim_writes_per_second: u32,
     /// Time between tokens that is aimed at under load: a longer one lets more requests run at
     /// once and gives more tokens a second, a shorter one answers sooner. Default 50 ms.
-    pub token_target: Span,
+    pub token_target: DurationSetting,
 }
 
 /// Timeouts and intervals.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
     /// Longest time for a whole request. Default 120 s.
-    pub request: Span,
+    pub request: DurationSetting,
     /// Longest time to open a connection. Default 1 s.
-    pub connect: Span,
+    pub connect: DurationSetting,
     /// Least progress deadline of a step. Default 50 ms.
-    pub step_floor: Span,
+    pub step_floor: DurationSetting,
     /// Greatest progress deadline of a step. Default 5 s.
-    pub step_ceiling: Span,
+    pub step_ceiling: DurationSetting,
     /// How often upstreams are asked for their state. Default 500 ms.
-    pub state_poll: Span,
+    pub state_poll: DurationSetting,
     /// How often the host list is read. Default 1 s.
-    pub host_list_poll: Span,
+    pub host_list_poll: DurationSetting,
     /// Longest wait of an object API watch before it is opened anew. Default 700 ms: a watch that was
     /// lost hides changes for this long and a second, and they are to be in force within three.
-    pub watch: Span,
+    pub watch: DurationSetting,
     /// How often a heartbeat goes to peers. Default 1 s.
-    pub heartbeat: Span,
+    pub heartbeat: DurationSetting,
     /// How long a planned stop still takes requests once the balancer's check fails; longer than
     /// the balancer needs to notice. Default 2 s.
-    pub balancer_notice: Span,
+    pub balancer_notice: DurationSetting,
     /// How long a planned stop waits for requests in flight. Default 60 s.
-    pub drain: Span,
+    pub drain: DurationSetting,
 }
 
 /// How a daemon takes part in placement. The times of the lease must be the same on all daemons.
@@ -148,15 +148,15 @@
     /// Whether it may take the placement lease and order engines. Default true.
     pub enabled: bool,
     /// Length of the placement lease. Default 10 s.
-    pub lease: Span,
+    pub lease: DurationSetting,
     /// Longest time from an order to its effect; at most a third of the lease. Default 2 s.
-    pub order_bound: Span,
+    pub order_bound: DurationSetting,
     /// Time between two looks at the fleet. Default 1 s.
-    pub interval: Span,
+    pub interval: DurationSetting,
     /// How long a host may be down before its layers are placed elsewhere. Default 10 s.
-    pub lost_after: Span,
+    pub lost_after: DurationSetting,
     /// How long hosts must stay as they are before a better placement is looked for. Default 60 s.
-    pub improve_after: Span,
+    pub improve_after: DurationSetting,
     /// What the weight store delivers to the whole fleet. Default 1 GB/s.
     pub weight_rate: Rate,
 }
--- a/crates/kelpworks/src/units.rs
+++ b/crates/kelpworks/src/units.rs
@@ -4,11 +4,11 @@
 //! because a wrong guess of its unit would be off by a thousand.
 //!
 //! ```
-//! use kelpworks::units::Span;
+//! use kelpworks::units::DurationSetting;
 //!
-//! let span: Span = "250 ms".parse()?;
-//! assert_eq!(span.0.as_millis(), 250);
-//! assert!("250".parse::<Span>().is_err());
+//! let duration: DurationSetting = "250 ms".parse()?;
+//! assert_eq!(duration.0.as_millis(), 250);
+//! assert!("250".parse::<DurationSetting>().is_err());
 //! # Ok::<(), kelpworks::units::Error>(())
 //! ```
 
@@ -104,7 +104,7 @@
 
 /// A length of time, written `"250 ms"`, `"3 s"` or `"2 min"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Duration);
+pub struct DurationSetting(pub Duration);
 
 /// A size in bytes, written `"80 GB"` (powers of ten) or `"80 GiB"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -139,15 +139,15 @@
     write!(f, "{} {}", value / found.factor, found.symbol)
 }
 
-impl FromStr for Span {
+impl FromStr for DurationSetting {
     type Err = Error;
 
-    fn from_str(text: &str) -> Result<Span> {
+    fn from_str(text: &str) -> Result<DurationSetting> {
         let expected = TIME_EXPECTED;
         let (number, symbol) = split(text, expected)?;
         let factor = factor(TIMES, symbol).ok_or(Error::Unit { expected })?;
         let nanos = number.checked_mul(factor).ok_or(Error::Overflow)?;
-        Ok(Span(Duration::from_nanos(nanos)))
+        Ok(DurationSetting(Duration::from_nanos(nanos)))
     }
 }
 
@@ -179,7 +179,7 @@
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for DurationSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let nanos = u64::try_from(self.0.as_nanos()).unwrap_or(u64::MAX);
         write_exact(f, TIMES, nanos)
@@ -216,11 +216,11 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> std::result::Result<Span, D::Error> {
+impl<'de> Deserialize<'de> for DurationSetting {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> std::result::Result<DurationSetting, D::Error> {
         d.deserialize_str(QuantityVisitor {
             expected: TIME_EXPECTED,
-            parse: Span::from_str,
+            parse: DurationSetting::from_str,
         })
     }
 }
--- a/crates/kelpworks/src/upstreams/mod.rs
+++ b/crates/kelpworks/src/upstreams/mod.rs
@@ -31,7 +31,7 @@
     /// A plain service answered its health check: whether it takes new work.
     Service(UpstreamKey, bool),
     /// An upstream did not answer a poll.
-    Silent(UpstreamKey),
+    PollFailed(UpstreamKey),
     /// The host list was read.
     HostList(Vec<ListedHost>),
     /// What other daemons state of upstreams; of those not listed they state nothing.
--- a/crates/kelpworks/src/upstreams/monitor.rs
+++ b/crates/kelpworks/src/upstreams/monitor.rs
@@ -74,7 +74,7 @@
 
     /// Runs until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
-        self.take_register();
+        self.apply_register();
         let mut poll = tokio::time::interval(self.cfg.state_poll);
         poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -85,11 +85,11 @@
                     if changed.is_err() {
                         return;
                     }
-                    self.take_register();
+                    self.apply_register();
                     self.poll_all();
                 }
                 Some(report) = self.reports.recv() => {
-                    if self.take(report) {
+                    if self.apply(report) {
                         self.publish();
                     }
                 }
@@ -97,9 +97,9 @@
         }
     }
 
-    fn take_register(&mut self) {
+    fn apply_register(&mut self) {
         let register = Arc::clone(&self.register.borrow_and_update());
-        self.view.take_register(&register);
+        self.view.apply_register(&register);
         self.publish();
     }
 
@@ -114,40 +114,40 @@
     }
 
     /// Takes a report; tells whether requests have to know at once.
-    fn take(&mut self, report: Report) -> bool {
+    fn apply(&mut self, report: Report) -> bool {
         match report {
             Report::Suspect(key) => {
                 self.poll_one(key);
-                let changed = self.view.suspect(key);
-                self.note(changed, key, "failed under a request")
+                let changed = self.view.record_failure(key);
+                self.log_change(changed, key, "failed under a request")
             }
             Report::State(key, state) => {
-                let changed = self.view.take_state(key, &state);
-                self.note(changed, key, "state of the engine")
+                let changed = self.view.apply_state(key, &state);
+                self.log_change(changed, key, "state of the engine")
             }
             Report::Service(key, live) => {
-                let changed = self.view.answered(key, !live);
-                self.note(changed, key, "health of the service")
+                let changed = self.view.record_answer(key, !live);
+                self.log_change(changed, key, "health of the service")
             }
-            Report::Silent(key) => {
-                let changed = self.view.missed(key);
-                self.note(changed, key, "no answer to a poll")
+            Report::PollFailed(key) => {
+                let changed = self.view.record_missed_poll(key);
+                self.log_change(changed, key, "no answer to a poll")
             }
-            Report::HostList(hosts) => self.view.take_host_list(&hosts),
-            Report::Peers(words) => self.take_peers(&words),
+            Report::HostList(hosts) => self.view.apply_host_list(&hosts),
+            Report::Peers(peer_reports) => self.apply_peer_reports(&peer_reports),
         }
     }
 
-    fn take_peers(&mut self, words: &[PeerReport]) -> bool {
-        let changed = self.view.take_peers(words);
+    fn apply_peer_reports(&mut self, peer_reports: &[PeerReport]) -> bool {
+        let changed = self.view.apply_peer_reports(peer_reports);
         for &key in &changed {
-            self.note(true, key, "word of other daemons");
+            self.log_change(true, key, "word of other daemons");
             self.poll_one(key);
         }
         !changed.is_empty()
     }
 
-    fn note(&self, changed: bool, key: UpstreamKey, reason: &'static str) -> bool {
+    fn log_change(&self, changed: bool, key: UpstreamKey, reason: &'static str) -> bool {
         if let Some(upstream) = self.view.fleet.upstreams.get(key).filter(|_| changed) {
             info!(
                 target: "decision", decision = "health", upstream = &*upstream.name,
--- a/crates/kelpworks/src/upstreams/poll.rs
+++ b/crates/kelpworks/src/upstreams/poll.rs
@@ -38,7 +38,7 @@
         }
         match engine.probe(&self.url, self.deadline).await {
             Ok(state) => Report::State(self.key, Box::new(state)),
-            Err(_) => Report::Silent(self.key),
+            Err(_) => Report::PollFailed(self.key),
         }
     }
 
@@ -55,7 +55,7 @@
         }
         match engine.probe_health(&self.url, self.deadline).await {
             Ok(takes_work) => Report::Service(self.key, takes_work),
-            Err(_) => Report::Silent(self.key),
+            Err(_) => Report::PollFailed(self.key),
         }
     }
 }
--- a/crates/kelpworks/src/upstreams/tests.rs
+++ b/crates/kelpworks/src/upstreams/tests.rs
@@ -19,19 +19,19 @@
 
 fn view() -> (View, UpstreamKey) {
     let mut view = View::default();
-    view.take_register(&Register::parse("register", REGISTER).unwrap());
+    view.apply_register(&Register::parse("register", REGISTER).unwrap());
     let key = view.fleet.upstreams.keys().next().unwrap();
-    view.answered(key, false);
+    view.record_answer(key, false);
     assert_eq!(view.fleet.upstreams[key].health, Health::Live);
     (view, key)
 }
 
 /// Suspects it, and counts the answers to polls until it is live again.
 fn answers_until_live(view: &mut View, key: UpstreamKey) -> u32 {
-    view.suspect(key);
+    view.record_failure(key);
     assert_eq!(view.fleet.upstreams[key].health, Health::Suspect);
     for answers in 1..100 {
-        view.answered(key, false);
+        view.record_answer(key, false);
         if view.fleet.upstreams[key].health == Health::Live {
             return answers;
         }
@@ -42,15 +42,18 @@
 /// Answers to polls before each suspicion, and those needed to clear it.
 #[rstest]
 #[case::first(&[0], &[1])]
-#[case::again_and_again(&[0, 0, 0, 0, 0, 0, 0], &[1, 2, 4, 8, 16, 16, 16])]
-#[case::forgotten(&[0, 0, 60], &[1, 2, 1])]
-#[case::not_forgotten_yet(&[0, 0, 57], &[1, 2, 4])]
-fn suspicions(#[case] clean: &[u32], #[case] expected: &[u32]) {
+#[case::repeated(&[0, 0, 0, 0, 0, 0, 0], &[1, 2, 4, 8, 16, 16, 16])]
+#[case::reset_after_clean_answers(&[0, 0, 60], &[1, 2, 1])]
+#[case::kept_below_reset_threshold(&[0, 0, 57], &[1, 2, 4])]
+fn each_suspicion_doubles_the_answers_needed_to_clear_it(
+    #[case] clean: &[u32],
+    #[case] expected: &[u32],
+) {
     let (mut view, key) = view();
     let mut needed = Vec::new();
     for &answers in clean {
         for _ in 0..answers {
-            view.answered(key, false);
+            view.record_answer(key, false);
         }
         needed.push(answers_until_live(&mut view, key));
     }
@@ -58,16 +61,16 @@
 }
 
 #[test]
-fn silence_takes_an_upstream_down_and_an_answer_brings_it_back() {
+fn third_missed_poll_marks_upstream_down_and_an_answer_restores_it() {
     let (mut view, key) = view();
     let mut seen = Vec::new();
     for _ in 0..3 {
-        view.missed(key);
+        view.record_missed_poll(key);
         seen.push(view.fleet.upstreams[key].health);
     }
-    view.answered(key, true);
+    view.record_answer(key, true);
     seen.push(view.fleet.upstreams[key].health);
-    view.answered(key, false);
+    view.record_answer(key, false);
     seen.push(view.fleet.upstreams[key].health);
     insta::assert_snapshot!(format!("{seen:?}"), @"[Suspect, Suspect, Down, Leaving, Live]");
 }
--- a/crates/kelpworks/src/upstreams/view.rs
+++ b/crates/kelpworks/src/upstreams/view.rs
@@ -32,56 +32,56 @@
     bytes_per_second: 1_250_000_000,
 };
 /// Polls without an answer after which an upstream counts as down.
-const MISSES_UNTIL_DOWN: u32 = 3;
+const MISSED_POLLS_UNTIL_DOWN: u32 = 3;
 /// Other daemons whose word makes a single poll without an answer enough.
-const PEERS_UNTIL_DOWN: u32 = 2;
+const PEER_REPORTS_UNTIL_DOWN: u32 = 2;
 
 /// Doublings of the answers needed to clear a suspicion, at most.
-const MAX_STRIKES: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 /// Answers to polls without a suspicion after which earlier ones are forgotten.
-const CLEAN_UNTIL_FORGOTTEN: u32 = 60;
+const CLEAN_ANSWERS_UNTIL_RESET: u32 = 60;
 
 /// What the monitor knows of an upstream beside the snapshot.
 #[derive(Clone, Debug, Default)]
-struct Track {
+struct HealthRecord {
     /// Polls without an answer since the last answer.
-    misses: u32,
+    missed_polls: u32,
     /// Whether it ever answered, so that its silence is news.
-    answered: bool,
+    has_answered: bool,
     /// Said by the upstream itself.
     draining: bool,
     /// Reported by a request, or newly by a peer, and not cleared by answers to polls since.
     suspect: bool,
     /// Suspicions of late; an upstream that answers polls but fails requests collects them.
-    strikes: u32,
+    suspicions: u32,
     /// Answers to polls that are still needed to clear the suspicion.
-    to_clear: u32,
+    answers_to_clear: u32,
     /// Answers to polls since the last suspicion.
-    clean: u32,
+    clean_answers: u32,
     /// Other daemons state that it takes no new work.
     peers_leaving: bool,
     /// Other daemons that state that it is down; own answers count for more.
     peers_down: u32,
 }
 
-impl Track {
+impl HealthRecord {
     /// Notes a suspicion. The first is cleared by one answer, as it may be of a connection only;
     /// each further one takes twice as many, so that an upstream that answers polls but fails
     /// requests is not taken first again and again.
-    fn strike(&mut self) {
+    fn count_suspicion(&mut self) {
         self.suspect = true;
-        self.clean = 0;
-        self.to_clear = 1 << self.strikes.min(MAX_STRIKES);
-        self.strikes = self.strikes.saturating_add(1);
+        self.clean_answers = 0;
+        self.answers_to_clear = 1 << self.suspicions.min(MAX_DOUBLINGS);
+        self.suspicions = self.suspicions.saturating_add(1);
     }
 
     /// Notes an answer to a poll.
-    fn clear(&mut self) {
-        self.to_clear = self.to_clear.saturating_sub(1);
-        self.suspect = self.to_clear > 0;
-        self.clean = self.clean.saturating_add(1);
-        if self.clean >= CLEAN_UNTIL_FORGOTTEN {
-            self.strikes = 0;
+    fn count_answer(&mut self) {
+        self.answers_to_clear = self.answers_to_clear.saturating_sub(1);
+        self.suspect = self.answers_to_clear > 0;
+        self.clean_answers = self.clean_answers.saturating_add(1);
+        if self.clean_answers >= CLEAN_ANSWERS_UNTIL_RESET {
+            self.suspicions = 0;
         }
     }
 }
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: Fleet,
-    tracks: HashMap<UpstreamKey, Track>,
+    health_records: HashMap<UpstreamKey, HealthRecord>,
     by_name: HashMap<String, UpstreamKey>,
     /// Hosts that the platform's list shows as leaving.
     leaving: HashSet<String>,
@@ -100,14 +100,14 @@
 
 impl View {
     /// Takes a register into use; upstreams that stay keep their keys, counters and state.
-    pub(crate) fn take_register(&mut self, register: &Register) {
+    pub(crate) fn apply_register(&mut self, register: &Register) {
         self.fleet.domains = register
             .failure_domains
             .iter()
             .map(|d| d.name.clone())
             .collect();
         self.fleet.links = links(register);
-        self.take_models(register);
+        self.apply_models(register);
         let listed: HashSet<&str> = register.hosts.iter().map(|h| h.name.as_str()).collect();
         let gone: Vec<String> = self
             .by_name
@@ -119,12 +119,12 @@
             self.remove(&name);
         }
         for host in &register.hosts {
-            self.take_host(register, host);
+            self.apply_host(register, host);
         }
         self.reindex();
     }
 
-    fn take_models(&mut self, register: &Register) {
+    fn apply_models(&mut self, register: &Register) {
         let old = std::mem::take(&mut self.fleet.models);
         for model in &register.models {
             let mut versions = vec![model.version.clone()];
@@ -151,11 +151,11 @@
             return;
         };
         self.fleet.upstreams.remove(key);
-        self.tracks.remove(&key);
+        self.health_records.remove(&key);
         self.loaded.remove(&key);
     }
 
-    fn take_host(&mut self, register: &Register, host: &Host) {
+    fn apply_host(&mut self, register: &Register, host: &Host) {
         let url: Arc<str> = format!("http://{}", host.address).into();
         if let Some(&key) = self.by_name.get(&host.name) {
             if self.fleet.upstreams[key].url == url {
@@ -178,21 +178,22 @@
         let key = self.fleet.upstreams.insert(upstream);
         self.by_name.insert(host.name.clone(), key);
         // Not used until it has answered a poll.
-        let track = Track {
-            misses: MISSES_UNTIL_DOWN,
-            ..Track::default()
+        let record = HealthRecord {
+            missed_polls: MISSED_POLLS_UNTIL_DOWN,
+            ..HealthRecord::default()
         };
-        self.tracks.insert(key, track);
+        self.health_records.insert(key, record);
     }
 
     fn update_host(&mut self, register: &Register, host: &Host, key: UpstreamKey) {
         let domain = self.domain(&host.failure_domain);
-        let holdings = self.holdings(self.loaded.get(&key).map_or(&[][..], Vec::as_slice));
+        let assignments =
+            self.resolve_assignments(self.loaded.get(&key).map_or(&[][..], Vec::as_slice));
         let upstream = &mut self.fleet.upstreams[key];
         upstream.domain = domain;
         upstream.layer_rate = layer_rate(register, host);
         upstream.service = service(host);
-        upstream.layer_assignments = holdings;
+        upstream.layer_assignments = assignments;
     }
 
     fn domain(&self, name: &str) -> DomainKey {
@@ -201,7 +202,7 @@
     }
 
     /// Takes what an engine says of itself; tells whether routing has to know at once.
-    pub(crate) fn take_state(&mut self, key: UpstreamKey, state: &EngineState) -> bool {
+    pub(crate) fn apply_state(&mut self, key: UpstreamKey, state: &EngineState) -> bool {
         if !self.fleet.upstreams.contains_key(key) {
             return false;
         }
@@ -209,51 +210,51 @@
             self.learn_version(range);
         }
         self.loaded.insert(key, state.loaded.clone());
-        let holdings = self.holdings(&state.loaded);
+        let assignments = self.resolve_assignments(&state.loaded);
         let upstream = &mut self.fleet.upstreams[key];
         let restarted = upstream.incarnation != state.incarnation;
         upstream.incarnation = state.incarnation;
-        upstream.counters.report(&state.load);
-        let changed = restarted || upstream.layer_assignments != holdings;
-        upstream.layer_assignments = holdings;
+        upstream.counters.record_load(&state.load);
+        let changed = restarted || upstream.layer_assignments != assignments;
+        upstream.layer_assignments = assignments;
         if changed {
             self.reindex();
         }
-        self.answered(key, state.draining) || changed
+        self.record_answer(key, state.draining) || changed
     }
 
     /// Takes an answer of an upstream; tells whether its health changed.
-    pub(crate) fn answered(&mut self, key: UpstreamKey, draining: bool) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    pub(crate) fn record_answer(&mut self, key: UpstreamKey, draining: bool) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.misses = 0;
-        track.answered = true;
-        track.draining = draining;
-        track.clear();
-        self.judge(key)
+        record.missed_polls = 0;
+        record.has_answered = true;
+        record.draining = draining;
+        record.count_answer();
+        self.update_health(key)
     }
 
     /// Takes a poll without an answer; tells whether the upstream's health changed.
-    pub(crate) fn missed(&mut self, key: UpstreamKey) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    pub(crate) fn record_missed_poll(&mut self, key: UpstreamKey) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.misses = track.misses.saturating_add(1);
-        self.judge(key)
+        record.missed_polls = record.missed_polls.saturating_add(1);
+        self.update_health(key)
     }
 
     /// Takes the failure of a request; tells whether the upstream's health changed.
-    pub(crate) fn suspect(&mut self, key: UpstreamKey) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    pub(crate) fn record_failure(&mut self, key: UpstreamKey) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.strike();
-        self.judge(key)
+        record.count_suspicion();
+        self.update_health(key)
     }
 
     /// Takes the platform's host list; tells whether any upstream's health changed.
-    pub(crate) fn take_host_list(&mut self, hosts: &[ListedHost]) -> bool {
+    pub(crate) fn apply_host_list(&mut self, hosts: &[ListedHost]) -> bool {
         self.leaving = hosts
             .iter()
             .filter(|h| h.state == HostState::Leaving)
@@ -262,29 +263,29 @@
         let keys: Vec<UpstreamKey> = self.fleet.upstreams.keys().collect();
         let mut changed = false;
         for key in keys {
-            changed |= self.judge(key);
+            changed |= self.update_health(key);
         }
         changed
     }
 
     /// Takes what other daemons state; returns the upstreams whose health changed by it.
-    pub(crate) fn take_peers(&mut self, words: &[PeerReport]) -> Vec<UpstreamKey> {
-        let words: HashMap<UpstreamId, &PeerReport> =
-            words.iter().map(|w| (w.upstream, w)).collect();
-        let named = self.fleet.upstreams.iter();
-        let named: Vec<_> = named.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
+    pub(crate) fn apply_peer_reports(&mut self, reports: &[PeerReport]) -> Vec<UpstreamKey> {
+        let reports: HashMap<UpstreamId, &PeerReport> =
+            reports.iter().map(|w| (w.upstream, w)).collect();
+        let ids = self.fleet.upstreams.iter();
+        let ids: Vec<_> = ids.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
         let mut changed = Vec::new();
-        for (key, id) in named {
-            let word = words.get(&id);
-            let Some(track) = self.tracks.get_mut(&key) else {
+        for (key, id) in ids {
+            let report = reports.get(&id);
+            let Some(record) = self.health_records.get_mut(&key) else {
                 continue;
             };
-            let down = word.map_or(0, |w| w.down);
+            let down = report.map_or(0, |w| w.down);
             // Only the news makes a suspect: an answer to the poll that follows is newer.
-            track.suspect |= down > track.peers_down;
-            track.peers_down = down;
-            track.peers_leaving = word.is_some_and(|w| w.leaving);
-            if self.judge(key) {
+            record.suspect |= down > record.peers_down;
+            record.peers_down = down;
+            record.peers_leaving = report.is_some_and(|w| w.leaving);
+            if self.update_health(key) {
                 changed.push(key);
             }
         }
@@ -295,10 +296,10 @@
     pub(crate) fn observed(&self) -> Vec<Observation> {
         let mut observed = Vec::new();
         for (key, upstream) in &self.fleet.upstreams {
-            let track = &self.tracks[&key];
-            let leaving = track.draining || self.leaving.contains(&*upstream.name);
-            let kind = match track.misses {
-                MISSES_UNTIL_DOWN.. if track.answered => ObservationKind::Down,
+            let record = &self.health_records[&key];
+            let leaving = record.draining || self.leaving.contains(&*upstream.name);
+            let kind = match record.missed_polls {
+                MISSED_POLLS_UNTIL_DOWN.. if record.has_answered => ObservationKind::Down,
                 _ if leaving => ObservationKind::Leaving,
                 _ => continue,
             };
@@ -308,16 +309,16 @@
         observed
     }
 
-    fn judge(&mut self, key: UpstreamKey) -> bool {
-        let track = &self.tracks[&key];
+    fn update_health(&mut self, key: UpstreamKey) -> bool {
+        let record = &self.health_records[&key];
         let upstream = &mut self.fleet.upstreams[key];
         let listed = self.leaving.contains(&*upstream.name);
-        let leaving = track.draining || listed || track.peers_leaving;
-        let health = match track {
-            t if t.misses >= MISSES_UNTIL_DOWN => Health::Down,
-            t if t.misses > 0 && t.peers_down >= PEERS_UNTIL_DOWN => Health::Down,
+        let leaving = record.draining || listed || record.peers_leaving;
+        let health = match record {
+            t if t.missed_polls >= MISSED_POLLS_UNTIL_DOWN => Health::Down,
+            t if t.missed_polls > 0 && t.peers_down >= PEER_REPORTS_UNTIL_DOWN => Health::Down,
             _ if leaving => Health::Leaving,
-            t if t.suspect || t.misses > 0 => Health::Suspect,
+            t if t.suspect || t.missed_polls > 0 => Health::Suspect,
             _ => Health::Live,
         };
         let changed = upstream.health != health;
@@ -333,8 +334,8 @@
         }
     }
 
-    fn holdings(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
-        let mut holdings = Vec::new();
+    fn resolve_assignments(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
+        let mut assignments = Vec::new();
         for range in loaded {
             let Some(model) = self.fleet.model(&range.model) else {
                 continue;
@@ -344,21 +345,21 @@
                 continue;
             };
             let layers = range.layers.clone();
-            holdings.push(LayerAssignment {
+            assignments.push(LayerAssignment {
                 model,
                 version: version as u16,
                 layers,
             });
         }
-        holdings
+        assignments
     }
 
     fn reindex(&mut self) {
         let mut by_model = vec![Vec::new(); self.fleet.models.len()];
         let mut by_service: HashMap<String, Vec<UpstreamKey>> = HashMap::new();
         for (key, upstream) in &self.fleet.upstreams {
-            for holding in &upstream.layer_assignments {
-                let keys: &mut Vec<UpstreamKey> = &mut by_model[usize::from(holding.model.0)];
+            for assignment in &upstream.layer_assignments {
+                let keys: &mut Vec<UpstreamKey> = &mut by_model[usize::from(assignment.model.0)];
                 if keys.last() != Some(&key) {
                     keys.push(key);
                 }
--- a/crates/kelpworks/tests/claims_slice.rs
+++ b/crates/kelpworks/tests/claims_slice.rs
@@ -221,7 +221,7 @@
 async fn held_claims_are_bounded() {
     let bench = Bench::start().await;
     let cfg = Config {
-        held: 1,
+        pending: 1,
         ..config(16)
     };
     let node = bench.node(cfg, Direct::default());
--- a/crates/kelpworks/tests/config_parse.rs
+++ b/crates/kelpworks/tests/config_parse.rs
@@ -15,9 +15,9 @@
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
 use kelpworks::settings::Settings;
+use kelpworks::units::DurationSetting;
 use kelpworks::units::Rate;
 use kelpworks::units::Size;
-use kelpworks::units::Span;
 use kelpworks_wire::Class;
 
 const SETTINGS: &str = r#"name = "entry-1"
@@ -395,15 +395,15 @@
         prop_assert_eq!(size.to_string().parse::<Size>(), Ok(size));
         let rate = Rate(n);
         prop_assert_eq!(rate.to_string().parse::<Rate>(), Ok(rate));
-        let span = Span(std::time::Duration::from_nanos(n));
-        prop_assert_eq!(span.to_string().parse::<Span>(), Ok(span));
+        let span = DurationSetting(std::time::Duration::from_nanos(n));
+        prop_assert_eq!(span.to_string().parse::<DurationSetting>(), Ok(span));
     }
 
     #[test]
     fn units_never_panic(text in "[0-9]{0,24} ?[a-zA-Z/]{0,8}|.*") {
         let _ = text.parse::<Size>();
         let _ = text.parse::<Rate>();
-        let _ = text.parse::<Span>();
+        let _ = text.parse::<DurationSetting>();
     }
 }
 
@@ -413,7 +413,10 @@
 #[case("2 min", 120_000_000)]
 #[case("1 h", 3_600_000_000)]
 fn spans(#[case] text: &str, #[case] micros: u128) {
-    assert_eq!(text.parse::<Span>().unwrap().0.as_micros(), micros);
+    assert_eq!(
+        text.parse::<DurationSetting>().unwrap().0.as_micros(),
+        micros
+    );
 }
 
 #[rstest]
--- a/crates/kelpworks/tests/peers_links.rs
+++ b/crates/kelpworks/tests/peers_links.rs
@@ -57,7 +57,7 @@
         }
         let contacts: Vec<_> = all.iter().map(Peers::contact).collect();
         for peers in &all {
-            peers.listed(&contacts);
+            peers.set_member_list(&contacts);
         }
         let three = Three { all, link };
         three.c_is(MemberState::Live).await;
