--- a/crates/kelpworks/src/active_config.rs
+++ b/crates/kelpworks/src/active_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this daemon.
+//! The active configuration of this daemon.
 
 use std::collections::HashMap;
 
@@ -11,42 +11,42 @@
 use crate::rules::path;
 use kelpworks_wire::Class;
 
-/// Index of a team in the rules in force.
+/// Index of a team in [`Rules::teams`] of the active rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TeamKey(u32);
 
-/// A register and rules of one generation, with what requests look up in them.
+/// A register and rules of one generation, with lookup tables for requests.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
-    /// Generation of the configuration head; 0 before the first; only ever rises on a
+    /// Generation of the configuration head; 0 before the first one. It never decreases on a
     /// daemon.
     pub generation: u64,
-    /// The register.
+    /// Hosts, models and failure domains.
     pub register: Register,
-    /// The rules.
+    /// Teams, shares and calls that must run at most once.
     pub rules: Rules,
-    /// Teams by the digest of a bearer token, in lower-case hex.
+    /// Teams by the SHA-256 of a bearer token, in lower-case hex.
     by_token: HashMap<String, TeamKey>,
 }
 
-/// A team as a request needs it.
+/// The team of a request, reduced to what admission needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
     /// Name of the team.
     pub team: String,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Its weight within the class.
+    /// Weight in fair sharing within the class.
     pub weight: u32,
 }
 
 impl ActiveConfig {
-    /// Puts a checked pair in force.
+    /// Builds the lookup tables of a validated register and rules.
     pub fn new(generation: u64, register: Register, rules: Rules) -> ActiveConfig {
         let mut by_token = HashMap::new();
-        for (at, team) in rules.teams.iter().enumerate() {
+        for (index, team) in rules.teams.iter().enumerate() {
             for digest in &team.token_sha256 {
-                by_token.insert(digest.to_ascii_lowercase(), TeamKey(at as u32));
+                by_token.insert(digest.to_ascii_lowercase(), TeamKey(index as u32));
             }
         }
         ActiveConfig {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The team that a bearer token names. The token itself is not kept.
+    /// Returns the team that a bearer token belongs to. The token itself is not stored.
     pub fn caller(&self, token: &[u8]) -> Option<Caller> {
         let digest = hex::encode(Sha256::digest(token));
         let key = self.by_token.get(&digest)?;
@@ -69,7 +69,8 @@
         })
     }
 
-    /// Whether a call of a plain service must run at most once, however its path is spelt.
+    /// Returns whether a call of a plain service must run at most once, however its path is
+    /// spelled.
     pub fn call_is_non_idempotent(&self, service: &str, method: &str, path: &str) -> bool {
         self.rules.non_idempotent.iter().any(|rule| match rule {
             NonIdempotent::Service {
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Whether a team's requests to a model must run at most once.
+    /// Returns whether a team's requests to a model must run at most once.
     pub fn model_is_non_idempotent(&self, model: &str, team: &str) -> bool {
         self.rules.non_idempotent.iter().any(|rule| match rule {
             NonIdempotent::Model { model: m, team: t } => m == model && t == team,
--- a/crates/kelpworks/src/claims/key.rs
+++ b/crates/kelpworks/src/claims/key.rs
@@ -1,36 +1,36 @@
-//! What a claim is about: the team, the call, the caller's key and the request.
+//! Idempotency keys of requests, and the identity of a claim: team, target, key and request.
 
 use salvo::http::HeaderMap;
 use sha2::Digest;
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Header with the caller's key.
+/// Request header that carries the idempotency key.
 pub const HEADER: &str = "idempotency-key";
-/// Longest key, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// The result of reading a key.
+/// Result of reading a key.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// Why a key can't be used.
+/// Why a key is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// More than one.
+    /// The request has more than one key.
     #[error("there is more than one idempotency-key")]
     Repeated,
-    /// Empty, too long, or not printable ASCII.
+    /// The key is empty, longer than [`MAX_KEY_BYTES`], or not printable ASCII.
     #[error("an idempotency-key has 1 to {MAX_KEY_BYTES} printable ASCII characters")]
     Malformed,
 }
 
-/// The caller's key in a request's headers, if there is one.
+/// Returns the idempotency key in a request's headers, or `None` when there is none.
 ///
 /// # Errors
 ///
-/// When there are two, or it is empty, too long or not printable ASCII.
+/// When there is more than one key, or it is empty, too long or not printable ASCII.
 pub(crate) fn from_headers(headers: &HeaderMap) -> Result<Option<String>> {
     let mut values = headers.get_all(HEADER).iter();
     let Some(value) = values.next() else {
@@ -47,25 +47,25 @@
     Ok(Some(String::from_utf8_lossy(bytes).into_owned()))
 }
 
-/// Names the claim of a call.
+/// Identity of the claim of a call.
 ///
-/// The name is a digest over the team too, so a key of another team is another claim, and the
-/// object API holds neither teams nor keys in the clear.
+/// The name is a digest that includes the team, so that equal keys of two teams denote different
+/// claims, and the object API stores neither teams nor keys in clear text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimKey {
     /// Name of the claim object: SHA-256 in hex.
     pub(super) name: String,
-    /// Of the request; a key may not be used for another one.
+    /// Digest of the request; reuse of the key for a different request is rejected.
     pub(super) digest: u64,
 }
 
 impl ClaimKey {
-    /// The claim of `team`'s call of `target` (service or model, method, path) under `key`;
-    /// `request` is what a repeat must not change.
+    /// Creates the identity of the claim of `team`'s call of `target` (service or model, method,
+    /// path) under `key`. `request` is what a retry must send unchanged.
     pub fn new(team: &str, target: &str, key: &str, request: &[u8]) -> ClaimKey {
         let mut name = Sha256::new();
         for part in [team, target, key] {
-            // With the length in front, no two lists of parts read the same.
+            // The length prefix makes the concatenation unambiguous.
             name.update((part.len() as u64).to_be_bytes());
             name.update(part);
         }
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Name of the claim object. An upstream may be given it as the call's key: it is the same for
-    /// all submissions, and differs between teams.
+    /// Returns the name of the claim object. It may be sent to an upstream as the call's
+    /// idempotency key: it is the same for all submissions, and differs between teams.
     pub fn name(&self) -> &str {
         &self.name
     }
--- a/crates/kelpworks/src/claims/mod.rs
+++ b/crates/kelpworks/src/claims/mod.rs
@@ -1,9 +1,9 @@
-//! At most once: a claim object around each keyed call that is not idempotent.
+//! At-most-once execution of keyed calls that are not idempotent, by claim objects.
 //!
-//! [`Claims::run_once`] creates the claim of a call on the object API, on the condition that there
-//! is none, runs the call, and records its outcome. A repeat of the call, on any daemon, finds the
-//! claim and gets the recorded outcome, or learns that the call may have run. The decisions are
-//! those of [`kelpworks_coord::claim`]; this slice carries them out.
+//! [`Claims::run_once`] creates the claim of a call on the object API, on condition that it does
+//! not exist, runs the call, and records its outcome. A retry of the call, on any daemon, finds the
+//! claim and gets the recorded outcome, or learns that the call may have run. The state machine is
+//! [`kelpworks_coord::claim`]; this module drives it.
 //!
 //! ```no_run
 //! use std::sync::Arc;
@@ -31,7 +31,7 @@
 //! # }
 //! ```
 //!
-//! Limits: claims are not removed after a retention, see `docs/design/claims.md`.
+//! Limits: recorded claims are not removed after a retention time, see `docs/design/claims.md`.
 
 mod key;
 mod record;
@@ -76,44 +76,45 @@
 pub use crate::claims::record::Header;
 pub use crate::claims::record::Reply;
 
-/// The result of a call that runs at most once.
+/// Result of a call that runs at most once.
 pub type Result<T, E> = std::result::Result<T, Error<E>>;
 
-/// Kind of the claim objects.
+/// Object kind of claims in the object API.
 pub const CLAIM_KIND: &str = "kelpworks.claim";
 
-/// Writes that each claim takes from the budget at its start: its creation and its outcome.
+/// Writes charged to the budget at the start of each claim: its creation and its outcome.
 const WRITES_PER_CLAIM: u64 = 2;
-/// Daemons that are assumed to share the write rate until their number is known. Above the 7 of
-/// the present deployments, so that a daemon that knows no peers can't take more than its part.
+/// Number of daemons assumed to share the write rate until their number is known. It exceeds the 7
+/// daemons of the present deployments, so that a daemon without peers can't take more than its
+/// share.
 const ASSUMED_MEMBERS: usize = 8;
-/// When to come back after an answer that says that an earlier submission is under way.
+/// Retry delay suggested to callers while another submission of the key is in progress, and in
+/// other responses without an outcome.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long keyed calls are refused after a daemon has entered a later era of the object API, which may
-/// have lost the claims of calls that ran: callers repeat theirs within this time.
+/// How long keyed calls are refused after a daemon has entered a later era of the object API. The
+/// API may have lost claims of calls that ran, and callers retry such calls within this time.
 const NEW_ERA_REFUSAL_TIME: Duration = Duration::from_secs(30);
 
-/// Bounds of the slice.
+/// Limits of claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Name of this daemon.
+    /// Name of this daemon; claims identify their holder by it.
     pub name: String,
     /// Writes a second that all daemons may spend on claims. Default 200.
     pub writes_per_second: u64,
-    /// Claim writes that this daemon may spend at once, at least 2. Default 16.
+    /// Claim writes that this daemon may make in one burst, at least 2. Default 16.
     pub burst: u64,
-    /// Longest wait for one reply of the object API, after which it counts as lost. Default
-    /// 500 ms.
+    /// Timeout of one call of the object API, after which its reply counts as lost. Default 500 ms.
     pub api_timeout: Duration,
-    /// Claims in memory, at most: those running and those that still have to be recorded or
+    /// Maximum number of unfinished claims: calls that run, and claims still to be recorded or
     /// removed. Default 4096.
     pub pending: usize,
-    /// Largest outcome that is recorded, in bytes as encoded. Default 64 KiB.
+    /// Maximum encoded size of a recorded outcome, in bytes. Default 64 KiB.
     pub max_outcome_bytes: usize,
 }
 
 impl Config {
-    /// The defaults, for the daemon of this name.
+    /// Returns the defaults for the daemon with this name.
     pub fn new(name: &str) -> Config {
         Config {
             name: name.to_owned(),
@@ -126,39 +127,39 @@
     }
 }
 
-/// An answer to a keyed call.
+/// A response to a keyed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedReply {
-    /// The answer.
+    /// The response of the call.
     pub reply: Reply,
-    /// Whether an earlier submission got it first.
+    /// Whether it was recorded by an earlier submission, rather than produced by this one.
     pub replayed: bool,
 }
 
-/// How a call failed that was let run.
+/// Failure of a call that was dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunError<E> {
-    /// Whether it may have run.
+    /// Whether the call may have run.
     pub verdict: Verdict,
-    /// Why it failed.
+    /// Error of the call.
     pub cause: E,
 }
 
-/// Why a keyed call has no answer.
+/// Why a keyed call has no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error<E> {
-    /// The write budget is spent, or too many claims are unsettled. Not run.
+    /// The write budget is exhausted, or too many claims are unfinished. Not run.
     #[error("too many keyed calls")]
     Busy {
-        /// When to come back.
+        /// Suggested retry delay.
         retry_after: Duration,
     },
     /// The object API did not confirm the claim. Not run.
     #[error("the claim of the key could not be recorded")]
     Unavailable {
-        /// When to come back.
+        /// Suggested retry delay.
         retry_after: Duration,
     },
     /// The caller's deadline passed before the call was sent. Not run.
@@ -167,25 +168,26 @@
     /// The key was used for another request. Not run.
     #[error("the key was used for another request")]
     KeyReused,
-    /// An earlier submission is running; a repeat will get its answer.
+    /// An earlier submission is running; a retry will get its response.
     #[error("an earlier submission of the key is running")]
     InProgress {
-        /// When to come back.
+        /// Suggested retry delay.
         retry_after: Duration,
     },
-    /// This submission or an earlier one may have run, and its answer is not known here.
+    /// This submission or an earlier one may have run, and its response is not known to this
+    /// daemon.
     #[error("the call may have run; its answer is not known")]
     MayHaveRun {
-        /// When to come back: its daemon may record the answer yet.
+        /// Suggested retry delay; the daemon of that submission may still record the response.
         retry_after: Duration,
     },
-    /// This submission was let run and failed.
+    /// This submission was dispatched and failed.
     #[error("the call failed")]
     Failed(RunError<E>),
 }
 
 impl<E> Error<E> {
-    /// Whether the call may have run.
+    /// Returns whether the call may have run.
     pub fn verdict(&self) -> Verdict {
         match self {
             Error::Busy { .. } | Error::Unavailable { .. } => Verdict::NotRun,
@@ -196,10 +198,10 @@
     }
 }
 
-/// The other daemons, asked about the claims that they hold.
+/// Queries to other daemons about the claims that they hold.
 pub trait Peers: Send + Sync + 'static {
-    /// What the daemon says of its claim; `None` when it did not answer, or runs under another
-    /// incarnation.
+    /// Returns the holder's status of its claim; `None` when it did not answer, or runs under
+    /// another incarnation.
     fn claim_status(
         &self,
         holder: NodeId,
@@ -208,7 +210,8 @@
     ) -> impl Future<Output = Option<PeerStatus>> + Send;
 }
 
-/// No way to ask another daemon: each claim of another counts as one that may have run.
+/// A [`Peers`] that reaches no daemon: every claim of another daemon counts as one that may have
+/// run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoPeers;
 
@@ -223,27 +226,27 @@
     }
 }
 
-/// The claims of one daemon.
+/// Claims held by one daemon.
 #[derive(Debug)]
 pub struct Claims<A, P = NoPeers> {
     cfg: Config,
     api: A,
     peers: P,
-    /// Where calls run, so that they outlive their callers and a planned stop waits for them.
+    /// Tracks running calls, so that they outlive their callers and a planned stop waits for them.
     tasks: TaskTracker,
     node: NodeId,
     incarnation: Incarnation,
-    /// Origin of the times of budget and claims.
+    /// Origin of the times passed to the budget and to claims.
     start: Instant,
     budget: Mutex<WriteBudget>,
-    /// Claims that are not settled; at most [`Config::pending`].
+    /// Unfinished claims; at most [`Config::pending`].
     pending: Mutex<HashMap<Nonce, Arc<Mutex<Claim>>>>,
-    /// The latest era of the object API that a call here has met, and since when.
-    entered: Mutex<Option<(Era, Instant)>>,
+    /// Latest era of the object API that a call on this daemon has observed, and since when.
+    era_entered: Mutex<Option<(Era, Instant)>>,
 }
 
 impl<A: ObjectApi + 'static, P: Peers> Claims<A, P> {
-    /// No claims yet. Calls run in `tasks`.
+    /// Creates an empty set of claims. Calls run in `tasks`.
     pub fn new(cfg: Config, api: A, peers: P, tasks: TaskTracker) -> Claims<A, P> {
         let defaults = budget::Config::default();
         let rates = budget::Config {
@@ -259,7 +262,7 @@
             start: Instant::now(),
             budget: Mutex::new(budget),
             pending: Mutex::default(),
-            entered: Mutex::default(),
+            era_entered: Mutex::default(),
             cfg,
             api,
             peers,
@@ -267,7 +270,8 @@
         }
     }
 
-    /// This run of this daemon, as its claims name it.
+    /// Returns the incarnation of this daemon that its claims carry: its start time in milliseconds
+    /// since the Unix epoch.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -278,7 +282,8 @@
         lock(&self.budget).set_members(now, members);
     }
 
-    /// What to tell a peer that asks about a claim of this daemon; `None` for another incarnation.
+    /// Returns the status for a peer that queries a claim of this daemon; `None` for another
+    /// incarnation.
     pub fn status(&self, incarnation: Incarnation, nonce: Nonce) -> Option<PeerStatus> {
         if incarnation != self.incarnation {
             return None;
@@ -287,12 +292,13 @@
         Some(claim.map_or(PeerStatus::MayHaveRun, |c| lock(&c).status()))
     }
 
-    /// Runs a call at most once over all submissions of its key, or says what became of it. `run`
-    /// is called at most once, and goes on when the caller drops the returned future.
+    /// Runs a call at most once over all submissions of its key, or returns what is known of an
+    /// earlier submission. `run` is called at most once, and continues when the caller drops the
+    /// returned future.
     ///
     /// # Errors
     ///
-    /// When there is no answer; [`Error::verdict`] says whether the call may have run.
+    /// When there is no response; [`Error::verdict`] says whether the call may have run.
     pub async fn run_once<F, Fut, E>(
         self: &Arc<Self>,
         key: ClaimKey,
@@ -314,24 +320,26 @@
         rx.await.unwrap_or(Err(lost))
     }
 
-    /// Whether the object API may just have lost claims. A daemon that starts can't know how long ago that
-    /// was.
+    /// Returns whether the object API may recently have lost claims, because it entered a later era
+    /// less than [`NEW_ERA_REFUSAL_TIME`] ago. A starting daemon can't know when that era began,
+    /// and counts from its first call.
     fn may_miss_claims(&self) -> bool {
         let latest = self.api.eras().latest();
         if latest == Era::FIRST {
             return false;
         }
-        let mut entered = lock(&self.entered);
+        let mut era_entered = lock(&self.era_entered);
         let now = Instant::now();
-        let since = match *entered {
+        let since = match *era_entered {
             Some((era, since)) if era == latest => since,
             _ => now,
         };
-        *entered = Some((latest, since));
+        *era_entered = Some((latest, since));
         now.duration_since(since) < NEW_ERA_REFUSAL_TIME
     }
 
-    /// Takes the writes of a claim from the budget.
+    /// Charges the writes of a new claim to the budget; refuses the call when too many claims are
+    /// unfinished.
     fn admit<E>(&self) -> Result<(), E> {
         if lock(&self.pending).len() >= self.cfg.pending {
             let retry_after = RETRY_AFTER;
@@ -358,7 +366,7 @@
         self.coord_time(Instant::now())
     }
 
-    /// The time of the claims and of the budget; the past counts as the start.
+    /// Converts to the time of claims and budget; times before the start count as the start.
     fn coord_time(&self, t: Instant) -> time::Instant {
         let passed = t.saturating_duration_since(self.start);
         time::Instant::ZERO + Span::from_millis(passed.as_millis() as u64)
@@ -370,7 +378,7 @@
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Locks; no code panics while it holds one of this slice's locks.
+/// Locks a mutex. Poisoning is ignored: no code panics while it holds one of this module's locks.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/kelpworks/src/claims/record.rs
+++ b/crates/kelpworks/src/claims/record.rs
@@ -1,4 +1,4 @@
-//! Answers as claims record them.
+//! Encoding of responses in claim records.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -6,28 +6,28 @@
 
 use kelpworks_coord::claim::Outcome;
 
-/// A header of an answer.
+/// A header of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Header {
-    /// Name, lower case.
+    /// Header name in lower case.
     pub name: String,
-    /// Value.
+    /// Header value.
     pub value: String,
 }
 
-/// An answer that a repeat gets again, byte for byte.
+/// A response that a retry receives again, byte for byte.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers that are kept.
+    /// Headers to replay; others are not recorded.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// The part of an answer that stands in [`Outcome::body`].
+/// JSON encoding of the part of a response in [`Outcome::body`].
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 struct Recorded {
@@ -35,7 +35,7 @@
     body: Body,
 }
 
-/// Text is kept as it is, since nearly all answers are JSON.
+/// Bodies in UTF-8 are stored as text, since nearly all responses are JSON.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -45,7 +45,7 @@
 }
 
 impl Reply {
-    /// The answer as an outcome of the claim.
+    /// Encodes the response as the outcome of a claim.
     pub(super) fn to_outcome(&self) -> Outcome {
         let body = match std::str::from_utf8(&self.body) {
             Ok(text) => Body::Text(text.to_owned()),
@@ -57,11 +57,12 @@
         };
         Outcome {
             status: self.status,
-            body: serde_json::to_string(&recorded).expect("it has no maps"),
+            body: serde_json::to_string(&recorded)
+                .expect("a recorded response always serializes to JSON"),
         }
     }
 
-    /// The answer of a recorded outcome; `None` where it is not one of this slice's.
+    /// Decodes a recorded outcome; `None` when it is not in this module's encoding.
     pub(super) fn from_outcome(outcome: &Outcome) -> Option<Reply> {
         let recorded: Recorded = serde_json::from_str(&outcome.body).ok()?;
         let body = match recorded.body {
--- a/crates/kelpworks/src/claims/submission.rs
+++ b/crates/kelpworks/src/claims/submission.rs
@@ -1,4 +1,4 @@
-//! Carries out what a claim's state machine decides.
+//! Driver of one keyed submission: executes the actions of its claim's state machine.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -42,22 +42,23 @@
 use kelpworks_coord::id::Version;
 use kelpworks_coord::time::Instant;
 
-/// First pause between two looks at a claim; it doubles up to [`MAX_POLL_INTERVAL`] once the caller
-/// has its answer, so that many unsettled claims don't meet the object API at once when it is back.
+/// Initial interval between ticks of a claim's state machine. Once the caller has its answer, the
+/// interval doubles up to [`MAX_POLL_INTERVAL`], so that many unfinished claims do not reach the
+/// object API at the same moment when it recovers.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One claim and what its API calls need.
+/// One claim with the context of its API calls; registered in [`Claims::pending`] until dropped.
 struct ClaimHandle<A: ObjectApi + 'static, P: Peers> {
     claims: Arc<Claims<A, P>>,
     name: String,
     nonce: Nonce,
     claim: Arc<Mutex<Claim>>,
-    /// Writes already taken from the budget.
+    /// Writes already charged to the budget and not used yet.
     prepaid_writes: u64,
-    /// The claim is not written for the first time after this. The machine itself writes again
-    /// whenever it reads that there is none, which could hold the caller for as long as each write
-    /// is lost and each read answered.
+    /// No create of the claim is sent after this time. The state machine creates it again whenever
+    /// a read finds none; without this bound, a caller could wait for as long as every write is
+    /// lost while every read is answered.
     create_deadline: Instant,
 }
 
@@ -81,8 +82,9 @@
         lock(&self.claim).status() == PeerStatus::NeverDispatched
     }
 
-    /// Carries out an action on the object API or a peer.
-    async fn act(&mut self, action: Action) -> Option<Event> {
+    /// Executes an action on the object API or a peer, and returns the resulting event. Returns
+    /// `None` for actions that concern the caller.
+    async fn execute(&mut self, action: Action) -> Option<Event> {
         let reply = match action {
             Action::Read => self.read().await,
             Action::Write { if_version, record } => self.write(if_version, &record).await,
@@ -120,12 +122,12 @@
         if creates && (is_late || self.claims.may_miss_claims()) || !self.charge_write() {
             return ApiReply::Refused;
         }
-        let body = serde_json::to_string(record).expect("a record has no maps");
+        let body = serde_json::to_string(record).expect("a claim record always serializes to JSON");
         let condition = Condition::at(if_version);
         let api = &self.claims.api;
         let call = api.put(CLAIM_KIND, &self.name, body, condition);
         match self.with_timeout(call).await {
-            // This answer told of the later era.
+            // The response itself announced a later era, which may lack claims of calls that ran.
             Ok(object) if creates && self.claims.may_miss_claims() => {
                 self.remove(object.version).await;
                 ApiReply::Refused
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Takes a write from what was paid at the start, or else from the budget.
+    /// Uses a prepaid write, or else charges the budget; returns false when the budget is
+    /// exhausted.
     fn charge_write(&mut self) -> bool {
         if self.prepaid_writes > 0 {
             self.prepaid_writes -= 1;
@@ -156,7 +159,8 @@
         self.claims.take_writes(1).is_ok()
     }
 
-    /// A call that gets no reply in time counts as lost, and its connection as silent.
+    /// Bounds a call by [`super::Config::api_timeout`]. A call that times out counts as lost, and
+    /// the connections are reset, since the one in use may be dead.
     async fn with_timeout<T>(
         &self,
         call: impl Future<Output = object_api::Result<T>>,
@@ -168,13 +172,13 @@
         })
     }
 
-    /// Removes a claim that was given up, however long the object API is out.
+    /// Removes an abandoned claim, retrying for as long as the object API is unavailable.
     async fn clean_up(mut self) {
         let mut poll_interval = INITIAL_POLL_INTERVAL;
         let mut actions = VecDeque::new();
         while !self.is_complete() {
             while let Some(action) = actions.pop_front() {
-                if let Some(event) = self.act(action).await {
+                if let Some(event) = self.execute(action).await {
                     actions.extend(self.step(event));
                 }
             }
@@ -189,9 +193,9 @@
 pub(super) struct Submission<A: ObjectApi + 'static, P: Peers, F, E> {
     handle: ClaimHandle<A, P>,
     run: Option<F>,
-    /// How the call ended, when it was let run.
-    ran: Option<std::result::Result<Reply, RunError<E>>>,
-    /// `None` once the caller has its answer.
+    /// Result of the call; `None` until it has run.
+    run_result: Option<std::result::Result<Reply, RunError<E>>>,
+    /// Channel to the caller; `None` once the answer has been sent.
     tx: Option<oneshot::Sender<Result<KeyedReply, E>>>,
 }
 
@@ -230,19 +234,19 @@
         Submission {
             handle,
             run: Some(run),
-            ran: None,
+            run_result: None,
             tx: Some(tx),
         }
     }
 
-    /// Runs until the caller has its answer and the outcome is recorded. What is left of a claim
-    /// that was given up is removed by a task of its own, for which a planned stop does not wait.
+    /// Runs until the caller has its answer and the outcome is recorded. An abandoned claim is
+    /// removed by a separate task, for which a planned stop does not wait.
     pub(super) async fn run(mut self) {
         let mut poll_interval = INITIAL_POLL_INTERVAL;
         let mut actions: VecDeque<Action> = self.handle.step(Event::Start).into();
         loop {
             while let Some(action) = actions.pop_front() {
-                if let Some(event) = self.act(action).await {
+                if let Some(event) = self.execute(action).await {
                     actions.extend(self.handle.step(event));
                 }
             }
@@ -262,27 +266,27 @@
         }
     }
 
-    async fn act(&mut self, action: Action) -> Option<Event> {
+    async fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch => Some(Event::Finished(self.dispatch().await?)),
             Action::Answer(answer) => {
                 self.answer(answer);
                 None
             }
-            other => self.handle.act(other).await,
+            other => self.handle.execute(other).await,
         }
     }
 
     async fn dispatch(&mut self) -> Option<RunResult> {
         let run = self.run.take()?;
-        let ran = run().await;
-        let how = match &ran {
+        let run_result = run().await;
+        let finished = match &run_result {
             Ok(reply) => RunResult::Completed(reply.to_outcome()),
             Err(e) if e.verdict == Verdict::NotRun => RunResult::NotRun,
             Err(_) => RunResult::MayHaveRun,
         };
-        self.ran = Some(ran);
-        Some(how)
+        self.run_result = Some(run_result);
+        Some(finished)
     }
 
     fn answer(&mut self, answer: Answer) {
@@ -290,7 +294,7 @@
             return;
         };
         let retry_after = RETRY_AFTER;
-        let result = match (self.ran.take(), answer) {
+        let result = match (self.run_result.take(), answer) {
             (Some(Ok(reply)), _) => Ok(KeyedReply {
                 reply,
                 replayed: false,
@@ -314,7 +318,7 @@
             reason = reason(&result);
             "keyed call answered"
         );
-        // The caller may have gone; its repeat will find the recorded outcome.
+        // The caller may have disconnected; its retry will find the recorded outcome.
         let _ = tx.send(result);
     }
 }
@@ -331,7 +335,7 @@
     }
 }
 
-/// The claim in an object; `None` where its body is not one.
+/// Parses the claim in an object; `None` when its body is malformed.
 fn parse_claim(object: &Object) -> Option<Stored> {
     let record = serde_json::from_str(&object.body).ok()?;
     Some(Stored {
@@ -340,6 +344,8 @@
     })
 }
 
+/// Maps an error of the object API to the reply that the state machine expects: refused only when
+/// the write cannot have taken effect.
 fn error_reply(error: &object_api::Error) -> ApiReply {
     match error {
         object_api::Error::Conflict { current: None } => ApiReply::Conflict(None),
--- a/crates/kelpworks/src/fleet.rs
+++ b/crates/kelpworks/src/fleet.rs
@@ -1,5 +1,7 @@
-//! The fleet as one daemon sees it: an immutable snapshot, replaced as a whole on each change,
-//! with counters that live on from snapshot to snapshot.
+//! Snapshots of the fleet as one daemon sees it.
+//!
+//! A snapshot is immutable and is replaced as a whole on each change; its counters are shared with
+//! later snapshots.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,7 +20,7 @@
 use kelpworks_wire::LayerRange;
 
 new_key_type! {
-    /// Key of an upstream in the arena of a [`Fleet`]; stays the same from snapshot to snapshot.
+    /// Key of an upstream in [`Fleet::upstreams`]; stable across snapshots.
     pub struct UpstreamKey;
 }
 
@@ -35,49 +37,50 @@
 pub enum Health {
     /// Takes new work.
     Live,
-    /// Silent or failing; used last.
+    /// Does not respond or fails requests; used as a last resort.
     Suspect,
-    /// Finishes what it has, takes nothing new.
+    /// Completes its present work and takes no new work.
     Leaving,
-    /// Not used.
+    /// Gets no work.
     Down,
 }
 
-/// What an engine upstream holds of a model.
+/// Layers of a model that an engine has loaded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerAssignment {
-    /// The model.
+    /// Model of the layers.
     pub model: ModelKey,
     /// Index of the version in [`ModelView::versions`].
     pub version: u16,
-    /// The layers.
+    /// Loaded layers.
     pub layers: LayerRange,
 }
 
-/// Counters of an upstream; they outlive a snapshot.
+/// Counters of an upstream, shared by successive snapshots.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Steps or calls of this daemon in flight.
+    /// Steps or calls in flight from this daemon.
     pub in_flight: AtomicU32,
-    /// Steps waiting or running on the upstream, of all daemons, as it last reported; late.
+    /// Steps of all daemons that wait or run on the upstream, as it last reported; lags behind.
     pub reported: AtomicU32,
     /// Steps of this daemon sent since that report.
     pub sent_since_report: AtomicU32,
-    /// Sessions of this daemon whose path goes through it; kept by `routing::PathGuard`.
+    /// Sessions of this daemon whose path includes it; maintained by `routing::PathGuard`.
     pub sessions: AtomicU32,
-    /// Smoothed time of one decode step as observed, in microseconds; 0 when unknown.
+    /// Smoothed observed time of one decode step, in microseconds; 0 when unknown.
     pub step_us: AtomicU64,
-    /// Times of steps, for the progress deadline.
+    /// Statistics of step times, for the progress deadline.
     pub step: Mutex<StepDeadline>,
-    /// Times of answered polls, for the deadline of a probe.
+    /// Statistics of the times of answered polls, for the deadline of a probe.
     pub poll: Mutex<StepDeadline>,
-    /// Monotonic time until which the upstream is busy, in milliseconds since the daemon's start.
+    /// Time until which the upstream is cooling down after a busy answer and is used as a last
+    /// resort, in milliseconds since the daemon's start.
     pub busy_until_ms: AtomicU64,
 }
 
 impl Counters {
-    /// Takes the load that the upstream reports, on a poll or with a reply. It covers what was
-    /// sent before.
+    /// Records the load that the upstream reports in a poll or with a reply. The report covers all
+    /// steps sent before.
     pub fn record_load(&self, load: &EngineLoad) {
         self.reported
             .store(load.queued + load.running, Ordering::Relaxed);
@@ -85,37 +88,37 @@
     }
 }
 
-/// An upstream host.
+/// An upstream: an engine or a plain service on one host.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Host name of the register.
+    /// Host name in the register.
     pub name: Arc<str>,
-    /// Base URL.
+    /// Base URL, without a trailing slash.
     pub url: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: DomainKey,
     /// Whether it may be given work.
     pub health: Health,
-    /// Layers of one token that it runs a second, by the register; 0 for a plain service.
+    /// Layers of one token that it runs per second, by the register; 0 for a plain service.
     pub layer_rate: f64,
-    /// What it holds, as it last said itself; the register is not trusted for this.
+    /// Loaded layers, as the engine itself last reported; the register is no evidence of them.
     pub layer_assignments: Vec<LayerAssignment>,
     /// Name of the plain service it runs, if any.
     pub service: Option<Arc<str>>,
-    /// Its incarnation, as it last said itself.
+    /// Incarnation that it last reported; 0 before the first report.
     pub incarnation: u64,
-    /// Counters of this daemon.
+    /// Load and timing on this daemon.
     pub counters: Arc<Counters>,
 }
 
-/// A model as routing needs it.
+/// A model, reduced to what routing needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelView {
-    /// Name.
+    /// Name in the register.
     pub name: String,
-    /// Number of layers.
+    /// Total number of layers.
     pub layers: u32,
-    /// Versions seen on the fleet; index 0 is the one to serve for new sessions.
+    /// Versions seen on the fleet; new sessions use the one at index 0.
     pub versions: Vec<String>,
 }
 
@@ -124,48 +127,48 @@
 pub struct LinkCost {
     /// One-way latency.
     pub latency: Duration,
-    /// Bytes a second.
+    /// Bandwidth in bytes per second.
     pub bytes_per_second: u64,
 }
 
 /// A snapshot of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// All upstreams of the register.
+    /// All upstreams in the register.
     pub upstreams: SlotMap<UpstreamKey, Upstream>,
     /// Failure domains; [`DomainKey`] is the index.
     pub domains: Vec<String>,
     /// Models; [`ModelKey`] is the index.
     pub models: Vec<ModelView>,
-    /// Links, a square matrix over [`Fleet::domains`], row major.
+    /// Link costs: a square matrix over [`Fleet::domains`], row major.
     pub links: Vec<LinkCost>,
-    /// For each model, the upstreams that hold any of its layers, in key order.
+    /// For each model, the upstreams with any of its layers loaded, in key order.
     pub by_model: Vec<Vec<UpstreamKey>>,
-    /// For each plain service, its upstreams.
+    /// Upstreams of each plain service, by its name.
     pub by_service: HashMap<String, Vec<UpstreamKey>>,
-    /// Holders of each layer, for routing; must match the rest of the snapshot. While it is
-    /// `None`, each decision works it out anew.
+    /// Index of upstreams by layer, for routing; must match the rest of the snapshot. While it is
+    /// `None`, each routing decision rebuilds it.
     pub index: Option<Arc<Index>>,
 }
 
 impl Fleet {
-    /// This snapshot with its index built; the last step of making a snapshot.
+    /// Returns this snapshot with its index built; the last step of building a snapshot.
     pub fn indexed(mut self) -> Fleet {
         self.index = Some(Arc::new(Index::build(&self)));
         self
     }
 
-    /// Key of the model of this name.
+    /// Returns the key of the model with this name.
     pub fn model(&self, name: &str) -> Option<ModelKey> {
-        let at = self.models.iter().position(|m| m.name == name)?;
-        Some(ModelKey(at as u16))
+        let index = self.models.iter().position(|m| m.name == name)?;
+        Some(ModelKey(index as u16))
     }
 
-    /// Cost of the link between two failure domains.
+    /// Returns the cost of the link from one failure domain to another.
     ///
     /// # Panics
     ///
-    /// When a key is not of this snapshot.
+    /// When a key is out of range for this snapshot.
     pub fn link(&self, from: DomainKey, to: DomainKey) -> LinkCost {
         self.links[usize::from(from.0) * self.domains.len() + usize::from(to.0)]
     }
--- a/crates/kelpworks/src/lib.rs
+++ b/crates/kelpworks/src/lib.rs
@@ -1,10 +1,10 @@
 //! A router for pipelines of language models over mixed accelerators.
 //!
-//! Callers speak HTTP to any daemon. The daemon drives each request step by
-//! step through upstreams that hold ranges of the model's layers, and checks
-//! that every layer ran exactly once and in order for every token.
+//! Callers send HTTP requests to any daemon. The daemon drives each request step by step through
+//! upstreams that have ranges of the model's layers loaded, and checks that every layer ran exactly
+//! once and in order for every token.
 //!
-//! One folder or file a duty, each with its own state, messages and tests.
+//! Each module has one responsibility, with its own state, messages and tests.
 
 pub mod active_config;
 pub mod admission;
--- a/crates/kelpworks/src/membership/claim_status.rs
+++ b/crates/kelpworks/src/membership/claim_status.rs
@@ -1,4 +1,4 @@
-//! Claims of other daemons: asked of their holder, and answered for this one's.
+//! Status queries on claims between daemons: client and server side.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -24,13 +24,13 @@
 use kelpworks_wire::ClaimStatusReply;
 use kelpworks_wire::ClaimStatusRequest;
 
-/// The claims of a daemon among peers.
+/// Claims of a daemon that queries its peers.
 pub(crate) type PeerClaims = Claims<HttpObjectApi, Peers>;
 
-/// Wait for a holder's word on one connection; a caller waits for it, and a holder that says
-/// nothing costs it two of these.
+/// Timeout of a query to the holder of a claim on one connection. The caller of the keyed call
+/// waits for it, and an unresponsive holder costs the caller twice this time.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the number of daemons is looked at.
+/// Interval of updates of the number of daemons.
 const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl claims::Peers for Peers {
@@ -53,7 +53,7 @@
         match reply {
             Ok(reply) => from_wire(reply),
             Err(e) => {
-                debug!("claim status from {}: {e}", contact.name);
+                debug!("claim status query to {} failed: {e}", contact.name);
                 None
             }
         }
@@ -61,8 +61,8 @@
 }
 
 impl Peers {
-    /// Answers other daemons' questions about these claims from now on, and keeps their share of
-    /// the write rate current until `stop`.
+    /// Serves status queries on these claims from now on, and updates their share of the write rate
+    /// until `stop`.
     pub(crate) fn serve_claims(&self, claims: &Arc<PeerClaims>, stop: CancellationToken) {
         let claims = Arc::downgrade(claims);
         self.set_claims(Weak::clone(&claims));
@@ -72,8 +72,8 @@
         });
     }
 
-    /// A daemon that knows of no other keeps the number it has: it can't tell whether it is alone
-    /// or cut off.
+    /// Updates the number of daemons that share the write rate. A daemon that knows no other keeps
+    /// the previous number, since it can't tell whether it is the only one or partitioned.
     async fn count_members(self, claims: Weak<PeerClaims>) {
         let mut tick = tokio::time::interval(COUNT_INTERVAL);
         let mut last = 0;
@@ -90,7 +90,8 @@
         }
     }
 
-    /// What to tell a peer that asks about a claim of this daemon.
+    /// Returns the status of a claim of this daemon for a peer; unknown before
+    /// [`Peers::serve_claims`].
     pub(super) fn own_claim(&self, req: &ClaimStatusRequest) -> ClaimStatusReply {
         let claims = self.claims().and_then(Weak::upgrade);
         let status = claims.and_then(|c| c.status(Incarnation(req.incarnation), Nonce(req.nonce)));
@@ -98,8 +99,8 @@
     }
 }
 
-/// Whether a member may be asked: a suspect is often only slow.
-pub(super) fn may_answer(health: Health) -> bool {
+/// Returns whether a member is worth a query. Suspects are, since they are often only slow.
+pub(super) fn is_queryable(health: Health) -> bool {
     health <= Health::Suspect
 }
 
@@ -117,7 +118,7 @@
     ClaimStatusReply { state, outcome }
 }
 
-/// A reply that makes no sense says nothing.
+/// Converts a reply; `None` when the status is unknown or the reply is inconsistent.
 fn from_wire(reply: ClaimStatusReply) -> Option<PeerStatus> {
     match reply.state {
         ClaimState::InProgress => Some(PeerStatus::InProgress),
--- a/crates/kelpworks/src/membership/connections.rs
+++ b/crates/kelpworks/src/membership/connections.rs
@@ -1,7 +1,7 @@
-//! Kept connections to peers.
+//! Pool of persistent connections to peers.
 //!
-//! A connection may go silent for good while new ones work, so a call that gets no answer is made
-//! once more on a new connection before the peer counts as silent.
+//! A connection may stop delivering messages while new ones work, so a call without an answer is
+//! retried once on a new connection before the peer counts as unresponsive.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,38 +19,39 @@
 
 use super::traffic::Traffic;
 
-/// The result of this module.
+/// Result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A connection to a peer.
+/// A connection to a peer; clones share it.
 pub type Client = Arc<WsClient>;
 
-/// Largest answer; a register's text is the largest part of one.
+/// Maximum message size in bytes; the largest message carries the text of a register.
 pub(super) const MAX_MESSAGE: u32 = 4 << 20;
-/// Requests that wait on one connection, at most.
+/// Maximum number of outstanding requests on one connection.
 const MAX_CONCURRENT: usize = 64;
 
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// Nothing came within the deadline, on a new connection too.
+    /// No answer within the deadline, on a new connection too.
     #[error("no answer from {0}")]
     NoAnswer(String),
-    /// It answered with an error.
+    /// The peer answered with an error.
     #[error("{address} refused: {reason}")]
     Refused {
         /// Address of the peer.
         address: String,
-        /// What it said.
+        /// Error message of the peer.
         reason: String,
     },
 }
 
-/// A kept connection.
+/// A connection in the pool.
 #[derive(Clone, Debug)]
 struct PooledConnection {
-    /// Rises with each connection to any peer, so that a newer one is not taken for this one.
+    /// Increases with each connection to any peer; distinguishes this connection from a newer one
+    /// to the same address.
     serial: u64,
     client: Client,
 }
@@ -61,7 +62,7 @@
     serial: u64,
 }
 
-/// One connection an address, opened when it is first needed.
+/// Pool with one connection per address, opened on first use.
 #[derive(Debug, Default)]
 pub struct Connections {
     pool: Mutex<Pool>,
@@ -69,12 +70,12 @@
 }
 
 impl Connections {
-    /// Calls a peer: on the kept connection first, then, after silence, once on a new one. Each
-    /// of the two tries may take `deadline`, opening a connection included.
+    /// Calls a peer, first on the pooled connection; when that gets no answer, once on a new one.
+    /// Each of the two attempts may take `deadline`, including the time to open a connection.
     ///
     /// # Errors
     ///
-    /// When the peer stays silent on both, or refuses.
+    /// When both attempts get no answer, or the peer answers with an error.
     pub async fn call<R, T, F>(
         &self,
         address: &str,
@@ -125,7 +126,7 @@
         reply
     }
 
-    /// Drops the connections to all addresses but these.
+    /// Closes the connections to all addresses for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.lock().by_address.retain(|address, _| keep(address));
     }
@@ -159,19 +160,20 @@
         self.lock().by_address.get(address).cloned()
     }
 
+    /// Removes a connection unless a newer one has replaced it.
     fn discard(&self, address: &str, serial: u64) {
         let mut pool = self.lock();
         if pool
             .by_address
             .get(address)
-            .is_some_and(|k| k.serial == serial)
+            .is_some_and(|c| c.serial == serial)
         {
             pool.by_address.remove(address);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, Pool> {
-        // The table is consistent after each call, also when a holder of the lock panicked.
+        // The pool is consistent after each call, also when a holder of the lock panicked.
         self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/kelpworks/src/membership/convert.rs
+++ b/crates/kelpworks/src/membership/convert.rs
@@ -1,4 +1,4 @@
-//! Between the wire types of peers and those of the state machines.
+//! Conversions between wire types and those of the state machines.
 
 use kelpworks_coord::facts::Fact;
 use kelpworks_coord::facts::Key;
--- a/crates/kelpworks/src/membership/directory.rs
+++ b/crates/kelpworks/src/membership/directory.rs
@@ -1,5 +1,5 @@
-//! How daemons find each other: one object a daemon in the object API, and the host list while
-//! that is out.
+//! Peer discovery: each daemon has an object in the object API; while the API is unavailable, hosts
+//! of the platform's host list are tried.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,32 +19,32 @@
 use crate::clients::object_api::ObjectApi;
 use kelpworks_wire::MemberContact;
 
-/// Kind of the objects that say where daemons are reached; each is named after its daemon.
+/// Object kind of daemons' contacts; each object is named after its daemon.
 pub(crate) const MEMBER_KIND: &str = "kelpworks.member";
 
-/// Interval of reading the list while no peer is known or this daemon is not on it yet.
+/// Interval between reads of the list while no peer is known or this daemon is not on the list.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval of reading the list for a daemon that watches the object API anyway.
+/// Interval between reads of the list on a daemon that watches the object API.
 const WATCHER_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// Interval of reading the list for the others: news reach them from peers.
+/// Interval between reads of the list on other daemons, which learn of changes from peers.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
-/// Addresses of the host list tried in one turn.
+/// Maximum number of listed addresses tried per interval.
 const MAX_HOST_ATTEMPTS: usize = 4;
-/// Longest wait for the deletion on a planned stop.
+/// Timeout of the deletion on a planned stop.
 const DELETE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps a daemon findable and finds the others.
+/// Announces a daemon to others and discovers them.
 #[derive(Debug)]
 pub(crate) struct Directory<A> {
     pub(crate) api: Arc<A>,
     pub(crate) peers: Peers,
-    /// Addresses that the host list shows; some may be daemons.
+    /// Addresses on the host list; some of them may be daemons.
     pub(crate) hosts: watch::Receiver<Vec<SocketAddr>>,
 }
 
 impl<A: ObjectApi> Directory<A> {
-    /// Runs until `stop`. An object API that is out changes nothing but that new daemons find
-    /// their first peer by the host list.
+    /// Runs until `stop`. An outage of the object API has one effect: new daemons find their first
+    /// peer by the host list.
     pub(crate) async fn run(self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Deletes this daemon's object, on a planned stop.
+    /// Deletes this daemon's object on a planned stop.
     pub(crate) async fn withdraw(api: &A, peers: &Peers) {
         let name = peers.contact().name;
         let delete = api.delete(MEMBER_KIND, &name, Condition::Always);
@@ -100,19 +100,21 @@
         true
     }
 
+    /// Logs an error and resets the connections of the object API.
     fn ok_or_reset<T>(&self, reply: object_api::Result<T>) -> Option<T> {
         match reply {
             Ok(reply) => Some(reply),
             Err(e) => {
-                warn!("list of daemons: {e}");
+                warn!("object API call for the list of daemons failed: {e}");
                 self.api.reset_connections();
                 None
             }
         }
     }
 
-    /// Tries some hosts of the list: at this daemon's own port for peers, which daemons of one
-    /// deployment share as a rule, and at the port listed. What is no daemon refuses.
+    /// Tries to join some hosts of the list, both at the listed port and at this daemon's own port
+    /// for peers, which the daemons of a deployment usually share. Hosts that are no daemons refuse
+    /// the connection.
     async fn join_listed_host(&self) {
         let own = self.peers.address();
         let mut addresses: Vec<SocketAddr> = Vec::new();
@@ -126,7 +128,7 @@
         addresses.shuffle(&mut rand::rng());
         for address in addresses.into_iter().take(MAX_HOST_ATTEMPTS) {
             if self.peers.join(&address.to_string()).await {
-                info!("found a peer at {address} by the host list");
+                info!("joined a peer at {address}, found by the host list");
                 return;
             }
         }
--- a/crates/kelpworks/src/membership/contract.rs
+++ b/crates/kelpworks/src/membership/interface.rs
@@ -1,4 +1,4 @@
-//! Bounds of a [`Node`](super::Node), and what it asks of its driver.
+//! Configuration of a [`Node`](super::Node), and the actions that it returns to its driver.
 
 use kelpworks_coord::dissemination;
 use kelpworks_coord::facts;
@@ -8,26 +8,27 @@
 use kelpworks_coord::time::Span;
 use kelpworks_wire::PeerMessage;
 
-/// Times and bounds.
+/// Intervals, timeouts and limits of a [`Node`](super::Node).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Of the membership protocol.
+    /// Configuration of the membership protocol.
     pub membership: membership::Config,
-    /// Of the store of facts.
+    /// Configuration of the store of facts.
     pub facts: facts::Config,
-    /// Of the spreading of generations.
+    /// Configuration of the dissemination of generations.
     pub dissemination: dissemination::Config,
-    /// Peers next in order of identifier that a generation is pushed to as well. Default 2.
+    /// Number of successors in a ring ordered by identifier that a generation is pushed to as well.
+    /// Default 2.
     pub ring_successors: usize,
-    /// Daemons of each failure domain that watch the object API. Default 2.
+    /// Number of daemons of each failure domain that watch the object API. Default 2.
     pub watchers: usize,
-    /// Bytes of news a second, on average. Default 700.
+    /// Average rate of gossip. Default 700 bytes per second.
     pub gossip_bytes_per_second: u64,
-    /// Bytes of news at once. Default 32 KiB.
+    /// Maximum burst of gossip. Default 32 KiB.
     pub gossip_burst_bytes: u64,
-    /// How long two daemons may differ before one asks the other for all it holds. Default 5 s.
+    /// How long the state of two daemons may differ before they synchronize fully. Default 5 s.
     pub divergence_timeout: Span,
-    /// Least time between two such exchanges. Default 10 s.
+    /// Minimum time between two full synchronizations. Default 10 s.
     pub min_sync_interval: Span,
 }
 
@@ -47,47 +48,49 @@
     }
 }
 
-/// Something for the driver to do.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a heartbeat; its answer goes to [`super::Node::on_answer`].
     Heartbeat {
-        /// To whom.
+        /// Recipient.
         to: NodeId,
-        /// What.
+        /// Heartbeat.
         message: Box<PeerMessage>,
     },
-    /// Have a heartbeat passed on; the target's answer goes to [`super::Node::on_answer`].
+    /// Send a heartbeat through another peer; the target's answer goes to
+    /// [`super::Node::on_answer`].
     HeartbeatVia {
-        /// Through whom.
+        /// Peer that forwards it.
         via: NodeId,
-        /// To whom.
+        /// Final recipient.
         target: NodeId,
-        /// What.
+        /// Heartbeat.
         message: Box<PeerMessage>,
     },
-    /// Send the head in force.
+    /// Send the configuration head of the active configuration.
     Push(NodeId),
-    /// Ask for the head in force.
+    /// Request the configuration head of the peer's active configuration.
     Pull(NodeId),
-    /// Send [`super::Node::state`]; the state that answers it goes to [`super::Node::on_state`].
+    /// Synchronize fully: send [`super::Node::state`]; the state in the answer goes to
+    /// [`super::Node::on_state`].
     Sync(NodeId),
     /// The health of a member changed.
     Changed {
         /// The member.
         node: NodeId,
-        /// From now on.
+        /// New health.
         health: Health,
     },
-    /// Facts of others came or were cleared.
+    /// Facts of other daemons were added, renewed or cleared.
     FactsChanged,
 }
 
-/// A heartbeat's answer, and what else follows from it.
+/// Outcome of a received heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// Goes back to the sender.
+    /// Answer to the sender.
     pub message: PeerMessage,
-    /// To be done.
+    /// Further actions for the driver.
     pub actions: Vec<Action>,
 }
--- a/crates/kelpworks/src/membership/member_table.rs
+++ b/crates/kelpworks/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! Names, addresses and last samples of the daemons that are known, this one included.
+//! Names, addresses and latest samples of all known daemons, including this one.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,20 +7,20 @@
 use kelpworks_wire::MemberContact;
 use kelpworks_wire::MemberSample;
 
-/// What is known of one daemon beside its health.
+/// Gossiped data on one daemon; its health is in the membership.
 #[derive(Clone, Debug)]
 pub(super) struct MemberRecord {
-    /// Of its latest run.
+    /// Contact of its latest incarnation.
     pub(super) contact: MemberContact,
-    /// The one of the highest version seen; version 0 before any.
+    /// Sample with the highest version received; version 0 before any.
     pub(super) sample: MemberSample,
-    /// Messages that the contact still goes with.
+    /// Number of further messages that carry the contact.
     contact_sends_left: u32,
-    /// Messages that the sample still goes with.
+    /// Number of further messages that carry the sample.
     sample_sends_left: u32,
 }
 
-/// The daemons that are known.
+/// All known daemons by identifier.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     records: BTreeMap<NodeId, MemberRecord>,
@@ -35,7 +35,7 @@
         self.records.iter().map(|(&node, record)| (node, record))
     }
 
-    /// Takes a contact; true when it is of a run not known before.
+    /// Merges a contact; returns true when it is of a new incarnation.
     pub(super) fn merge_contact(&mut self, contact: &MemberContact) -> bool {
         let node = NodeId::of(&contact.name);
         let transmit_limit = self.transmit_limit();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes a sample of a known daemon when it is newer.
+    /// Replaces the sample of a known daemon by a newer one.
     pub(super) fn merge_sample(&mut self, sample: &MemberSample) {
         let transmit_limit = self.transmit_limit();
         if let Some(record) = self.records.get_mut(&NodeId(sample.node))
@@ -76,41 +76,42 @@
         self.records.retain(|&node, _| keep(node));
     }
 
-    /// Up to `max` contacts to go with the next message, newest news first.
+    /// Returns up to `max` contacts for the next message, those with the most sends left first.
     pub(super) fn next_contacts(&mut self, max: usize) -> Vec<MemberContact> {
         let mut due: Vec<&mut MemberRecord> = self
             .records
             .values_mut()
-            .filter(|k| k.contact_sends_left > 0)
+            .filter(|r| r.contact_sends_left > 0)
             .collect();
-        due.sort_by_key(|k| Reverse(k.contact_sends_left));
+        due.sort_by_key(|r| Reverse(r.contact_sends_left));
         due.truncate(max);
         due.into_iter()
-            .map(|k| {
-                k.contact_sends_left -= 1;
-                k.contact.clone()
+            .map(|r| {
+                r.contact_sends_left -= 1;
+                r.contact.clone()
             })
             .collect()
     }
 
-    /// Up to `max` samples to go with the next message, newest news first.
+    /// Returns up to `max` samples for the next message, those with the most sends left first.
     pub(super) fn next_samples(&mut self, max: usize) -> Vec<MemberSample> {
         let mut due: Vec<&mut MemberRecord> = self
             .records
             .values_mut()
-            .filter(|k| k.sample_sends_left > 0)
+            .filter(|r| r.sample_sends_left > 0)
             .collect();
-        due.sort_by_key(|k| Reverse(k.sample_sends_left));
+        due.sort_by_key(|r| Reverse(r.sample_sends_left));
         due.truncate(max);
         due.into_iter()
-            .map(|k| {
-                k.sample_sends_left -= 1;
-                k.sample.clone()
+            .map(|r| {
+                r.sample_sends_left -= 1;
+                r.sample.clone()
             })
             .collect()
     }
 
-    /// Messages that a piece of news goes with, so that it reaches all but surely.
+    /// Returns the number of messages that carry an update; it grows with the logarithm of the
+    /// number of daemons, so that the update reaches all of them with high probability.
     fn transmit_limit(&self) -> u32 {
         3 * (self.records.len() as u32 + 2).ilog2()
     }
--- a/crates/kelpworks/src/membership/methods.rs
+++ b/crates/kelpworks/src/membership/methods.rs
@@ -1,4 +1,4 @@
-//! The server's side of the methods between daemons.
+//! Server side of the RPC interface between daemons.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -9,7 +9,7 @@
 use jsonrpsee::types::error::INTERNAL_ERROR_CODE;
 
 use super::Peers;
-use super::contract::Answer;
+use super::interface::Answer;
 use super::rpc::PeerApiServer;
 use kelpworks_wire::ClaimStatusReply;
 use kelpworks_wire::ClaimStatusRequest;
@@ -21,7 +21,7 @@
 use kelpworks_wire::ProbeReply;
 use kelpworks_wire::ProbeRequest;
 
-/// The server's side; answers with errors until [`Methods::serve`].
+/// RPC server; answers with an error until [`Methods::serve`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct Methods {
     peers: Arc<OnceLock<Peers>>,
--- a/crates/kelpworks/src/membership/mod.rs
+++ b/crates/kelpworks/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Daemons among themselves: who is live, rare facts, the generation in force, trial demand.
+//! Gossip between daemons: membership, facts, configuration generations and trial demand.
 //!
-//! [`Node`] holds what a daemon knows and decides what to tell whom, without I/O; [`Peers`] drives
-//! it over `jsonrpsee` on kept connections. All news rides on the heartbeats of the membership
-//! protocol of [`kelpworks_coord::membership`], within an allowance of bytes a second.
+//! [`Node`] holds what a daemon knows and decides which messages to send, without I/O; [`Peers`]
+//! drives it over `jsonrpsee` on persistent connections. Gossip is piggybacked on the heartbeats of
+//! the membership protocol of [`kelpworks_coord::membership`], within a budget of bytes per second.
 //!
 //! ```
 //! use kelpworks::membership::Action;
@@ -28,15 +28,15 @@
 //! assert_eq!(a.members()[0].name, "b");
 //! ```
 //!
-//! Limits: peers are trusted; the peers' address must not be reachable from outside. What a daemon
-//! shows of another's generation is as old as the news that brought it.
+//! Limits: peers are trusted; the peers' address must not be reachable from outside. The generation
+//! that a daemon shows for another is as old as the gossip that carried it.
 
 mod byte_budget;
 mod claim_status;
 pub mod connections;
-mod contract;
 mod convert;
 mod directory;
+mod interface;
 mod member_table;
 mod methods;
 mod node;
@@ -48,9 +48,9 @@
 mod trials;
 mod upstream_facts;
 
-pub use contract::Action;
-pub use contract::Answer;
-pub use contract::Config;
+pub use interface::Action;
+pub use interface::Answer;
+pub use interface::Config;
 pub use node::Node;
 pub use peers::Error;
 pub use peers::Peers;
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -1,14 +1,14 @@
-//! What one daemon knows of the others and tells them, without I/O: membership, facts and the
-//! generation ride on the same heartbeats.
+//! State of one daemon among its peers, without I/O. Membership, facts and the configuration
+//! generation travel on the same heartbeats.
 
 mod digests;
 mod push;
 
 use super::byte_budget::ByteBudget;
-use super::contract::Action;
-use super::contract::Answer;
-use super::contract::Config;
 use super::convert;
+use super::interface::Action;
+use super::interface::Answer;
+use super::interface::Config;
 use super::member_table::MemberRecord;
 use super::member_table::MemberTable;
 use crate::status::Member;
@@ -36,16 +36,17 @@
 use kelpworks_wire::PeerMessage;
 use kelpworks_wire::PeerState;
 
-/// Duty under which the watchers of the head are chosen.
+/// Rendezvous hashing key of the role that watches the configuration head.
 const WATCHER_ROLE: &str = "kelpworks.head";
-/// Largest size of each piece of news in JSON, for byte budgets.
+/// Maximum JSON size of one item of each kind of gossip, for the byte budget.
 const MAX_UPDATE_BYTES: usize = 170;
 const MAX_CONTACT_BYTES: usize = 160;
 const MAX_SAMPLE_BYTES: usize = 125;
-/// Peers that a daemon asks for all they hold when it joins.
+/// Number of peers from which a joining daemon requests the full state, and which a leaving daemon
+/// notifies.
 const JOIN_FANOUT: usize = 3;
 
-/// One daemon's knowledge of the others.
+/// One daemon's knowledge of the others, and its part of the gossip protocol.
 #[derive(Clone, Debug)]
 pub struct Node {
     cfg: Config,
@@ -55,21 +56,21 @@
     facts: Facts,
     dissemination: Dissemination,
     member_table: MemberTable,
-    /// In force here.
+    /// Generation of the active configuration; 0 before the first.
     generation: u64,
     byte_budget: ByteBudget,
     own_members_digest: StableDigest,
     own_facts_digest: StableDigest,
     digests_due: Instant,
     last_sync: Option<Instant>,
-    /// Whether any peer has told all it holds since the start.
+    /// Whether a full state has been received from any peer since the start.
     has_synced: bool,
-    /// Whether facts of others changed since the driver was last told.
+    /// Whether facts of other daemons changed since the last [`Action::FactsChanged`].
     facts_changed: bool,
 }
 
 impl Node {
-    /// A daemon that knows of no other.
+    /// Creates a daemon that knows no other one.
     pub fn new(cfg: Config, contact: MemberContact, now: Instant) -> Node {
         let id = NodeId::of(&contact.name);
         let incarnation = Incarnation(contact.started);
@@ -99,22 +100,22 @@
         }
     }
 
-    /// This daemon.
+    /// Returns the identifier of this daemon.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// How this daemon is reached.
+    /// Returns the name and address under which peers reach this daemon.
     pub fn own_contact(&self) -> &MemberContact {
         &self.contact
     }
 
-    /// How a daemon is reached; `None` when it is not known.
+    /// Returns the name and address of a daemon; `None` when it is not known.
     pub fn contact(&self, node: NodeId) -> Option<&MemberContact> {
-        self.member_table.get(node).map(|k| &k.contact)
+        self.member_table.get(node).map(|r| &r.contact)
     }
 
-    /// Time passed.
+    /// Advances timers; to be called several times per heartbeat interval.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let actions = self.members.on_event(now, membership::Event::Tick);
         let mut actions = self.carry_out(now, actions);
@@ -133,7 +134,7 @@
         actions
     }
 
-    /// The object API's list of daemons was read.
+    /// Handles the list of daemons read from the object API.
     pub fn on_member_list(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = self.merge_contacts(now, contacts);
         let entries = contacts.iter().map(|c| membership::Entry {
@@ -147,7 +148,7 @@
         actions
     }
 
-    /// A heartbeat came in.
+    /// Handles a heartbeat from a peer.
     pub fn on_heartbeat(&mut self, now: Instant, message: &PeerMessage) -> Answer {
         let from = NodeId::of(&message.from.name);
         let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
@@ -171,7 +172,7 @@
         }
     }
 
-    /// The answer to a heartbeat came.
+    /// Handles the answer to a heartbeat of this daemon.
     pub fn on_answer(&mut self, now: Instant, message: &PeerMessage) -> Vec<Action> {
         let from = NodeId::of(&message.from.name);
         let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
@@ -190,21 +191,22 @@
         actions
     }
 
-    /// All that this daemon holds.
+    /// Returns the full state of this daemon: what it knows of itself and of all daemons not known
+    /// to be dead or to have left.
     pub fn state(&self, now: Instant) -> PeerState {
         let live = |n: NodeId| self.members.health(n).is_none_or(|h| h <= Health::Suspect);
-        let known: Vec<&MemberRecord> = self
+        let records: Vec<&MemberRecord> = self
             .member_table
             .iter()
             .filter(|&(n, _)| live(n))
-            .map(|(_, k)| k)
+            .map(|(_, r)| r)
             .collect();
-        let sampled = known.iter().filter(|k| k.sample.version > 0);
+        let sampled = records.iter().filter(|r| r.sample.version > 0);
         PeerState {
             from: self.contact.clone(),
             incarnation: self.members.incarnation().0,
             generation: self.generation,
-            contacts: known.iter().map(|k| k.contact.clone()).collect(),
+            contacts: records.iter().map(|r| r.contact.clone()).collect(),
             updates: self
                 .members
                 .snapshot()
@@ -217,11 +219,11 @@
                 .iter()
                 .map(convert::fact_to_wire)
                 .collect(),
-            samples: sampled.map(|k| k.sample.clone()).collect(),
+            samples: sampled.map(|r| r.sample.clone()).collect(),
         }
     }
 
-    /// A peer told all that it holds.
+    /// Handles the full state of a peer.
     pub fn on_state(&mut self, now: Instant, state: &PeerState) -> Vec<Action> {
         self.has_synced = true;
         let from = NodeId::of(&state.from.name);
@@ -241,7 +243,7 @@
         actions
     }
 
-    /// A generation is in force here.
+    /// Handles the activation of a configuration generation on this daemon; peers are notified.
     pub fn on_config_activated(&mut self, generation: u64) -> Vec<Action> {
         self.generation = self.generation.max(generation);
         self.change_sample(|s| s.generation = s.generation.max(generation));
@@ -257,26 +259,26 @@
         done.into_iter().map(dissemination_action).collect()
     }
 
-    /// The peers that follow this daemon in order of identifier. Targets drawn by hash alone miss
-    /// a share of `e^-fanout` of the daemons; pushed to along the ring too, a daemon is missed
-    /// only when those before it are gone or cut off as well.
+    /// Returns the peers that follow this daemon in a ring ordered by identifier. Targets selected
+    /// by hash alone miss a share of `e^-fanout` of the daemons. With pushes along the ring too, a
+    /// daemon is missed only when its predecessors are dead or partitioned as well.
     fn successors_on_ring(&self, mut peers: Vec<NodeId>) -> Vec<NodeId> {
         peers.sort_by_key(|n| n.0.wrapping_sub(self.id.0));
         peers.truncate(self.cfg.ring_successors);
         peers
     }
 
-    /// Tells the others how much trials ask of this daemon, in positions a second.
+    /// Sets the demand of trials on this daemon, in positions per second, and gossips it.
     pub fn set_trial_demand(&mut self, demand: u32) {
         self.change_sample(|s| s.trial_demand = demand);
     }
 
-    /// Tells the others that this daemon is about to stop.
+    /// Marks this daemon as leaving, and gossips it.
     pub fn set_leaving(&mut self) {
         self.change_sample(|s| s.leaving = true);
     }
 
-    /// Says good-bye: heartbeats to send before the end.
+    /// Leaves the membership; returns the heartbeats to send before the stop.
     pub fn leave(&mut self, now: Instant) -> Vec<Action> {
         self.members.on_event(now, membership::Event::Leave);
         let peers = self.peers().into_iter().take(JOIN_FANOUT);
@@ -290,22 +292,22 @@
             .collect()
     }
 
-    /// States a fact of this daemon's own observation, or renews it.
+    /// Publishes a fact that this daemon observed itself, or renews it.
     pub fn set_fact(&mut self, now: Instant, kind: Kind, subject: u64, detail: u64, ttl: Span) {
         self.facts.set_detail(now, kind, subject, detail, ttl);
     }
 
-    /// Clears a fact that this daemon stated.
+    /// Clears a fact that this daemon published.
     pub fn clear_fact(&mut self, now: Instant, kind: Kind, subject: u64) {
         self.facts.clear(now, kind, subject);
     }
 
-    /// Facts of a kind that hold now, of all authors.
+    /// Returns the facts of a kind that have not expired or been cleared, of all authors.
     pub fn active_facts(&self, now: Instant, kind: Kind) -> Vec<Fact> {
         self.facts.active(now, kind).collect()
     }
 
-    /// Live members, without this daemon, in an order that differs between daemons.
+    /// Returns the live members without this daemon, in an order that differs between daemons.
     pub fn peers(&self) -> Vec<NodeId> {
         let mut peers: Vec<NodeId> = self
             .members
@@ -317,42 +319,42 @@
         peers
     }
 
-    /// Whether this daemon is one of those that watch the object API.
+    /// Returns whether this daemon has the role to watch the object API.
     pub fn is_watcher(&self) -> bool {
-        let leaving = |n: NodeId| self.member_table.get(n).is_some_and(|k| k.sample.leaving);
+        let leaving = |n: NodeId| self.member_table.get(n).is_some_and(|r| r.sample.leaving);
         let mut members: Vec<_> = self.members.live().filter(|&(n, _)| !leaving(n)).collect();
         members.push((self.id, DomainId::of(&self.contact.failure_domain)));
         rendezvous::choose(&members, WATCHER_ROLE, self.cfg.watchers).contains(&self.id)
     }
 
-    /// How much trials ask of each other live daemon, in positions a second. Suspects are left
-    /// out: most are gone, and paying work is protected from trials on the daemon itself.
+    /// Returns the trial demand on each other live daemon, in positions per second. Suspects are
+    /// excluded: most of them are dead, and each daemon protects paying work from trials itself.
     pub fn trial_demands(&self) -> Vec<u32> {
         self.members
             .live()
             .filter(|&(node, _)| self.members.health(node) == Some(Health::Alive))
             .filter_map(|(node, _)| self.member_table.get(node))
-            .map(|k| k.sample.trial_demand)
+            .map(|r| r.sample.trial_demand)
             .collect()
     }
 
-    /// The other daemons, for operators; those that left are not shown.
+    /// Returns the other daemons for the status; those that left are omitted.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self
             .member_table
             .iter()
             .filter(|&(node, _)| node != self.id)
-            .filter_map(|(node, known)| {
+            .filter_map(|(node, record)| {
                 let state = match self.members.health(node)? {
                     Health::Left => return None,
                     Health::Dead => MemberState::Down,
-                    _ if known.sample.leaving => MemberState::Leaving,
+                    _ if record.sample.leaving => MemberState::Leaving,
                     Health::Suspect => MemberState::Suspect,
                     Health::Alive => MemberState::Live,
                 };
                 Some(Member {
-                    name: known.contact.name.clone(),
-                    generation: known.sample.generation,
+                    name: record.contact.name.clone(),
+                    generation: record.sample.generation,
                     state,
                 })
             })
@@ -361,19 +363,19 @@
         members
     }
 
-    /// What is held of a member.
+    /// Returns the health of a member; `None` when it is not known.
     pub fn health(&self, node: NodeId) -> Option<Health> {
         self.members.health(node)
     }
 
     fn change_sample(&mut self, change: impl FnOnce(&mut MemberSample)) {
-        let Some(known) = self.member_table.get(self.id) else {
+        let Some(record) = self.member_table.get(self.id) else {
             return;
         };
-        let mut sample = known.sample.clone();
+        let mut sample = record.sample.clone();
         change(&mut sample);
-        if sample != known.sample {
-            sample.version = known.sample.version.max(self.contact.started) + 1;
+        if sample != record.sample {
+            sample.version = record.sample.version.max(self.contact.started) + 1;
             self.member_table.merge_sample(&sample);
         }
     }
@@ -408,7 +410,7 @@
         done
     }
 
-    /// A view of this daemon that has nothing to refute.
+    /// Returns a view of this daemon that requires no refutation.
     fn alive_view(&self, by: NodeId) -> Update {
         Update {
             node: self.id,
@@ -419,7 +421,8 @@
         }
     }
 
-    /// A heartbeat or an answer, with as much news as the allowance lets through.
+    /// Builds a heartbeat or an answer, with as much gossip as the byte budget permits. Membership
+    /// updates come first, then contacts, facts and samples.
     fn message_with_gossip(&mut self, now: Instant, view: Option<Update>) -> PeerMessage {
         let available = self.byte_budget.available(now);
         let mut left = available;
@@ -443,7 +446,7 @@
         }
     }
 
-    /// A heartbeat or an answer without news.
+    /// Builds a heartbeat or an answer without gossip.
     fn message_without_gossip(&self, view: Option<Update>) -> PeerMessage {
         PeerMessage {
             from: self.contact.clone(),
@@ -475,7 +478,7 @@
         actions
     }
 
-    /// Takes contacts; those of a new run count as alive until a probe says otherwise.
+    /// Merges contacts. A new incarnation counts as alive until a probe shows otherwise.
     fn merge_contacts(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = Vec::new();
         for contact in contacts {
@@ -498,7 +501,8 @@
         actions
     }
 
-    /// Takes reports of members that can be reached; of others the contact must come first.
+    /// Merges updates on members whose contact is known; those on others are ignored until the
+    /// contact arrives.
     fn merge_updates(
         &mut self,
         now: Instant,
--- a/crates/kelpworks/src/membership/node/digests.rs
+++ b/crates/kelpworks/src/membership/node/digests.rs
@@ -1,19 +1,20 @@
-//! Digests of what daemons hold: where two differ for long, one asks the other for all.
+//! Anti-entropy: daemons compare digests of their state, and synchronize fully when these differ
+//! for too long.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use super::Node;
-use crate::membership::contract::Action;
+use crate::membership::interface::Action;
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::membership::Health;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 use kelpworks_wire::PeerMessage;
 
-/// Least time between two computations of the digests.
+/// Minimum time between two computations of the digests.
 const MIN_DIGEST_INTERVAL: Span = Span::from_millis(500);
 
-/// A digest of this daemon's, and since when it has been the same.
+/// A digest of this daemon's state, and since when it has had this value.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StableDigest {
     pub(super) digest: u64,
@@ -27,12 +28,16 @@
         }
     }
 
+    /// Returns whether a peer's digest differs while the own one has been stable for `timeout`, so
+    /// that the difference is not merely gossip in transit.
     fn has_diverged(&self, now: Instant, theirs: u64, timeout: Span) -> bool {
         self.digest != theirs && now.since(self.since) >= timeout
     }
 }
 
 impl Node {
+    /// Compares the digests in a message with the own ones; returns a full synchronization when one
+    /// is needed and [`Config::min_sync_interval`](super::Config) permits it.
     pub(super) fn compare_digests(
         &mut self,
         now: Instant,
@@ -57,8 +62,8 @@
         Some(Action::Sync(from))
     }
 
-    /// Works the digests out anew when the last ones are old enough: it takes a look at all that
-    /// is held, and differences count only after [`Config::timeout`].
+    /// Recomputes the digests unless they are recent. The computation visits the whole state, and
+    /// differences count only after [`Config::divergence_timeout`](super::Config).
     pub(super) fn refresh_digests(&mut self, now: Instant) {
         if now < self.digests_due {
             return;
--- a/crates/kelpworks/src/membership/node/push.rs
+++ b/crates/kelpworks/src/membership/node/push.rs
@@ -1,19 +1,19 @@
-//! Facts that can't wait for the next heartbeat.
+//! Immediate dissemination of facts that must not wait for the next heartbeat.
 
 use std::collections::BTreeSet;
 
 use super::Node;
-use crate::membership::contract::Action;
 use crate::membership::convert;
+use crate::membership::interface::Action;
 use kelpworks_coord::facts::Fact;
 use kelpworks_coord::facts::Key;
 use kelpworks_coord::time::Instant;
 
 impl Node {
-    /// Heartbeats that carry these facts, as they are held now, to all live peers.
+    /// Returns heartbeats that carry the current versions of these facts, to all live peers.
     ///
-    /// They go beside the allowance of news and take nothing from it, and the facts stay among
-    /// the news of later heartbeats: those bring them to whoever this one does not reach.
+    /// They are not charged to the byte budget of gossip. The facts also remain in the gossip of
+    /// later heartbeats, which reach the daemons that these messages miss.
     pub fn push_facts(&mut self, now: Instant, keys: &BTreeSet<Key>) -> Vec<Action> {
         let held = self.facts.snapshot(now).into_iter();
         let facts: Vec<Fact> = held.filter(|f| keys.contains(&f.key)).collect();
--- a/crates/kelpworks/src/membership/peers.rs
+++ b/crates/kelpworks/src/membership/peers.rs
@@ -1,6 +1,6 @@
-//! Drives a [`Node`] over `jsonrpsee`.
+//! Driver of a [`Node`] over `jsonrpsee`.
 
-mod bounds;
+mod protocol_config;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,11 +26,11 @@
 use tokio_util::task::TaskTracker;
 
 use super::claim_status::PeerClaims;
-use super::claim_status::may_answer;
+use super::claim_status::is_queryable;
 use super::connections;
 use super::connections::Client;
 use super::connections::Connections;
-use super::contract::Action;
+use super::interface::Action;
 use super::methods::Methods;
 use super::node::Node;
 use super::rpc::PeerApiClient;
@@ -39,10 +39,6 @@
 use crate::config::head::Digest;
 use crate::config::head::digest_of;
 use crate::status::Member;
-use bounds::node_config;
-use bounds::now_ms;
-use bounds::probe_timeout;
-use bounds::server_config;
 use kelpworks_coord::facts::Fact;
 use kelpworks_coord::facts::Key;
 use kelpworks_coord::facts::Kind;
@@ -57,54 +53,61 @@
 use kelpworks_wire::PeerState;
 use kelpworks_wire::ProbeReply;
 use kelpworks_wire::ProbeRequest;
+use protocol_config::node_config;
+use protocol_config::now_ms;
+use protocol_config::probe_timeout;
+use protocol_config::server_config;
 
-/// The result of this module.
+/// Result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Ticks of the state machine in a heartbeat's interval.
+/// Ticks of the state machine per heartbeat interval.
 const TICKS_PER_HEARTBEAT: u32 = 10;
-/// Longest wait for the good-byes of a planned stop.
+/// Timeout of the last heartbeats on a planned stop.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Peers asked for a text that neither the object API nor the peer that told of it gives.
+/// Maximum number of peers queried for a text that neither the object API nor the peer that sent
+/// the head provides.
 const MAX_TEXT_PEERS: usize = 4;
-/// Deadline of an exchange of a configuration or of a whole state, beyond that of a heartbeat.
+/// Time added to the heartbeat interval for the deadline of calls that transfer a configuration
+/// text or a full state.
 const TRANSFER_MARGIN: Duration = Duration::from_secs(1);
 
-/// Why peers could not be served.
+/// Why the peer protocol could not be started.
 #[derive(Debug)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The address could not be listened on.
+    /// Listening on the address failed.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Settings of one daemon among its peers.
+/// Settings of the peer protocol.
 #[derive(Clone, Debug)]
 pub struct PeersConfig {
-    /// Name of this daemon.
+    /// Name of this daemon, unique in the fleet.
     pub name: String,
-    /// Failure domain it stands in.
+    /// Failure domain of this daemon.
     pub failure_domain: String,
-    /// Where it listens for peers; port 0 takes a free one.
+    /// Address to listen on for peers; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// Where peers reach it, when that differs from where it listens. Default `None`.
+    /// Address under which peers reach this daemon, when it differs from the one that it listens
+    /// on. Default `None`.
     pub advertise: Option<SocketAddr>,
-    /// Interval of heartbeats; the times of [`kelpworks_coord::membership::Config`] grow and shrink with it.
+    /// Interval of heartbeats; the times of [`kelpworks_coord::membership::Config`] scale with it.
     /// Default 1 s.
     pub heartbeat: Duration,
 }
 
-/// A head that a peer told of.
+/// A configuration head received from a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedHead {
-    /// The peer; it holds the texts.
+    /// The peer, which serves the texts that the head refers to.
     pub from: MemberContact,
     /// Body of the head object.
     pub body: String,
@@ -119,7 +122,7 @@
     texts: Vec<String>,
 }
 
-/// One daemon among its peers; clones share it.
+/// Handle of the peer protocol of one daemon; clones share it.
 #[derive(Clone, Debug)]
 pub struct Peers {
     inner: Arc<Inner>,
@@ -128,30 +131,30 @@
 #[derive(Debug)]
 struct Inner {
     node: Mutex<Node>,
-    /// Zero of the state machine's times.
+    /// Origin of the state machine's times.
     start: Instant,
     heartbeat: Duration,
     connections: Connections,
     served_config: ArcSwap<ServedConfig>,
     heads: mpsc::UnboundedSender<ReceivedHead>,
     watcher: watch::Sender<bool>,
-    /// Rises when facts of others change.
+    /// Incremented when facts of other daemons change.
     facts: watch::Sender<u64>,
     tasks: TaskTracker,
     server: ServerHandle,
     address: SocketAddr,
     stop: CancellationToken,
-    /// Of this daemon, once they are served.
+    /// Claims of this daemon; set once they are served to peers.
     claims: OnceLock<Weak<PeerClaims>>,
 }
 
 impl Peers {
-    /// Listens for peers and begins to send heartbeats, until `stop`. Heads that peers tell of
-    /// come out at the receiver.
+    /// Listens for peers and sends heartbeats until `stop`. Configuration heads from peers are sent
+    /// to the returned receiver.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// When listening on the address fails.
     pub async fn start(
         cfg: PeersConfig,
         stop: CancellationToken,
@@ -196,76 +199,77 @@
         Ok((peers, heads_rx))
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// How peers reach this daemon.
+    /// Returns the name and address under which peers reach this daemon.
     pub fn contact(&self) -> MemberContact {
         self.lock().own_contact().clone()
     }
 
-    /// The other daemons, for operators.
+    /// Returns the other daemons, for the status.
     pub fn members(&self) -> Vec<Member> {
         self.lock().members()
     }
 
-    /// Whether this daemon is to watch the object API; true while it knows of no other.
+    /// Returns whether this daemon has the role to watch the object API; true while it knows no
+    /// other daemon.
     pub fn watcher(&self) -> watch::Receiver<bool> {
         self.inner.watcher.subscribe()
     }
 
-    /// Changes whenever facts of others came or were cleared.
+    /// Returns a counter that changes when facts of other daemons are added, renewed or cleared.
     pub fn facts_changed(&self) -> watch::Receiver<u64> {
         self.inner.facts.subscribe()
     }
 
-    /// Facts of a kind that hold now, of all daemons.
+    /// Returns the facts of a kind that have not expired or been cleared, of all daemons.
     pub fn active_facts(&self, kind: Kind) -> Vec<Fact> {
         let now = self.now();
         self.lock().active_facts(now, kind)
     }
 
-    /// States a fact of this daemon's own observation, or renews it.
+    /// Publishes a fact that this daemon observed itself, or renews it.
     pub fn set_fact(&self, kind: Kind, subject: u64, detail: u64, ttl: Duration) {
         let now = self.now();
         let ttl = Span::from_millis(ttl.as_millis() as u64);
         self.lock().set_fact(now, kind, subject, detail, ttl);
     }
 
-    /// Clears a fact that this daemon stated.
+    /// Clears a fact that this daemon published.
     pub fn clear_fact(&self, kind: Kind, subject: u64) {
         let now = self.now();
         self.lock().clear_fact(now, kind, subject);
     }
 
-    /// Sends facts that this daemon stated or cleared to all live peers, at once.
+    /// Sends facts that this daemon published or cleared to all live peers immediately.
     pub(super) fn push_facts(&self, keys: &BTreeSet<Key>) {
         self.with_node(|node, now| node.push_facts(now, keys));
     }
 
-    /// Tells the others how much trials ask of this daemon, in positions a second.
+    /// Sets the demand of trials on this daemon, in positions per second, and gossips it.
     pub fn set_trial_demand(&self, demand: u32) {
         self.lock().set_trial_demand(demand);
     }
 
-    /// How much trials ask of each other live daemon, in positions a second.
+    /// Returns the trial demand on each other live daemon, in positions per second.
     pub fn trial_demands(&self) -> Vec<u32> {
         self.lock().trial_demands()
     }
 
-    /// Whether no live peer is known.
+    /// Returns whether no live peer is known.
     pub fn has_no_peers(&self) -> bool {
         self.lock().peers().is_empty()
     }
 
-    /// The object API's list of daemons was read.
+    /// Adds the daemons on the object API's list.
     pub fn set_member_list(&self, contacts: &[MemberContact]) {
         self.with_node(|node, now| node.on_member_list(now, contacts));
     }
 
-    /// A generation is in force; peers are told, and may fetch its texts here from now on.
+    /// Sets the active configuration. Peers are notified, and may fetch its texts from this daemon.
     pub fn set_active_config(&self, generation: u64, body: String, texts: Vec<String>) {
         self.inner
             .served_config
@@ -273,7 +277,7 @@
         self.with_node(|node, _| node.on_config_activated(generation));
     }
 
-    /// Asks an address for all that a daemon there holds; tells whether one answered.
+    /// Synchronizes fully with the daemon at an address; returns whether one answered.
     pub async fn join(&self, address: &str) -> bool {
         let mine = self.state();
         let deadline = self.inner.heartbeat + TRANSFER_MARGIN;
@@ -289,13 +293,13 @@
                 true
             }
             Err(e) => {
-                debug!("join: {e}");
+                debug!("full state synchronization failed: {e}");
                 false
             }
         }
     }
 
-    /// The text of a digest, from the peer at an address.
+    /// Fetches the text with this digest from the peer at an address.
     pub async fn text(&self, digest: Digest, holder: &str) -> Option<String> {
         let deadline = self.inner.heartbeat + TRANSFER_MARGIN;
         let req = ConfigTextRequest {
@@ -311,7 +315,7 @@
         (digest_of(&text) == digest).then_some(text)
     }
 
-    /// The text of a digest, from any of some live peers.
+    /// Fetches the text with this digest from live peers, trying a few of them in turn.
     pub async fn text_from_any(&self, digest: Digest) -> Option<String> {
         for address in self.addresses().into_iter().take(MAX_TEXT_PEERS) {
             if let Some(text) = self.text(digest, &address).await {
@@ -321,17 +325,17 @@
         None
     }
 
-    /// Bytes exchanged with peers since the start.
+    /// Returns the traffic with peers since the start.
     pub fn traffic(&self) -> TrafficTotals {
         self.inner.connections.traffic.totals()
     }
 
-    /// Tells the others that this daemon is about to stop.
+    /// Marks this daemon as leaving, and gossips it.
     pub fn set_leaving(&self) {
         self.lock().set_leaving();
     }
 
-    /// Says good-bye to some peers, who pass it on, and stops serving peers.
+    /// Notifies some peers of the leave, which they gossip, and stops serving peers.
     pub async fn leave(&self) {
         self.with_node(Node::leave);
         self.inner.tasks.close();
@@ -339,14 +343,14 @@
         self.close();
     }
 
-    /// Stops at once, without a word.
+    /// Stops immediately, without notifying peers.
     pub fn close(&self) {
         self.inner.stop.cancel();
         let _ = self.inner.server.stop();
         self.inner.connections.retain(|_| false);
     }
 
-    /// A text in force here, by its digest in hex.
+    /// Returns a text of the active configuration by its digest in hex.
     pub(super) fn served_text(&self, digest: &str) -> Option<String> {
         let served_config = self.inner.served_config.load();
         let mut texts = served_config.texts.iter();
@@ -365,14 +369,14 @@
         self.inner.claims.get()
     }
 
-    /// How a member is reached that is not held for dead or gone.
+    /// Returns the contact of a member that is alive or suspect.
     pub(super) fn live_contact(&self, node: NodeId) -> Option<MemberContact> {
         let state = self.lock();
-        state.health(node).filter(|&h| may_answer(h))?;
+        state.health(node).filter(|&h| is_queryable(h))?;
         state.contact(node).cloned()
     }
 
-    /// Number of live members, without this daemon.
+    /// Returns the number of live members, without this daemon.
     pub(super) fn live_count(&self) -> usize {
         self.lock().peers().len()
     }
@@ -413,12 +417,12 @@
         self.lock().state(now)
     }
 
-    /// Lets the node do something and carries out what follows.
+    /// Calls the node and executes the actions that it returns.
     pub(super) fn with_node(&self, call: impl FnOnce(&mut Node, CoordInstant) -> Vec<Action>) {
         self.with_node_returning(|node, now| ((), call(node, now)));
     }
 
-    /// As [`Peers::with_node`], with a result.
+    /// As [`Peers::with_node`], for calls with a result.
     pub(super) fn with_node_returning<T>(
         &self,
         call: impl FnOnce(&mut Node, CoordInstant) -> (T, Vec<Action>),
@@ -438,7 +442,7 @@
         done
     }
 
-    /// Counts a peer's call with its answer; returns the answer.
+    /// Counts a peer's call and its answer in the traffic; returns the answer.
     pub(super) fn count_served<T: Serialize>(&self, req: &impl Serialize, reply: T) -> T {
         self.inner.connections.traffic.count_served(req, &reply);
         reply
@@ -464,7 +468,7 @@
         }
     }
 
-    /// Runs a call to a peer beside the state machine.
+    /// Spawns a call to a peer, so that it does not block the state machine.
     fn spawn<F>(&self, to: NodeId, call: impl FnOnce(Peers, MemberContact) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -501,12 +505,12 @@
     async fn heartbeat(self, to: MemberContact, message: PeerMessage) {
         match self.exchange_heartbeat(&to.address, message).await {
             Ok(answer) => self.with_node(|node, now| node.on_answer(now, &answer)),
-            Err(e) => debug!("heartbeat to {}: {e}", to.name),
+            Err(e) => debug!("heartbeat to {} failed: {e}", to.name),
         }
     }
 
-    /// Half of the probe's timeout for each try, so that a new connection has its chance before
-    /// the peer counts as silent.
+    /// Sends a heartbeat. Each of the two attempts gets half of the probe timeout, so that a new
+    /// connection is tried before the peer counts as unresponsive.
     pub(super) async fn exchange_heartbeat(
         &self,
         address: &str,
@@ -527,7 +531,7 @@
         let deadline = self.inner.heartbeat;
         let connections = &self.inner.connections;
         if let Err(e) = connections.call(&to.address, deadline, &head, call).await {
-            debug!("push to {}: {e}", to.name);
+            debug!("push of the configuration head to {} failed: {e}", to.name);
         }
     }
 
@@ -537,7 +541,10 @@
         let connections = &self.inner.connections;
         match connections.call(&from.address, deadline, &(), call).await {
             Ok(head) => self.report_head(head),
-            Err(e) => debug!("pull from {}: {e}", from.name),
+            Err(e) => debug!(
+                "pull of the configuration head from {} failed: {e}",
+                from.name
+            ),
         }
     }
 
@@ -560,7 +567,7 @@
         let name = name.unwrap_or_default();
         info!(
             target: "decision", decision = "member", member = name, health:? = health;
-            "daemon changed"
+            "health of a daemon changed"
         );
     }
 }
--- a/crates/kelpworks/src/membership/peers/bounds.rs
+++ b/crates/kelpworks/src/membership/peers/protocol_config.rs
@@ -1,4 +1,4 @@
-//! Bounds and times of the connections between daemons.
+//! Limits and timeouts of the protocol between daemons.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -7,11 +7,12 @@
 use jsonrpsee::server::ServerConfig;
 
 use crate::membership::connections;
-use crate::membership::contract::Config;
+use crate::membership::interface::Config;
 use kelpworks_coord::membership;
 use kelpworks_coord::time::Span;
 
-/// Connections from peers, at most: several times the daemons of the largest fleet.
+/// Maximum number of connections from peers: several times the number of daemons in the largest
+/// fleet.
 const MAX_CONNECTIONS: u32 = 2_048;
 
 pub(super) fn server_config() -> ServerConfig {
@@ -24,7 +25,8 @@
         .build()
 }
 
-/// The membership's times for an interval of heartbeats; the defaults are those of one second.
+/// Returns the configuration for a heartbeat interval: the default times, which are those for one
+/// second, are scaled by it.
 pub(super) fn node_config(heartbeat: Duration) -> Config {
     let scale = |span: Span| {
         let ms = heartbeat.mul_f64(span.as_millis() as f64 / 1_000.0);
--- a/crates/kelpworks/src/membership/request_facts.rs
+++ b/crates/kelpworks/src/membership/request_facts.rs
@@ -1,9 +1,7 @@
-//! Carries what daemons find out about requests that crash upstreams between the quarantine and
-//! the peers.
+//! Exchanges facts on requests that crash upstreams between the quarantine and the peers.
 //!
-//! A caller that was refused may send its request to another daemon at once, so each fact is
-//! pushed to all live peers as soon as it is known; heartbeats bring it to those that the push
-//! does not reach.
+//! A refused caller may send its request to another daemon at once, so each fact is pushed to all
+//! live peers immediately; heartbeats carry it to those that the push misses.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,27 +25,27 @@
 use kelpworks_coord::id::UpstreamId;
 use kelpworks_coord::poison::Fingerprint;
 
-/// Least time between two pushes: the suspects of one crash are cleared one after another, and
-/// those of a few milliseconds go together.
+/// Minimum time between two pushes. The suspects of one crash are cleared one after another; those
+/// of a few milliseconds go in one push.
 const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(5);
-/// How often facts are looked at for those that expired.
+/// Interval of checks for expired facts.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Carries facts both ways.
+/// Exchanges facts in both directions.
 #[derive(Debug)]
 pub(crate) struct RequestFacts {
     peers: Peers,
     quarantine: Arc<Quarantine>,
     found: broadcast::Receiver<Fact>,
     own_id: NodeId,
-    /// Stated or cleared, and not pushed yet.
+    /// Keys of facts published or cleared, and not pushed yet.
     unpushed: BTreeSet<Key>,
-    /// What others state, as the quarantine was told.
+    /// Facts of other daemons that the quarantine has been given.
     applied: BTreeMap<Key, Stamp>,
 }
 
 impl RequestFacts {
-    /// Facts found out from now on are carried.
+    /// Creates an exchange of the facts that the quarantine finds from now on.
     pub(crate) fn new(peers: Peers, quarantine: Arc<Quarantine>) -> RequestFacts {
         RequestFacts {
             own_id: NodeId::of(&peers.contact().name),
@@ -76,7 +74,8 @@
             tokio::select! {
                 fact = self.found.recv() => match fact {
                     Ok(fact) => self.publish_all(fact),
-                    // What was missed is known here all the same; others find it out themselves.
+                    // The facts skipped here are already in this daemon's quarantine; other daemons
+                    // discover them themselves.
                     Err(RecvError::Lagged(_)) => {}
                     Err(RecvError::Closed) => return,
                 },
@@ -90,7 +89,7 @@
         }
     }
 
-    /// States a fact and those that wait behind it.
+    /// Publishes a fact and all others already in the channel.
     fn publish_all(&mut self, first: Fact) {
         self.publish(first);
         while let Ok(fact) = self.found.try_recv() {
@@ -131,10 +130,12 @@
         }
     }
 
-    /// Tells the quarantine what others state now and did not before, and what they no longer do.
+    /// Applies new facts of other daemons to the quarantine, and clears suspicions that they no
+    /// longer publish.
     fn apply_peer_facts(&mut self) {
         let mut now = BTreeMap::new();
-        // A request's refusal before the end of its suspicion, so that it is never let run between.
+        // A refusal is applied before the end of the suspicion, so that the request can't run in
+        // between.
         for kind in [Kind::Poison, Kind::Suspect] {
             for fact in self.peers.active_facts(kind) {
                 if fact.key.author == self.own_id {
--- a/crates/kelpworks/src/membership/rpc.rs
+++ b/crates/kelpworks/src/membership/rpc.rs
@@ -1,4 +1,4 @@
-//! The methods that daemons call on each other.
+//! RPC interface between daemons.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -13,35 +13,35 @@
 use kelpworks_wire::ProbeReply;
 use kelpworks_wire::ProbeRequest;
 
-/// Methods of a daemon for its peers. All are idempotent: each may be repeated on a new
-/// connection when its answer does not come.
+/// Methods of a daemon for its peers. All are idempotent, so that a call without an answer may be
+/// retried on a new connection.
 #[rpc(server, client, namespace = "kelpworks", namespace_separator = ".")]
 pub(super) trait PeerApi {
-    /// A heartbeat; the answer is this daemon's own.
+    /// Delivers a heartbeat; the answer is a heartbeat of the called daemon.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, message: PeerMessage) -> RpcResult<PeerMessage>;
 
-    /// Passes a heartbeat on to a daemon that the caller can't reach.
+    /// Forwards a heartbeat to a daemon that the caller can't reach (indirect probe).
     #[method(name = "probe")]
     async fn probe(&self, req: ProbeRequest) -> RpcResult<ProbeReply>;
 
-    /// Exchanges all that both hold.
+    /// Exchanges the full states of both daemons.
     #[method(name = "sync")]
     async fn sync(&self, state: PeerState) -> RpcResult<PeerState>;
 
-    /// Tells of the head that the caller has in force.
+    /// Delivers the configuration head of the caller's active configuration.
     #[method(name = "config_push")]
     async fn config_push(&self, head: ConfigHead) -> RpcResult<()>;
 
-    /// The head that this daemon has in force.
+    /// Returns the configuration head of the active configuration.
     #[method(name = "config_head")]
     async fn config_head(&self) -> RpcResult<ConfigHead>;
 
-    /// The text of a register or of rules in force here.
+    /// Returns the text of the active register or rules, by its digest.
     #[method(name = "config_text")]
     async fn config_text(&self, req: ConfigTextRequest) -> RpcResult<ConfigText>;
 
-    /// What this daemon says of a claim that it made.
+    /// Returns the status of a claim that the called daemon holds.
     #[method(name = "claim_status")]
     async fn claim_status(&self, req: ClaimStatusRequest) -> RpcResult<ClaimStatusReply>;
 }
--- a/crates/kelpworks/src/membership/share.rs
+++ b/crates/kelpworks/src/membership/share.rs
@@ -1,25 +1,25 @@
-//! This daemon's part of what trials may take of the whole fleet.
+//! This daemon's share of the fleet's rate limit for trials.
 //!
 //! ```
 //! use kelpworks::membership::share::fair_share;
 //!
-//! // A fifth of the demand gets a fifth of the rate, whoever else is there.
+//! // A fifth of the demand gets a fifth of the rate, however the rest is distributed.
 //! assert_eq!(fair_share(1_000.0, 200, &[500, 300]), 200.0);
-//! // Without any demand, all get the same.
+//! // Without any demand, all daemons get equal shares.
 //! assert_eq!(fair_share(900.0, 0, &[0, 0]), 300.0);
 //! ```
 //!
-//! The parts of daemons that see the same members and samples add up to the whole. Since they see
-//! changes at different times, the sum is off for as long as news takes to spread.
+//! The shares of daemons that know the same members and samples add up to the limit. Since daemons
+//! learn of changes at different times, the sum deviates while gossip propagates.
 
 use crate::register::HostRole;
 use crate::register::Register;
 
-/// Least weight of a daemon, as a part of the mean demand: a daemon that trials turn to next has
-/// something to give them at once.
+/// Minimum weight of a daemon, as a fraction of the mean demand, so that a daemon without demand
+/// can serve the first trials at once.
 const MIN_WEIGHT: f64 = 0.02;
 
-/// The part of `rate` that falls to a daemon by its demand and that of the other live ones.
+/// Returns the share of `rate` of a daemon, by its own demand and those of the other live daemons.
 pub fn fair_share(rate: f64, own: u32, others: &[u32]) -> f64 {
     let count = others.len() as f64 + 1.0;
     let demands = others.iter().map(|&d| f64::from(d));
@@ -33,9 +33,9 @@
     rate * f64::from(own).max(min_demand) / total_weight
 }
 
-/// Positions a second that the whole fleet runs, by the register: layers of one token a second
-/// over the layers of a model. With several models it is that of the deepest, so that the share
-/// is kept whichever the trials ask for.
+/// Returns the capacity of the whole fleet by the register, in positions per second: the layers per
+/// second of all engines over the layers of a model. With several models, the deepest one counts,
+/// so that the limit holds whichever model trials use.
 pub fn fleet_positions(register: &Register) -> f64 {
     let layers = register.models.iter().map(|m| m.layers).max().unwrap_or(0);
     if layers == 0 {
@@ -54,12 +54,12 @@
     rates.sum::<f64>() / f64::from(layers)
 }
 
-/// Weight of what came before in the smoothed demand.
+/// Weight of the previous value in the smoothed demand.
 const PREVIOUS_DEMAND_WEIGHT: f64 = 0.5;
-/// A smoothed demand is told again when it differs by more than this part from what was told.
+/// Relative change of the smoothed demand from which it is reported again.
 const REPORT_THRESHOLD: f64 = 0.1;
 
-/// Smoothed demand of one daemon, in positions a second, and what its peers were told of it.
+/// Smoothed demand of one daemon in positions per second, and the value last reported to peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     smoothed: f64,
@@ -67,13 +67,13 @@
 }
 
 impl Demand {
-    /// What peers should know, in positions a second.
+    /// Returns the demand reported to peers, in positions per second.
     pub fn reported(&self) -> u32 {
         self.reported
     }
 
-    /// Notes the positions that trials asked for in the last second; returns what peers should
-    /// know, which changes only when the demand does by more than a tenth.
+    /// Records the positions that trials requested in the last second. Returns the demand to report
+    /// to peers, which changes only when the smoothed demand differs by more than a tenth.
     pub fn observe(&mut self, requested: u64) -> u32 {
         self.smoothed = self.smoothed * PREVIOUS_DEMAND_WEIGHT
             + requested as f64 * (1.0 - PREVIOUS_DEMAND_WEIGHT);
--- a/crates/kelpworks/src/membership/traffic.rs
+++ b/crates/kelpworks/src/membership/traffic.rs
@@ -1,7 +1,7 @@
-//! Bytes that a daemon exchanges with its peers.
+//! Counters of the bytes that a daemon exchanges with its peers.
 //!
-//! Counted are the JSON texts as they are serialized, and estimates for what the libraries and the
-//! system add to them, since neither shows it: see the constants.
+//! They include the serialized JSON texts, and estimates of the overhead that the libraries and the
+//! operating system add, since neither reports it; see the constants.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -14,13 +14,13 @@
 const ANSWER_ENVELOPE_BYTES: u64 = 40;
 /// WebSocket frame with mask, and headers of TCP with timestamps and of IPv4.
 const FRAME_BYTES: u64 = 8 + 32 + 20;
-/// An acknowledgement without data, one for each answer; a call's rides on its answer.
+/// TCP acknowledgement without data, one for each answer; that of a call is sent with its answer.
 const ACK_BYTES: u64 = 52;
-/// Opening a connection: handshakes of TCP and of the WebSocket.
+/// Handshakes of TCP and of the WebSocket.
 const OPEN_SENT_BYTES: u64 = 600;
 const OPEN_RECEIVED_BYTES: u64 = 450;
 
-/// Counters since the start.
+/// Counters since the daemon's start.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     sent: AtomicU64,
@@ -28,38 +28,38 @@
     calls: AtomicU64,
 }
 
-/// What a daemon exchanged with its peers since its start.
+/// Traffic of a daemon with its peers since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficTotals {
-    /// Bytes sent.
+    /// Estimated bytes sent.
     pub sent: u64,
-    /// Bytes received.
+    /// Estimated bytes received.
     pub received: u64,
-    /// Calls made and answered.
+    /// Calls made to peers and served for them.
     pub calls: u64,
 }
 
 impl Traffic {
-    /// A call went out, whether or not its answer comes.
+    /// Counts a call to a peer, whether or not it is answered.
     pub(super) fn count_call(&self, req: &impl Serialize) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.send(size(req) + CALL_ENVELOPE_BYTES + FRAME_BYTES);
     }
 
-    /// The answer to a call came.
+    /// Counts the answer to a call.
     pub(super) fn count_answer(&self, reply: &impl Serialize) {
         self.receive(size(reply) + ANSWER_ENVELOPE_BYTES + FRAME_BYTES);
         self.send(ACK_BYTES);
     }
 
-    /// A peer's call came and was answered.
+    /// Counts a peer's call and its answer.
     pub(super) fn count_served(&self, req: &impl Serialize, reply: &impl Serialize) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.receive(size(req) + CALL_ENVELOPE_BYTES + FRAME_BYTES + ACK_BYTES);
         self.send(size(reply) + ANSWER_ENVELOPE_BYTES + FRAME_BYTES);
     }
 
-    /// A connection was opened to a peer.
+    /// Counts a connection opened to a peer.
     pub(super) fn count_connection(&self) {
         self.send(OPEN_SENT_BYTES);
         self.receive(OPEN_RECEIVED_BYTES);
@@ -84,12 +84,13 @@
     }
 }
 
-/// Size of a value as JSON; wire types always have a form in JSON.
+/// Returns the size of a value as JSON. Wire types always serialize.
 fn size(value: &impl Serialize) -> u64 {
     serde_json::to_vec(value).map_or(0, |json| json.len() as u64)
 }
 
-/// Bytes on the wire of one exchange, for those that carry the messages otherwise.
+/// Returns the bytes on the wire of one call with its answer, for drivers with another transport,
+/// such as simulations.
 pub fn exchange_bytes(req: &impl Serialize, reply: &impl Serialize) -> u64 {
     size(req)
         + CALL_ENVELOPE_BYTES
--- a/crates/kelpworks/src/membership/trials.rs
+++ b/crates/kelpworks/src/membership/trials.rs
@@ -1,4 +1,4 @@
-//! Keeps admission's trial rate at this daemon's part of the fleet's.
+//! Task that sets admission's trial rate to this daemon's share of the fleet's.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::admission::Admission;
 use crate::register::Register;
 
-/// How often the rate is set; the demand is that of one such interval.
+/// Interval of updates; demand is measured over one interval.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sets the trial rate again and again.
+/// Updates the trial rate periodically and on each configuration.
 #[derive(Debug)]
 pub(crate) struct TrialShare {
     pub(crate) peers: Peers,
     pub(crate) admission: Admission,
     pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
-    /// Changes with each configuration that comes in force.
+    /// Changes with each activated configuration.
     pub(crate) register: watch::Receiver<Arc<Register>>,
 }
 
@@ -38,8 +38,8 @@
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                // At once: until a rate is set trials fill all the room there is, and each that
-                // was accepted is answered whole.
+                // Without delay: until a rate is set, trials take all available capacity, and each
+                // accepted trial is completed.
                 Ok(()) = self.register.changed() => {
                     self.set_rate(demand.reported());
                     continue;
--- a/crates/kelpworks/src/membership/upstream_facts.rs
+++ b/crates/kelpworks/src/membership/upstream_facts.rs
@@ -1,4 +1,4 @@
-//! Carries what daemons observe of upstreams between the monitor and the peers.
+//! Exchanges observations of upstreams between the monitor and the peers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,14 +17,14 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::id::UpstreamId;
 
-/// Life of a fact that is not renewed, so that the word of a daemon that is gone fades.
+/// Lifetime of a fact that is not renewed, so that facts of a dead daemon expire.
 const FACT_TTL: Duration = Duration::from_secs(30);
-/// How often standing facts are renewed.
+/// Interval at which published facts are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
-/// How often facts are looked at for those that expired.
+/// Interval of checks for expired facts.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Carries facts both ways.
+/// Exchanges facts in both directions.
 #[derive(Debug)]
 pub(crate) struct UpstreamFacts {
     pub(crate) peers: Peers,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// States what this daemon observes now, and clears what it no longer does.
+    /// Publishes the present observations of this daemon, and clears those that ended.
     fn publish(&mut self, published: &mut BTreeSet<(Kind, UpstreamId)>) {
         let observed = self.observed.borrow_and_update().clone();
         let now: BTreeSet<(Kind, UpstreamId)> = observed
@@ -74,7 +74,7 @@
         *published = now;
     }
 
-    /// Tells the monitor what the others state, when it differs from what it was told.
+    /// Sends the reports of other daemons to the monitor when they changed.
     fn report_to_monitor(&self, last_reported: &mut Vec<PeerReport>) {
         let own_id = NodeId::of(&self.peers.contact().name);
         let mut reports_by_upstream: BTreeMap<UpstreamId, PeerReport> = BTreeMap::new();
--- a/crates/kelpworks/src/status.rs
+++ b/crates/kelpworks/src/status.rs
@@ -1,7 +1,7 @@
-//! What a daemon tells operators of the fleet: who is there, and at which generation.
+//! Status of the fleet's daemons for operators: their health and configuration generation.
 //!
-//! Any daemon can be asked, at `GET /status` of its operators' address; it
-//! reports what it knows of all the others.
+//! Any daemon serves it at `GET /status` of its operators' address, and reports on all daemons
+//! that it knows.
 //!
 //! ```
 //! use kelpworks::status::Status;
@@ -13,7 +13,7 @@
 //! # Ok::<(), serde_json::Error>(())
 //! ```
 //!
-//! Limits: what a daemon knows of its peers is as old as their last heartbeat.
+//! Limits: the state of a peer is as old as its last heartbeat.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,89 +23,89 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// The result of this module.
+/// Result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why there is no status.
+/// Why a status could not be fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// No daemon answers there.
+    /// No connection, or no response within the timeout.
     #[error("no daemon answers at {address}")]
     NoAnswer {
-        /// The address that was asked.
+        /// Operators' address that was queried.
         address: SocketAddr,
     },
-    /// What answers is no daemon, or of another release.
+    /// The response is not a status, or one of an incompatible release.
     #[error("what answers at {address} is not a daemon's status")]
     NotStatus {
-        /// The address that was asked.
+        /// Operators' address that was queried.
         address: SocketAddr,
     },
 }
 
-/// The fleet of daemons as one of them sees it.
+/// Daemons of the fleet as one of them sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Status {
-    /// Name of the daemon that answers.
+    /// Name of the responding daemon.
     pub daemon: String,
-    /// Generation of the configuration that it has in force; 0 for none.
+    /// Generation of its active configuration; 0 for none.
     pub generation: u64,
-    /// The other daemons it knows.
+    /// All other daemons that it knows.
     pub members: Vec<Member>,
-    /// What it knows of the object API; none from a daemon of a release that doesn't tell.
+    /// State of the object API; `None` from a daemon of a release that does not report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object_api: Option<ObjectApiStatus>,
 }
 
-/// The object API as a daemon knows it.
+/// State of the object API as a daemon knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct ObjectApiStatus {
-    /// Latest era that the daemon has heard of, from whomever; rises each time the API comes back from an
-    /// older copy.
+    /// Latest era that the daemon knows, from the API or from a peer. It increases each time the
+    /// API is restored from an older copy.
     pub era: u64,
-    /// Version of the configuration heads that the daemon last read itself; none before it has read any, and
-    /// old on daemons that don't watch.
+    /// Version of the configuration heads that the daemon last read itself; `None` before its first
+    /// read, and old on daemons that don't watch the API.
     pub read: Option<ReadVersion>,
 }
 
-/// A version of the object API.
+/// A version of the object API's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct ReadVersion {
-    /// Its era.
+    /// Era of the object API.
     pub era: u64,
-    /// Its revision within the era.
+    /// Revision within the era.
     pub revision: u64,
 }
 
-/// Another daemon.
+/// A daemon other than the responding one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// Name in its settings.
     pub name: String,
-    /// Generation that it last said it has in force; 0 when not known.
+    /// Generation of the active configuration that it last reported; 0 when not known.
     pub generation: u64,
-    /// Whether it is alive.
+    /// Health, as the responding daemon sees it.
     pub state: MemberState,
 }
 
-/// Whether a daemon is alive, as another sees it.
+/// Health of a daemon, as another one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers.
+    /// Answers heartbeats.
     Live,
-    /// It does not answer; not confirmed by others yet.
+    /// Does not answer heartbeats; not yet confirmed by other daemons.
     Suspect,
-    /// It finishes its work and goes.
+    /// Completes its work before a planned stop.
     Leaving,
-    /// It is held for dead.
+    /// Considered dead.
     Down,
 }
 
@@ -121,7 +121,8 @@
 }
 
 impl Status {
-    /// Names of the daemons that do not have this generation yet, those held for dead left out.
+    /// Returns the names of the daemons that have not activated this generation yet, without those
+    /// considered dead.
     pub fn lagging(&self, generation: u64) -> Vec<&str> {
         let own = (self.generation < generation).then_some(self.daemon.as_str());
         let behind = |m: &&Member| m.state != MemberState::Down && m.generation < generation;
@@ -131,7 +132,7 @@
 }
 
 impl fmt::Display for Status {
-    /// A table for people, one daemon a line; the one that answers comes first.
+    /// Writes a table with one line per daemon; the responding one comes first.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = self.members.iter().map(|m| m.name.len());
         let width = names.chain([self.daemon.len()]).max().unwrap_or(0);
@@ -159,11 +160,11 @@
     }
 }
 
-/// Asks a daemon at its operators' address, on a new connection.
+/// Fetches the status from a daemon's operators' address, on a new connection.
 ///
 /// # Errors
 ///
-/// When no status came within the timeout.
+/// When no status is received within the timeout.
 pub async fn fetch(address: SocketAddr, timeout: Duration) -> Result<Status> {
     let client = reqwest::Client::builder()
         .no_proxy()
--- a/crates/kelpworks/src/units.rs
+++ b/crates/kelpworks/src/units.rs
@@ -1,7 +1,7 @@
-//! Quantities with units, as operators write them: `"5 ms"`, `"80 GB"`, `"10 Gbit/s"`.
+//! Quantities with units in settings and registers: `"5 ms"`, `"80 GB"`, `"10 Gbit/s"`.
 //!
-//! A quantity is a whole number, a space and a unit. A bare number is refused,
-//! because a wrong guess of its unit would be off by a thousand.
+//! A quantity is a whole number, an optional space and a unit. A number without a unit is
+//! rejected, because a wrong guess of its unit would be off by a factor of a thousand.
 //!
 //! ```
 //! use kelpworks::units::DurationSetting;
@@ -22,7 +22,7 @@
 use serde::de::Visitor;
 use thiserror::Error;
 
-/// The result of this module.
+/// Result of parsing a quantity.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Why a text is not a quantity.
@@ -30,24 +30,24 @@
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// Not a whole number followed by a unit.
+    /// The text is not a whole number followed by a unit.
     #[error("expected a whole number and a unit {expected}")]
     Form {
-        /// What is expected, with an example.
+        /// Examples of the expected form.
         expected: &'static str,
     },
-    /// The unit is not one of this quantity.
+    /// The unit is unknown or measures another quantity.
     #[error("wrong unit, expected one {expected}")]
     Unit {
-        /// What is expected, with an example.
+        /// Examples of the expected form.
         expected: &'static str,
     },
-    /// Larger than can be held.
+    /// The value in base units exceeds 64 bits.
     #[error("too large")]
     Overflow,
 }
 
-/// One unit: its symbol and how many base units it stands for.
+/// A unit: its symbol and its size in base units.
 struct Unit {
     symbol: &'static str,
     factor: u64,
@@ -57,7 +57,7 @@
     Unit { symbol, factor }
 }
 
-/// Units of time, in nanoseconds; the greatest last.
+/// Units of time, in nanoseconds, in ascending order.
 const TIMES: &[Unit] = &[
     unit("ns", 1),
     unit("us", 1_000),
@@ -68,7 +68,7 @@
 ];
 const TIME_EXPECTED: &str = "such as \"5 ms\", \"3 s\" or \"2 min\"";
 
-/// Units of size, in bytes.
+/// Units of size, in bytes, in ascending order.
 const SIZES: &[Unit] = &[
     unit("B", 1),
     unit("kB", 1_000),
@@ -82,7 +82,7 @@
 ];
 const SIZE_EXPECTED: &str = "such as \"80 GB\" or \"80 GiB\"";
 
-/// Units of rate in bits a second.
+/// Units of rate, in bits per second, in ascending order.
 const BIT_RATES: &[Unit] = &[
     unit("bit/s", 1),
     unit("kbit/s", 1_000),
@@ -91,7 +91,7 @@
     unit("Tbit/s", 1_000_000_000_000),
 ];
 
-/// Units of rate in bytes a second.
+/// Units of rate, in bytes per second, in ascending order.
 const BYTE_RATES: &[Unit] = &[
     unit("B/s", 1),
     unit("kB/s", 1_000),
@@ -102,7 +102,7 @@
 const RATE_EXPECTED: &str = "such as \"10 Gbit/s\" or \"200 MB/s\"";
 const BITS_PER_BYTE: u64 = 8;
 
-/// A length of time, written `"250 ms"`, `"3 s"` or `"2 min"`.
+/// A duration, written `"250 ms"`, `"3 s"` or `"2 min"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DurationSetting(pub Duration);
 
@@ -110,11 +110,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A rate in bytes a second, written `"10 Gbit/s"` or `"200 MB/s"`.
+/// A rate in bytes per second, written `"10 Gbit/s"` or `"200 MB/s"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rate(pub u64);
 
-/// Splits `"80 GB"` into its number and its unit; the space may be left out.
+/// Splits `"80 GB"` into its number and its unit; the space is optional.
 fn split<'a>(text: &'a str, expected: &'static str) -> Result<(u64, &'a str)> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, rest) = text.split_at(digits);
@@ -126,13 +126,13 @@
     Ok((number, symbol))
 }
 
-/// The factor of a unit, when the table has it.
+/// Returns the size of a unit in base units; `None` when the table lacks it.
 fn factor(units: &[Unit], symbol: &str) -> Option<u64> {
     let found = units.iter().find(|u| u.symbol == symbol)?;
     Some(found.factor)
 }
 
-/// Writes `value` in the greatest unit that holds it as a whole number.
+/// Writes `value` in the largest unit in which it is a whole number.
 fn write_exact(f: &mut fmt::Formatter<'_>, units: &[Unit], value: u64) -> fmt::Result {
     let exact = |u: &&Unit| value.is_multiple_of(u.factor) && value >= u.factor;
     let found = units.iter().rev().find(exact).unwrap_or(&units[0]);
@@ -198,7 +198,7 @@
     }
 }
 
-/// Reads a quantity from a string through its [`FromStr`].
+/// Deserializes a quantity from a string by its [`FromStr`].
 struct QuantityVisitor<T> {
     expected: &'static str,
     parse: fn(&str) -> Result<T>,
--- a/crates/kelpworks/src/upstreams/mod.rs
+++ b/crates/kelpworks/src/upstreams/mod.rs
@@ -1,7 +1,7 @@
-//! Keeps the daemon's view of the fleet: what the register lists, what engines say of
-//! themselves, what the host list shows as leaving, and what failed under requests.
+//! The daemon's view of the fleet: hosts in the register, the state that engines report, hosts that
+//! the platform lists as leaving, and failures of requests.
 //!
-//! One task owns the view and publishes snapshots; requests only read them.
+//! One task owns the view and publishes snapshots, which requests read without locks.
 
 mod monitor;
 mod poll;
@@ -20,45 +20,46 @@
 pub use monitor::UpstreamMonitor;
 pub use monitor::UpstreamMonitorConfig;
 
-/// What the monitor learns.
+/// An input of the monitor.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum Report {
-    /// A request found this upstream dead or silent.
+    /// A request to this upstream failed or got no response.
     Suspect(UpstreamKey),
     /// An engine answered a poll.
     State(UpstreamKey, Box<EngineState>),
-    /// A plain service answered its health check: whether it takes new work.
+    /// A plain service answered its health check; the flag says whether it takes new work.
     Service(UpstreamKey, bool),
     /// An upstream did not answer a poll.
     PollFailed(UpstreamKey),
     /// The host list was read.
     HostList(Vec<ListedHost>),
-    /// What other daemons state of upstreams; of those not listed they state nothing.
+    /// Reports of other daemons on upstreams. They replace earlier ones: upstreams not listed have
+    /// no report.
     Peers(Vec<PeerReport>),
 }
 
-/// What other daemons state of one upstream.
+/// Summary of the reports of other daemons on one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerReport {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Whether any states that it takes no new work: leaving, or in quarantine.
+    /// Whether any daemon reports that it takes no new work: leaving, or in quarantine.
     pub leaving: bool,
-    /// How many state that it is down.
+    /// Number of daemons that report it as down.
     pub down: u32,
 }
 
-/// What this daemon observed of an upstream itself, for others to know.
+/// An abnormal state of an upstream that this daemon observed itself, for dissemination to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// Host name of the upstream.
     pub upstream: Arc<str>,
-    /// What is the matter with it.
+    /// Observed state.
     pub kind: ObservationKind,
 }
 
-/// What is the matter with an upstream.
+/// State in an [`Observation`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObservationKind {
     /// It takes no new work.
@@ -67,11 +68,11 @@
     Down,
 }
 
-/// A host on the platform's list.
+/// A host on the platform's host list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedHost {
-    /// Host name.
+    /// Host name, as in the register.
     pub name: String,
-    /// Live or leaving.
+    /// Live or leaving, as the platform lists it.
     pub state: HostState,
 }
--- a/crates/kelpworks/src/upstreams/monitor.rs
+++ b/crates/kelpworks/src/upstreams/monitor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the view, and publishes snapshots of it.
+//! Task that owns the view of the fleet and publishes snapshots of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 /// Settings of the monitor.
 #[derive(Clone, Debug)]
 pub struct UpstreamMonitorConfig {
-    /// How often each upstream is asked for its state.
+    /// Interval of polls of each upstream.
     pub state_poll: Duration,
-    /// How long an upstream may take to answer.
+    /// Timeout of a poll on one connection.
     pub poll_deadline: Duration,
 }
 
-/// Owner of the view of the fleet.
+/// Owner of the view of the fleet; see [`UpstreamMonitor::run`].
 #[derive(Debug)]
 pub struct UpstreamMonitor {
     cfg: UpstreamMonitorConfig,
@@ -42,7 +42,7 @@
 }
 
 impl UpstreamMonitor {
-    /// A monitor that publishes into `fleet`.
+    /// Creates a monitor that publishes snapshots into `fleet`.
     pub fn new(
         cfg: UpstreamMonitorConfig,
         engine: Arc<HttpEngine>,
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Where reports go.
+    /// Returns a sender of reports to this monitor.
     pub fn reports(&self) -> mpsc::UnboundedSender<Report> {
         self.reports_tx.clone()
     }
 
-    /// What this daemon observes of upstreams itself, for its peers.
+    /// Returns the observations of this daemon itself, for dissemination to peers.
     pub fn observed(&self) -> watch::Receiver<Vec<Observation>> {
         self.observed.subscribe()
     }
@@ -103,8 +103,8 @@
         self.publish();
     }
 
-    /// Publishes a snapshot after a change of health, holdings or incarnation; loads change in
-    /// the counters, which snapshots share.
+    /// Publishes a snapshot. Needed after a change of health, layer assignments or incarnation;
+    /// loads are in the counters, which snapshots share.
     fn publish(&mut self) {
         self.view.refresh_index();
         self.fleet.store(Arc::new(self.view.fleet.clone()));
@@ -113,7 +113,7 @@
             .send_if_modified(|old| std::mem::replace(old, observed.clone()) != observed);
     }
 
-    /// Takes a report; tells whether requests have to know at once.
+    /// Applies a report; returns whether a new snapshot has to be published.
     fn apply(&mut self, report: Report) -> bool {
         match report {
             Report::Suspect(key) => {
@@ -141,7 +141,7 @@
     fn apply_peer_reports(&mut self, peer_reports: &[PeerReport]) -> bool {
         let changed = self.view.apply_peer_reports(peer_reports);
         for &key in &changed {
-            self.log_change(true, key, "word of other daemons");
+            self.log_change(true, key, "reports of other daemons");
             self.poll_one(key);
         }
         !changed.is_empty()
--- a/crates/kelpworks/src/upstreams/poll.rs
+++ b/crates/kelpworks/src/upstreams/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of one upstream.
+//! Polls of single upstreams.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -19,14 +19,16 @@
     pub(crate) key: UpstreamKey,
     /// Base URL.
     pub(crate) url: Arc<str>,
-    /// Whether it is a plain service.
+    /// Whether the upstream is a plain service, which has a health check instead of an engine
+    /// state.
     pub(crate) service: bool,
     pub(crate) deadline: Duration,
     pub(crate) counters: Arc<Counters>,
 }
 
 impl Poll {
-    /// Asks the upstream; after silence on a kept connection, once more on a new one.
+    /// Polls the upstream. A failed poll on a pooled connection is repeated once on a new
+    /// connection.
     pub(crate) async fn run(&self, engine: &HttpEngine) -> Report {
         if self.service {
             return self.run_service(engine).await;
@@ -42,6 +44,7 @@
         }
     }
 
+    /// Records the duration of an answered poll, from which the deadline of probes is derived.
     fn observe(&self, took: Duration) {
         let times = self.counters.poll.lock();
         times
--- a/crates/kelpworks/src/upstreams/tests.rs
+++ b/crates/kelpworks/src/upstreams/tests.rs
@@ -26,7 +26,8 @@
     (view, key)
 }
 
-/// Suspects it, and counts the answers to polls until it is live again.
+/// Records a failed request, and returns the number of answered polls until the upstream is live
+/// again.
 fn answers_until_live(view: &mut View, key: UpstreamKey) -> u32 {
     view.record_failure(key);
     assert_eq!(view.fleet.upstreams[key].health, Health::Suspect);
@@ -36,10 +37,10 @@
             return answers;
         }
     }
-    panic!("it stays suspect");
+    panic!("upstream is still suspect after 99 answered polls");
 }
 
-/// Answers to polls before each suspicion, and those needed to clear it.
+/// `clean`: answered polls before each suspicion; `expected`: answered polls needed to clear it.
 #[rstest]
 #[case::first(&[0], &[1])]
 #[case::repeated(&[0, 0, 0, 0, 0, 0, 0], &[1, 2, 4, 8, 16, 16, 16])]
--- a/crates/kelpworks/src/upstreams/view.rs
+++ b/crates/kelpworks/src/upstreams/view.rs
@@ -1,4 +1,4 @@
-//! The monitor's own state, and how a register and reports change it. No I/O.
+//! State of the monitor, and its updates by registers and reports. Does no I/O.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -31,43 +31,46 @@
     latency: Duration::from_millis(1),
     bytes_per_second: 1_250_000_000,
 };
-/// Polls without an answer after which an upstream counts as down.
+/// Consecutive polls without an answer after which an upstream counts as down.
 const MISSED_POLLS_UNTIL_DOWN: u32 = 3;
-/// Other daemons whose word makes a single poll without an answer enough.
+/// Number of other daemons that report an upstream as down from which a single poll without an
+/// answer suffices.
 const PEER_REPORTS_UNTIL_DOWN: u32 = 2;
 
-/// Doublings of the answers needed to clear a suspicion, at most.
+/// Maximum number of doublings of the answered polls that clear a suspicion.
 const MAX_DOUBLINGS: u32 = 4;
-/// Answers to polls without a suspicion after which earlier ones are forgotten.
+/// Answered polls without a new suspicion after which earlier suspicions no longer count.
 const CLEAN_ANSWERS_UNTIL_RESET: u32 = 60;
 
-/// What the monitor knows of an upstream beside the snapshot.
+/// Evidence on the health of one upstream, from which its [`Health`] is derived.
 #[derive(Clone, Debug, Default)]
 struct HealthRecord {
-    /// Polls without an answer since the last answer.
+    /// Polls without an answer since the last answered one.
     missed_polls: u32,
-    /// Whether it ever answered, so that its silence is news.
+    /// Whether it ever answered a poll. Only then are missed polls reported to peers.
     has_answered: bool,
-    /// Said by the upstream itself.
+    /// Whether the upstream itself reports that it takes no new work.
     draining: bool,
-    /// Reported by a request, or newly by a peer, and not cleared by answers to polls since.
+    /// Whether a request, or a new report of a peer, made it suspect, and answered polls have not
+    /// cleared that since.
     suspect: bool,
-    /// Suspicions of late; an upstream that answers polls but fails requests collects them.
+    /// Recent suspicions; they accumulate on an upstream that answers polls and fails requests.
     suspicions: u32,
-    /// Answers to polls that are still needed to clear the suspicion.
+    /// Answered polls still needed to clear the suspicion.
     answers_to_clear: u32,
-    /// Answers to polls since the last suspicion.
+    /// Answered polls since the last suspicion.
     clean_answers: u32,
-    /// Other daemons state that it takes no new work.
+    /// Whether any other daemon reports that it takes no new work.
     peers_leaving: bool,
-    /// Other daemons that state that it is down; own answers count for more.
+    /// Number of other daemons that report it as down; this daemon's own answered polls take
+    /// precedence.
     peers_down: u32,
 }
 
 impl HealthRecord {
-    /// Notes a suspicion. The first is cleared by one answer, as it may be of a connection only;
-    /// each further one takes twice as many, so that an upstream that answers polls but fails
-    /// requests is not taken first again and again.
+    /// Records a suspicion. The first one is cleared by a single answered poll, since the fault may
+    /// be of one connection only. Each further one needs twice as many, so that an upstream that
+    /// answers polls and fails requests is not preferred again after each poll.
     fn count_suspicion(&mut self) {
         self.suspect = true;
         self.clean_answers = 0;
@@ -75,7 +78,7 @@
         self.suspicions = self.suspicions.saturating_add(1);
     }
 
-    /// Notes an answer to a poll.
+    /// Records an answered poll.
     fn count_answer(&mut self) {
         self.answers_to_clear = self.answers_to_clear.saturating_sub(1);
         self.suspect = self.answers_to_clear > 0;
@@ -86,7 +89,7 @@
     }
 }
 
-/// The monitor's state.
+/// The fleet snapshot to publish next, and the evidence behind it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: Fleet,
@@ -94,12 +97,12 @@
     by_name: HashMap<String, UpstreamKey>,
     /// Hosts that the platform's list shows as leaving.
     leaving: HashSet<String>,
-    /// What engines last said they hold; kept to read it anew when the register changes.
+    /// Layer ranges that engines last reported; resolved again when the register changes.
     loaded: HashMap<UpstreamKey, Vec<LoadedRange>>,
 }
 
 impl View {
-    /// Takes a register into use; upstreams that stay keep their keys, counters and state.
+    /// Applies a register. Upstreams that remain keep their keys, counters and state.
     pub(crate) fn apply_register(&mut self, register: &Register) {
         self.fleet.domains = register
             .failure_domains
@@ -128,7 +131,7 @@
         let old = std::mem::take(&mut self.fleet.models);
         for model in &register.models {
             let mut versions = vec![model.version.clone()];
-            // Versions seen before stay known, so that running sessions keep theirs.
+            // Versions of the previous register remain, so that running sessions keep theirs.
             if let Some(before) = old.iter().find(|m| m.name == model.name) {
                 let more = before
                     .versions
@@ -177,7 +180,7 @@
         };
         let key = self.fleet.upstreams.insert(upstream);
         self.by_name.insert(host.name.clone(), key);
-        // Not used until it has answered a poll.
+        // A new upstream gets no work until it has answered a poll.
         let record = HealthRecord {
             missed_polls: MISSED_POLLS_UNTIL_DOWN,
             ..HealthRecord::default()
@@ -197,11 +200,11 @@
     }
 
     fn domain(&self, name: &str) -> DomainKey {
-        let at = self.fleet.domains.iter().position(|d| d == name);
-        DomainKey(at.expect("a checked register names only its own failure domains") as u16)
+        let index = self.fleet.domains.iter().position(|d| d == name);
+        DomainKey(index.expect("a checked register names only its own failure domains") as u16)
     }
 
-    /// Takes what an engine says of itself; tells whether routing has to know at once.
+    /// Applies the state that an engine reports; returns whether routing needs a new snapshot.
     pub(crate) fn apply_state(&mut self, key: UpstreamKey, state: &EngineState) -> bool {
         if !self.fleet.upstreams.contains_key(key) {
             return false;
@@ -223,7 +226,7 @@
         self.record_answer(key, state.draining) || changed
     }
 
-    /// Takes an answer of an upstream; tells whether its health changed.
+    /// Records an answered poll; returns whether the upstream's health changed.
     pub(crate) fn record_answer(&mut self, key: UpstreamKey, draining: bool) -> bool {
         let Some(record) = self.health_records.get_mut(&key) else {
             return false;
@@ -235,7 +238,7 @@
         self.update_health(key)
     }
 
-    /// Takes a poll without an answer; tells whether the upstream's health changed.
+    /// Records a poll without an answer; returns whether the upstream's health changed.
     pub(crate) fn record_missed_poll(&mut self, key: UpstreamKey) -> bool {
         let Some(record) = self.health_records.get_mut(&key) else {
             return false;
@@ -244,7 +247,7 @@
         self.update_health(key)
     }
 
-    /// Takes the failure of a request; tells whether the upstream's health changed.
+    /// Records a failed request; returns whether the upstream's health changed.
     pub(crate) fn record_failure(&mut self, key: UpstreamKey) -> bool {
         let Some(record) = self.health_records.get_mut(&key) else {
             return false;
@@ -253,7 +256,7 @@
         self.update_health(key)
     }
 
-    /// Takes the platform's host list; tells whether any upstream's health changed.
+    /// Applies the platform's host list; returns whether any upstream's health changed.
     pub(crate) fn apply_host_list(&mut self, hosts: &[ListedHost]) -> bool {
         self.leaving = hosts
             .iter()
@@ -268,10 +271,10 @@
         changed
     }
 
-    /// Takes what other daemons state; returns the upstreams whose health changed by it.
+    /// Applies the reports of other daemons; returns the upstreams whose health changed.
     pub(crate) fn apply_peer_reports(&mut self, reports: &[PeerReport]) -> Vec<UpstreamKey> {
         let reports: HashMap<UpstreamId, &PeerReport> =
-            reports.iter().map(|w| (w.upstream, w)).collect();
+            reports.iter().map(|r| (r.upstream, r)).collect();
         let ids = self.fleet.upstreams.iter();
         let ids: Vec<_> = ids.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
         let mut changed = Vec::new();
@@ -280,11 +283,12 @@
             let Some(record) = self.health_records.get_mut(&key) else {
                 continue;
             };
-            let down = report.map_or(0, |w| w.down);
-            // Only the news makes a suspect: an answer to the poll that follows is newer.
+            let down = report.map_or(0, |r| r.down);
+            // Only an additional report makes the upstream suspect: the answer to the poll that
+            // follows is more recent than reports already known.
             record.suspect |= down > record.peers_down;
             record.peers_down = down;
-            record.peers_leaving = report.is_some_and(|w| w.leaving);
+            record.peers_leaving = report.is_some_and(|r| r.leaving);
             if self.update_health(key) {
                 changed.push(key);
             }
@@ -292,7 +296,7 @@
         changed
     }
 
-    /// What this daemon observed itself, in order of the arena.
+    /// Returns the observations of this daemon itself, in key order.
     pub(crate) fn observed(&self) -> Vec<Observation> {
         let mut observed = Vec::new();
         for (key, upstream) in &self.fleet.upstreams {
@@ -309,6 +313,7 @@
         observed
     }
 
+    /// Derives the health of an upstream from the evidence; returns whether it changed.
     fn update_health(&mut self, key: UpstreamKey) -> bool {
         let record = &self.health_records[&key];
         let upstream = &mut self.fleet.upstreams[key];
@@ -334,6 +339,7 @@
         }
     }
 
+    /// Resolves reported layer ranges; those of models that the register lacks are skipped.
     fn resolve_assignments(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
         let mut assignments = Vec::new();
         for range in loaded {
@@ -372,7 +378,8 @@
         self.fleet.by_service = by_service;
     }
 
-    /// Works out the holders of each layer anew; needed after a change of health or holdings.
+    /// Rebuilds the index of upstreams by layer; needed after a change of health or of layer
+    /// assignments.
     pub(crate) fn refresh_index(&mut self) {
         self.fleet.index = Some(Arc::new(Index::build(&self.fleet)));
     }
--- a/crates/kelpworks/src/verdict.rs
+++ b/crates/kelpworks/src/verdict.rs
@@ -1,10 +1,10 @@
-//! Whether a request that got no answer may have run.
+//! Whether a request without a response may have run.
 
 use std::fmt;
 
-/// Says of a request that failed whether any part of it may have been executed.
+/// Whether any part of a failed request may have been executed.
 ///
-/// The order matters: over several attempts the greater verdict counts.
+/// Verdicts are ordered: over several attempts the greatest one counts.
 ///
 /// ```
 /// use kelpworks::verdict::Verdict;
@@ -13,17 +13,17 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// No byte of it can have reached execution.
+    /// No part of the request can have been executed.
     NotRun,
-    /// It may have run, in part or whole.
+    /// The request may have run in part or as a whole.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// Name of the response header that carries the verdict to callers.
+    /// Name of the response header that carries the verdict.
     pub const HEADER: &'static str = "kelpworks-verdict";
 
-    /// The header's value.
+    /// Returns the value of the header.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
