--- a/crates/kelpworks/src/claims/drive.rs
+++ b/crates/kelpworks/src/claims/submission.rs
@@ -1,4 +1,4 @@
-//! Carries out what a claim's state machine decides.
+//! Driver of one keyed submission: executes the actions of its claim's state machine.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -10,16 +10,16 @@
 use tokio::sync::oneshot;
 
 use crate::claims::CLAIM_KIND;
-use crate::claims::COME_BACK;
 use crate::claims::ClaimKey;
 use crate::claims::Claims;
 use crate::claims::Error;
 use crate::claims::KeyedReply;
 use crate::claims::Peers;
+use crate::claims::RETRY_AFTER;
 use crate::claims::Reply;
 use crate::claims::Result;
 use crate::claims::RunError;
-use crate::claims::WRITES_A_CLAIM;
+use crate::claims::WRITES_PER_CLAIM;
 use crate::claims::lock;
 use crate::clients::object_api;
 use crate::clients::object_api::Condition;
@@ -42,47 +42,49 @@
 use kelpworks_coord::id::Version;
 use kelpworks_coord::time::Instant;
 
-/// First pause between two looks at a claim; it doubles up to [`LONGEST_PAUSE`] once the caller
-/// has its answer, so that many unsettled claims don't meet the object API at once when it is back.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+/// Initial interval between ticks of a claim's state machine. Once the caller has its answer, the
+/// interval doubles up to [`MAX_POLL_INTERVAL`], so that many unfinished claims do not reach the
+/// object API at the same moment when it recovers.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One claim and what its API calls need.
-struct Holding<A: ObjectApi + 'static, P: Peers> {
+/// One claim with the context of its API calls; registered in [`Claims::pending`] until dropped.
+struct ClaimHandle<A: ObjectApi + 'static, P: Peers> {
     claims: Arc<Claims<A, P>>,
     name: String,
     nonce: Nonce,
     claim: Arc<Mutex<Claim>>,
-    /// Writes already taken from the budget.
-    prepaid: u64,
-    /// The claim is not written for the first time after this. The machine itself writes again
-    /// whenever it reads that there is none, which could hold the caller for as long as each write
-    /// is lost and each read answered.
-    create_by: Instant,
+    /// Writes already charged to the budget and not used yet.
+    prepaid_writes: u64,
+    /// No create of the claim is sent after this time. The state machine creates it again whenever
+    /// a read finds none; without this bound, a caller could wait for as long as every write is
+    /// lost while every read is answered.
+    create_deadline: Instant,
 }
 
-impl<A: ObjectApi + 'static, P: Peers> Drop for Holding<A, P> {
+impl<A: ObjectApi + 'static, P: Peers> Drop for ClaimHandle<A, P> {
     fn drop(&mut self) {
-        lock(&self.claims.held).remove(&self.nonce);
+        lock(&self.claims.pending).remove(&self.nonce);
     }
 }
 
-impl<A: ObjectApi + 'static, P: Peers> Holding<A, P> {
+impl<A: ObjectApi + 'static, P: Peers> ClaimHandle<A, P> {
     fn step(&self, event: Event) -> Vec<Action> {
         let now = self.claims.now();
         lock(&self.claim).on_event(now, event)
     }
 
-    fn is_settled(&self) -> bool {
+    fn is_complete(&self) -> bool {
         lock(&self.claim).is_finished()
     }
 
-    fn was_given_up(&self) -> bool {
+    fn was_abandoned(&self) -> bool {
         lock(&self.claim).status() == PeerStatus::NeverDispatched
     }
 
-    /// Carries out an action on the object API or a peer.
-    async fn act(&mut self, action: Action) -> Option<Event> {
+    /// Executes an action on the object API or a peer, and returns the resulting event. Returns
+    /// `None` for actions that concern the caller.
+    async fn execute(&mut self, action: Action) -> Option<Event> {
         let reply = match action {
             Action::Read => self.read().await,
             Action::Write { if_version, record } => self.write(if_version, &record).await,
@@ -107,95 +109,97 @@
 
     async fn read(&self) -> ApiReply {
         let call = self.claims.api.get(CLAIM_KIND, &self.name);
-        match self.bounded(call).await {
-            Ok(object) => found(&object).map_or(ApiReply::Lost, ApiReply::Found),
+        match self.with_timeout(call).await {
+            Ok(object) => parse_claim(&object).map_or(ApiReply::Lost, ApiReply::Found),
             Err(object_api::Error::NotFound) => ApiReply::Absent,
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
     async fn write(&mut self, if_version: Version, record: &Record) -> ApiReply {
         let creates = record.phase == Phase::Claimed;
-        let is_late = self.claims.now() > self.create_by;
-        if creates && (is_late || self.claims.may_miss_claims()) || !self.pay() {
+        let is_late = self.claims.now() > self.create_deadline;
+        if creates && (is_late || self.claims.may_miss_claims()) || !self.charge_write() {
             return ApiReply::Refused;
         }
-        let body = serde_json::to_string(record).expect("a record has no maps");
+        let body = serde_json::to_string(record).expect("a claim record always serializes to JSON");
         let condition = Condition::at(if_version);
         let api = &self.claims.api;
         let call = api.put(CLAIM_KIND, &self.name, body, condition);
-        match self.bounded(call).await {
-            // This answer told of the later era.
+        match self.with_timeout(call).await {
+            // The response itself announced a later era, which may lack claims of calls that ran.
             Ok(object) if creates && self.claims.may_miss_claims() => {
                 self.remove(object.version).await;
                 ApiReply::Refused
             }
             Ok(object) => ApiReply::Stored(object.version),
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
     async fn remove(&mut self, if_version: Version) -> ApiReply {
-        if !self.pay() {
+        if !self.charge_write() {
             return ApiReply::Refused;
         }
         let condition = Condition::at(if_version);
         let call = self.claims.api.delete(CLAIM_KIND, &self.name, condition);
-        match self.bounded(call).await {
+        match self.with_timeout(call).await {
             Ok(()) | Err(object_api::Error::NotFound) => ApiReply::Removed,
-            Err(e) => failed(&e),
+            Err(e) => error_reply(&e),
         }
     }
 
-    /// Takes a write from what was paid at the start, or else from the budget.
-    fn pay(&mut self) -> bool {
-        if self.prepaid > 0 {
-            self.prepaid -= 1;
+    /// Uses a prepaid write, or else charges the budget; returns false when the budget is
+    /// exhausted.
+    fn charge_write(&mut self) -> bool {
+        if self.prepaid_writes > 0 {
+            self.prepaid_writes -= 1;
             return true;
         }
         self.claims.take_writes(1).is_ok()
     }
 
-    /// A call that gets no reply in time counts as lost, and its connection as silent.
-    async fn bounded<T>(
+    /// Bounds a call by [`super::Config::api_timeout`]. A call that times out counts as lost, and
+    /// the connections are reset, since the one in use may be dead.
+    async fn with_timeout<T>(
         &self,
         call: impl Future<Output = object_api::Result<T>>,
     ) -> object_api::Result<T> {
-        let reply = tokio::time::timeout(self.claims.cfg.api_call, call).await;
+        let reply = tokio::time::timeout(self.claims.cfg.api_timeout, call).await;
         reply.unwrap_or_else(|_| {
             self.claims.api.reset_connections();
             Err(object_api::Error::Lost)
         })
     }
 
-    /// Removes a claim that was given up, however long the object API is out.
+    /// Removes an abandoned claim, retrying for as long as the object API is unavailable.
     async fn clean_up(mut self) {
-        let mut pause = FIRST_PAUSE;
-        let mut todo = VecDeque::new();
-        while !self.is_settled() {
-            while let Some(action) = todo.pop_front() {
-                if let Some(event) = self.act(action).await {
-                    todo.extend(self.step(event));
+        let mut poll_interval = INITIAL_POLL_INTERVAL;
+        let mut actions = VecDeque::new();
+        while !self.is_complete() {
+            while let Some(action) = actions.pop_front() {
+                if let Some(event) = self.execute(action).await {
+                    actions.extend(self.step(event));
                 }
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
-            todo.extend(self.step(Event::Tick));
+            tokio::time::sleep(poll_interval).await;
+            poll_interval = (poll_interval * 2).min(MAX_POLL_INTERVAL);
+            actions.extend(self.step(Event::Tick));
         }
     }
 }
 
 /// One submission of a keyed call.
-pub(super) struct Drive<A: ObjectApi + 'static, P: Peers, F, E> {
-    holding: Holding<A, P>,
+pub(super) struct Submission<A: ObjectApi + 'static, P: Peers, F, E> {
+    handle: ClaimHandle<A, P>,
     run: Option<F>,
-    /// How the call ended, when it was let run.
-    ran: Option<std::result::Result<Reply, RunError<E>>>,
-    /// `None` once the caller has its answer.
+    /// Result of the call; `None` until it has run.
+    run_result: Option<std::result::Result<Reply, RunError<E>>>,
+    /// Channel to the caller; `None` once the answer has been sent.
     tx: Option<oneshot::Sender<Result<KeyedReply, E>>>,
 }
 
-impl<A, P, F, Fut, E> Drive<A, P, F, E>
+impl<A, P, F, Fut, E> Submission<A, P, F, E>
 where
     A: ObjectApi + 'static,
     P: Peers,
@@ -208,7 +212,7 @@
         deadline: Instant,
         run: F,
         tx: oneshot::Sender<Result<KeyedReply, E>>,
-    ) -> Drive<A, P, F, E> {
+    ) -> Submission<A, P, F, E> {
         let nonce = Nonce(rand::random());
         let req = Request {
             digest: key.digest,
@@ -217,80 +221,80 @@
             nonce,
             deadline,
         };
-        let claim = Arc::new(Mutex::new(Claim::new(claims.machine(), req)));
-        lock(&claims.held).insert(nonce, Arc::clone(&claim));
-        let holding = Holding {
+        let claim = Arc::new(Mutex::new(Claim::new(claims.claim_config(), req)));
+        lock(&claims.pending).insert(nonce, Arc::clone(&claim));
+        let handle = ClaimHandle {
             claims: Arc::clone(claims),
             name: key.name,
             nonce,
             claim,
-            prepaid: WRITES_A_CLAIM,
-            create_by: claims.now() + claims.machine().create_timeout,
+            prepaid_writes: WRITES_PER_CLAIM,
+            create_deadline: claims.now() + claims.claim_config().create_timeout,
         };
-        Drive {
-            holding,
+        Submission {
+            handle,
             run: Some(run),
-            ran: None,
+            run_result: None,
             tx: Some(tx),
         }
     }
 
-    /// Runs until the caller has its answer and the outcome is recorded. What is left of a claim
-    /// that was given up is removed by a task of its own, for which a planned stop does not wait.
+    /// Runs until the caller has its answer and the outcome is recorded. An abandoned claim is
+    /// removed by a separate task, for which a planned stop does not wait.
     pub(super) async fn run(mut self) {
-        let mut pause = FIRST_PAUSE;
-        let mut todo: VecDeque<Action> = self.holding.step(Event::Start).into();
+        let mut poll_interval = INITIAL_POLL_INTERVAL;
+        let mut actions: VecDeque<Action> = self.handle.step(Event::Start).into();
         loop {
-            while let Some(action) = todo.pop_front() {
-                if let Some(event) = self.act(action).await {
-                    todo.extend(self.holding.step(event));
+            while let Some(action) = actions.pop_front() {
+                if let Some(event) = self.execute(action).await {
+                    actions.extend(self.handle.step(event));
                 }
             }
             let answered = self.tx.is_none();
-            if answered && self.holding.is_settled() {
+            if answered && self.handle.is_complete() {
                 return;
             }
-            if answered && self.holding.was_given_up() {
-                tokio::spawn(self.holding.clean_up());
+            if answered && self.handle.was_abandoned() {
+                tokio::spawn(self.handle.clean_up());
                 return;
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(poll_interval).await;
             if answered {
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                poll_interval = (poll_interval * 2).min(MAX_POLL_INTERVAL);
             }
-            todo.extend(self.holding.step(Event::Tick));
+            actions.extend(self.handle.step(Event::Tick));
         }
     }
 
-    async fn act(&mut self, action: Action) -> Option<Event> {
+    async fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch => Some(Event::Finished(self.dispatch().await?)),
             Action::Answer(answer) => {
                 self.answer(answer);
                 None
             }
-            other => self.holding.act(other).await,
+            other => self.handle.execute(other).await,
         }
     }
 
     async fn dispatch(&mut self) -> Option<RunResult> {
         let run = self.run.take()?;
-        let ran = run().await;
-        let how = match &ran {
+        let run_result = run().await;
+        let finished = match &run_result {
             Ok(reply) => RunResult::Completed(reply.to_outcome()),
             Err(e) if e.verdict == Verdict::NotRun => RunResult::NotRun,
             Err(_) => RunResult::MayHaveRun,
         };
-        self.ran = Some(ran);
-        Some(how)
+        self.run_result = Some(run_result);
+        Some(finished)
     }
 
     fn answer(&mut self, answer: Answer) {
         let Some(tx) = self.tx.take() else {
             return;
         };
-        let retry_after = COME_BACK;
-        let result = match (self.ran.take(), answer) {
+        let retry_after = RETRY_AFTER;
+        let result = match (self.run_result.take(), answer) {
             (Some(Ok(reply)), _) => Ok(KeyedReply {
                 reply,
                 replayed: false,
@@ -310,18 +314,18 @@
             (None, Answer::MayHaveRun) => Err(Error::MayHaveRun { retry_after }),
         };
         info!(
-            target: "decision", decision = "claim", claim = self.holding.name.as_str(),
+            target: "decision", decision = "claim", claim = self.handle.name.as_str(),
             reason = reason(&result);
             "keyed call answered"
         );
-        // The caller may have gone; its repeat will find the recorded outcome.
+        // The caller may have disconnected; its retry will find the recorded outcome.
         let _ = tx.send(result);
     }
 }
 
 fn reason<E>(result: &Result<KeyedReply, E>) -> &'static str {
     match result {
-        Ok(kept) if kept.replayed => "recorded outcome",
+        Ok(keyed) if keyed.replayed => "recorded outcome",
         Ok(_) => "ran",
         Err(Error::KeyReused) => "key used for another request",
         Err(Error::InProgress { .. }) => "in progress",
@@ -331,8 +335,8 @@
     }
 }
 
-/// The claim in an object; `None` where its body is not one.
-fn found(object: &Object) -> Option<Stored> {
+/// Parses the claim in an object; `None` when its body is malformed.
+fn parse_claim(object: &Object) -> Option<Stored> {
     let record = serde_json::from_str(&object.body).ok()?;
     Some(Stored {
         version: object.version,
@@ -340,12 +344,14 @@
     })
 }
 
-fn failed(error: &object_api::Error) -> ApiReply {
+/// Maps an error of the object API to the reply that the state machine expects: refused only when
+/// the write cannot have taken effect.
+fn error_reply(error: &object_api::Error) -> ApiReply {
     match error {
         object_api::Error::Conflict { current: None } => ApiReply::Conflict(None),
         object_api::Error::Conflict {
             current: Some(object),
-        } => found(object).map_or(ApiReply::Lost, |s| ApiReply::Conflict(Some(s))),
+        } => parse_claim(object).map_or(ApiReply::Lost, |s| ApiReply::Conflict(Some(s))),
         e if e.may_have_run() => ApiReply::Lost,
         object_api::Error::NotFound => ApiReply::Conflict(None),
         object_api::Error::TooLarge
--- a/crates/kelpworks/src/membership/links.rs
+++ b/crates/kelpworks/src/membership/connections.rs
@@ -1,7 +1,7 @@
-//! Kept connections to peers.
+//! Pool of persistent connections to peers.
 //!
-//! A connection may go silent for good while new ones work, so a call that gets no answer is made
-//! once more on a new connection before the peer counts as silent.
+//! A connection may stop delivering messages while new ones work, so a call without an answer is
+//! retried once on a new connection before the peer counts as unresponsive.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,62 +19,63 @@
 
 use super::traffic::Traffic;
 
-/// The result of this module.
+/// Result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A connection to a peer.
+/// A connection to a peer; clones share it.
 pub type Client = Arc<WsClient>;
 
-/// Largest answer; a register's text is the largest part of one.
+/// Maximum message size in bytes; the largest message carries the text of a register.
 pub(super) const MAX_MESSAGE: u32 = 4 << 20;
-/// Requests that wait on one connection, at most.
+/// Maximum number of outstanding requests on one connection.
 const MAX_CONCURRENT: usize = 64;
 
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// Nothing came within the deadline, on a new connection too.
+    /// No answer within the deadline, on a new connection too.
     #[error("no answer from {0}")]
-    Silent(String),
-    /// It answered with an error.
+    NoAnswer(String),
+    /// The peer answered with an error.
     #[error("{address} refused: {reason}")]
     Refused {
         /// Address of the peer.
         address: String,
-        /// What it said.
+        /// Error message of the peer.
         reason: String,
     },
 }
 
-/// A kept connection.
+/// A connection in the pool.
 #[derive(Clone, Debug)]
-struct Kept {
-    /// Rises with each connection to any peer, so that a newer one is not taken for this one.
+struct PooledConnection {
+    /// Increases with each connection to any peer; distinguishes this connection from a newer one
+    /// to the same address.
     serial: u64,
     client: Client,
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    kept: HashMap<String, Kept>,
+struct Pool {
+    by_address: HashMap<String, PooledConnection>,
     serial: u64,
 }
 
-/// One connection an address, opened when it is first needed.
+/// Pool with one connection per address, opened on first use.
 #[derive(Debug, Default)]
-pub struct Links {
-    table: Mutex<Table>,
+pub struct Connections {
+    pool: Mutex<Pool>,
     pub(super) traffic: Traffic,
 }
 
-impl Links {
-    /// Calls a peer: on the kept connection first, then, after silence, once on a new one. Each
-    /// of the two tries may take `deadline`, opening a connection included.
+impl Connections {
+    /// Calls a peer, first on the pooled connection; when that gets no answer, once on a new one.
+    /// Each of the two attempts may take `deadline`, including the time to open a connection.
     ///
     /// # Errors
     ///
-    /// When the peer stays silent on both, or refuses.
+    /// When both attempts get no answer, or the peer answers with an error.
     pub async fn call<R, T, F>(
         &self,
         address: &str,
@@ -87,22 +88,22 @@
         T: Serialize,
         F: Future<Output = std::result::Result<T, ClientError>>,
     {
-        if let Some(kept) = self.kept(address) {
-            let client = Arc::clone(&kept.client);
+        if let Some(pooled) = self.pooled(address) {
+            let client = Arc::clone(&pooled.client);
             match self.attempt(deadline, req, call(client, req.clone())).await {
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(ClientError::Call(e))) => return Err(refused(address, &e.to_string())),
-                _ => self.drop_link(address, kept.serial),
+                _ => self.discard(address, pooled.serial),
             }
         }
-        let fresh = async {
+        let on_new_connection = async {
             let client = self.open(address, deadline).await?;
             call(client, req.clone()).await
         };
-        match self.attempt(deadline, req, fresh).await {
+        match self.attempt(deadline, req, on_new_connection).await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(ClientError::Call(e))) => Err(refused(address, &e.to_string())),
-            _ => Err(Error::Silent(address.to_owned())),
+            _ => Err(Error::NoAnswer(address.to_owned())),
         }
     }
 
@@ -117,17 +118,17 @@
         T: Serialize,
         F: Future<Output = std::result::Result<T, ClientError>>,
     {
-        self.traffic.called(req);
+        self.traffic.count_call(req);
         let reply = tokio::time::timeout(deadline, call).await;
         if let Ok(Ok(reply)) = &reply {
-            self.traffic.answered(reply);
+            self.traffic.count_answer(reply);
         }
         reply
     }
 
-    /// Drops the connections to all addresses but these.
+    /// Closes the connections to all addresses for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&str) -> bool) {
-        self.lock().kept.retain(|address, _| keep(address));
+        self.lock().by_address.retain(|address, _| keep(address));
     }
 
     async fn open(
@@ -142,33 +143,38 @@
             .max_response_size(MAX_MESSAGE)
             .build(format!("ws://{address}"))
             .await?;
-        self.traffic.opened();
+        self.traffic.count_connection();
         let client = Arc::new(client);
-        let mut table = self.lock();
-        table.serial += 1;
-        let serial = table.serial;
-        let kept = Kept {
+        let mut pool = self.lock();
+        pool.serial += 1;
+        let serial = pool.serial;
+        let pooled = PooledConnection {
             serial,
             client: Arc::clone(&client),
         };
-        table.kept.insert(address.to_owned(), kept);
+        pool.by_address.insert(address.to_owned(), pooled);
         Ok(client)
     }
 
-    fn kept(&self, address: &str) -> Option<Kept> {
-        self.lock().kept.get(address).cloned()
+    fn pooled(&self, address: &str) -> Option<PooledConnection> {
+        self.lock().by_address.get(address).cloned()
     }
 
-    fn drop_link(&self, address: &str, serial: u64) {
-        let mut table = self.lock();
-        if table.kept.get(address).is_some_and(|k| k.serial == serial) {
-            table.kept.remove(address);
+    /// Removes a connection unless a newer one has replaced it.
+    fn discard(&self, address: &str, serial: u64) {
+        let mut pool = self.lock();
+        if pool
+            .by_address
+            .get(address)
+            .is_some_and(|c| c.serial == serial)
+        {
+            pool.by_address.remove(address);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
-        // The table is consistent after each call, also when a holder of the lock panicked.
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Pool> {
+        // The pool is consistent after each call, also when a holder of the lock panicked.
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/kelpworks/src/membership/node.rs
+++ b/crates/kelpworks/src/membership/node.rs
@@ -1,19 +1,19 @@
-//! What one daemon knows of the others and tells them, without I/O: membership, facts and the
-//! generation ride on the same heartbeats.
+//! State of one daemon among its peers, without I/O. Membership, facts and the configuration
+//! generation travel on the same heartbeats.
 
 mod digests;
 mod push;
 
-use super::allowance::Allowance;
-use super::book::Book;
-use super::book::Known;
-use super::contract::Action;
-use super::contract::Answer;
-use super::contract::Config;
+use super::byte_budget::ByteBudget;
 use super::convert;
+use super::interface::Action;
+use super::interface::Answer;
+use super::interface::Config;
+use super::member_table::MemberRecord;
+use super::member_table::MemberTable;
 use crate::status::Member;
 use crate::status::MemberState;
-use digests::Settled;
+use digests::StableDigest;
 use kelpworks_coord::dissemination;
 use kelpworks_coord::dissemination::Dissemination;
 use kelpworks_coord::facts;
@@ -36,16 +36,17 @@
 use kelpworks_wire::PeerMessage;
 use kelpworks_wire::PeerState;
 
-/// Duty under which the watchers of the head are chosen.
-const WATCH_DUTY: &str = "kelpworks.head";
-/// Largest size of each piece of news in JSON, for byte budgets.
-const UPDATE_BYTES: usize = 170;
-const CONTACT_BYTES: usize = 160;
-const SAMPLE_BYTES: usize = 125;
-/// Peers that a daemon asks for all they hold when it joins.
-const JOIN_PEERS: usize = 3;
-
-/// One daemon's knowledge of the others.
+/// Rendezvous hashing key of the role that watches the configuration head.
+const WATCHER_ROLE: &str = "kelpworks.head";
+/// Maximum JSON size of one item of each kind of gossip, for the byte budget.
+const MAX_UPDATE_BYTES: usize = 170;
+const MAX_CONTACT_BYTES: usize = 160;
+const MAX_SAMPLE_BYTES: usize = 125;
+/// Number of peers from which a joining daemon requests the full state, and which a leaving daemon
+/// notifies.
+const JOIN_FANOUT: usize = 3;
+
+/// One daemon's knowledge of the others, and its part of the gossip protocol.
 #[derive(Clone, Debug)]
 pub struct Node {
     cfg: Config,
@@ -53,30 +54,30 @@
     contact: MemberContact,
     members: Membership,
     facts: Facts,
-    spread: Dissemination,
-    book: Book,
-    /// In force here.
+    dissemination: Dissemination,
+    member_table: MemberTable,
+    /// Generation of the active configuration; 0 before the first.
     generation: u64,
-    allowance: Allowance,
-    members_settled: Settled,
-    facts_settled: Settled,
-    next_digests: Instant,
+    byte_budget: ByteBudget,
+    own_members_digest: StableDigest,
+    own_facts_digest: StableDigest,
+    digests_due: Instant,
     last_sync: Option<Instant>,
-    /// Whether any peer has told all it holds since the start.
-    joined: bool,
-    /// Whether facts of others changed since the driver was last told.
-    news: bool,
+    /// Whether a full state has been received from any peer since the start.
+    has_synced: bool,
+    /// Whether facts of other daemons changed since the last [`Action::FactsChanged`].
+    facts_changed: bool,
 }
 
 impl Node {
-    /// A daemon that knows of no other.
+    /// Creates a daemon that knows no other one.
     pub fn new(cfg: Config, contact: MemberContact, now: Instant) -> Node {
         let id = NodeId::of(&contact.name);
         let incarnation = Incarnation(contact.started);
         let domain = DomainId::of(&contact.failure_domain);
-        let mut book = Book::default();
-        book.take_contact(&contact);
-        let settled = Settled {
+        let mut member_table = MemberTable::default();
+        member_table.merge_contact(&contact);
+        let initial_digest = StableDigest {
             digest: 0,
             since: now,
         };
@@ -85,57 +86,57 @@
             id,
             members: Membership::new(cfg.membership, id, domain, incarnation),
             facts: Facts::new(cfg.facts, id, incarnation),
-            spread: Dissemination::new(cfg.spread, id),
-            book,
+            dissemination: Dissemination::new(cfg.dissemination, id),
+            member_table,
             contact,
             generation: 0,
-            allowance: Allowance::new(cfg.news_rate, cfg.news_burst, now),
-            members_settled: settled,
-            facts_settled: settled,
-            next_digests: now,
+            byte_budget: ByteBudget::new(cfg.gossip_bytes_per_second, cfg.gossip_burst_bytes, now),
+            own_members_digest: initial_digest,
+            own_facts_digest: initial_digest,
+            digests_due: now,
             last_sync: None,
-            joined: false,
-            news: false,
+            has_synced: false,
+            facts_changed: false,
         }
     }
 
-    /// This daemon.
+    /// Returns the identifier of this daemon.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// How this daemon is reached.
+    /// Returns the name and address under which peers reach this daemon.
     pub fn own_contact(&self) -> &MemberContact {
         &self.contact
     }
 
-    /// How a daemon is reached; `None` when it is not known.
+    /// Returns the name and address of a daemon; `None` when it is not known.
     pub fn contact(&self, node: NodeId) -> Option<&MemberContact> {
-        self.book.get(node).map(|k| &k.contact)
+        self.member_table.get(node).map(|r| &r.contact)
     }
 
-    /// Time passed.
+    /// Advances timers; to be called several times per heartbeat interval.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let actions = self.members.on_event(now, membership::Event::Tick);
         let mut actions = self.carry_out(now, actions);
-        self.note_digests(now);
+        self.refresh_digests(now);
         let due = self
             .last_sync
             .is_none_or(|at| now.since(at) >= self.cfg.membership.probe_interval);
-        if !self.joined && due {
+        if !self.has_synced && due {
             let peers = self.peers();
             if !peers.is_empty() {
                 self.last_sync = Some(now);
-                let chosen = peers.into_iter().take(JOIN_PEERS);
+                let chosen = peers.into_iter().take(JOIN_FANOUT);
                 actions.extend(chosen.map(Action::Sync));
             }
         }
         actions
     }
 
-    /// The object API's list of daemons was read.
+    /// Handles the list of daemons read from the object API.
     pub fn on_member_list(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
-        let mut actions = self.take_contacts(now, contacts);
+        let mut actions = self.merge_contacts(now, contacts);
         let entries = contacts.iter().map(|c| membership::Entry {
             node: NodeId::of(&c.name),
             domain: DomainId::of(&c.failure_domain),
@@ -147,16 +148,16 @@
         actions
     }
 
-    /// A heartbeat came in.
+    /// Handles a heartbeat from a peer.
     pub fn on_heartbeat(&mut self, now: Instant, message: &PeerMessage) -> Answer {
         let from = NodeId::of(&message.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&message.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
         let incarnation = Incarnation(message.incarnation);
         let view = message.view.as_ref().map(convert::update_from_wire);
         let event = membership::Event::Probed {
             from,
             incarnation,
-            view: view.unwrap_or_else(|| self.unremarkable(from)),
+            view: view.unwrap_or_else(|| self.alive_view(from)),
         };
         let done = self.members.on_event(now, event);
         let view = done.iter().find_map(|a| match a {
@@ -164,20 +165,20 @@
             _ => None,
         });
         actions.extend(self.carry_out(now, done));
-        actions.extend(self.take_news(now, from, message));
+        actions.extend(self.merge_gossip(now, from, message));
         Answer {
-            message: self.message(now, view),
+            message: self.message_with_gossip(now, view),
             actions,
         }
     }
 
-    /// The answer to a heartbeat came.
+    /// Handles the answer to a heartbeat of this daemon.
     pub fn on_answer(&mut self, now: Instant, message: &PeerMessage) -> Vec<Action> {
         let from = NodeId::of(&message.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&message.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&message.from));
         let incarnation = Incarnation(message.incarnation);
-        let heard = membership::Event::Contact { from, incarnation };
-        let done = self.members.on_event(now, heard);
+        let contact_event = membership::Event::Contact { from, incarnation };
+        let done = self.members.on_event(now, contact_event);
         actions.extend(self.carry_out(now, done));
         if let Some(view) = &message.view {
             let view = convert::update_from_wire(view);
@@ -186,25 +187,26 @@
                 .on_event(now, membership::Event::Updates(vec![view]));
             actions.extend(self.carry_out(now, done));
         }
-        actions.extend(self.take_news(now, from, message));
+        actions.extend(self.merge_gossip(now, from, message));
         actions
     }
 
-    /// All that this daemon holds.
+    /// Returns the full state of this daemon: what it knows of itself and of all daemons not known
+    /// to be dead or to have left.
     pub fn state(&self, now: Instant) -> PeerState {
         let live = |n: NodeId| self.members.health(n).is_none_or(|h| h <= Health::Suspect);
-        let known: Vec<&Known> = self
-            .book
+        let records: Vec<&MemberRecord> = self
+            .member_table
             .iter()
             .filter(|&(n, _)| live(n))
-            .map(|(_, k)| k)
+            .map(|(_, r)| r)
             .collect();
-        let sampled = known.iter().filter(|k| k.sample.version > 0);
+        let sampled = records.iter().filter(|r| r.sample.version > 0);
         PeerState {
             from: self.contact.clone(),
             incarnation: self.members.incarnation().0,
             generation: self.generation,
-            contacts: known.iter().map(|k| k.contact.clone()).collect(),
+            contacts: records.iter().map(|r| r.contact.clone()).collect(),
             updates: self
                 .members
                 .snapshot()
@@ -217,142 +219,142 @@
                 .iter()
                 .map(convert::fact_to_wire)
                 .collect(),
-            samples: sampled.map(|k| k.sample.clone()).collect(),
+            samples: sampled.map(|r| r.sample.clone()).collect(),
         }
     }
 
-    /// A peer told all that it holds.
+    /// Handles the full state of a peer.
     pub fn on_state(&mut self, now: Instant, state: &PeerState) -> Vec<Action> {
-        self.joined = true;
+        self.has_synced = true;
         let from = NodeId::of(&state.from.name);
-        let mut actions = self.take_contacts(now, std::slice::from_ref(&state.from));
+        let mut actions = self.merge_contacts(now, std::slice::from_ref(&state.from));
         let incarnation = Incarnation(state.incarnation);
-        let heard = membership::Event::Contact { from, incarnation };
-        let done = self.members.on_event(now, heard);
+        let contact_event = membership::Event::Contact { from, incarnation };
+        let done = self.members.on_event(now, contact_event);
         actions.extend(self.carry_out(now, done));
-        actions.extend(self.take_contacts(now, &state.contacts));
-        actions.extend(self.take_updates(now, &state.updates));
-        self.take_facts(now, &state.facts);
+        actions.extend(self.merge_contacts(now, &state.contacts));
+        actions.extend(self.merge_updates(now, &state.updates));
+        self.merge_facts(now, &state.facts);
         for sample in &state.samples {
-            self.take_sample(sample);
+            self.merge_sample(sample);
         }
         actions.extend(self.compare_generation(from, state.generation));
-        actions.extend(self.told_of_news());
+        actions.extend(self.take_facts_changed());
         actions
     }
 
-    /// A generation is in force here.
+    /// Handles the activation of a configuration generation on this daemon; peers are notified.
     pub fn on_config_activated(&mut self, generation: u64) -> Vec<Action> {
         self.generation = self.generation.max(generation);
         self.change_sample(|s| s.generation = s.generation.max(generation));
         let peers = self.peers();
         let learned = dissemination::Event::Learned(Generation(generation));
-        let mut done = self.spread.on_event(learned, &peers);
+        let mut done = self.dissemination.on_event(learned, &peers);
         if !done.is_empty() {
-            let next = self.next_on_ring(peers).into_iter();
+            let next = self.successors_on_ring(peers).into_iter();
             done.extend(next.map(dissemination::Action::Push));
             done.sort_unstable();
             done.dedup();
         }
-        done.into_iter().map(spread_action).collect()
+        done.into_iter().map(dissemination_action).collect()
     }
 
-    /// The peers that follow this daemon in order of identifier. Targets drawn by hash alone miss
-    /// a share of `e^-fanout` of the daemons; pushed to along the ring too, a daemon is missed
-    /// only when those before it are gone or cut off as well.
-    fn next_on_ring(&self, mut peers: Vec<NodeId>) -> Vec<NodeId> {
+    /// Returns the peers that follow this daemon in a ring ordered by identifier. Targets selected
+    /// by hash alone miss a share of `e^-fanout` of the daemons. With pushes along the ring too, a
+    /// daemon is missed only when its predecessors are dead or partitioned as well.
+    fn successors_on_ring(&self, mut peers: Vec<NodeId>) -> Vec<NodeId> {
         peers.sort_by_key(|n| n.0.wrapping_sub(self.id.0));
-        peers.truncate(self.cfg.ring);
+        peers.truncate(self.cfg.ring_successors);
         peers
     }
 
-    /// Tells the others how much trials ask of this daemon, in positions a second.
+    /// Sets the demand of trials on this daemon, in positions per second, and gossips it.
     pub fn set_trial_demand(&mut self, demand: u32) {
         self.change_sample(|s| s.trial_demand = demand);
     }
 
-    /// Tells the others that this daemon is about to stop.
+    /// Marks this daemon as leaving, and gossips it.
     pub fn set_leaving(&mut self) {
         self.change_sample(|s| s.leaving = true);
     }
 
-    /// Says good-bye: heartbeats to send before the end.
+    /// Leaves the membership; returns the heartbeats to send before the stop.
     pub fn leave(&mut self, now: Instant) -> Vec<Action> {
         self.members.on_event(now, membership::Event::Leave);
-        let peers = self.peers().into_iter().take(JOIN_PEERS);
+        let peers = self.peers().into_iter().take(JOIN_FANOUT);
         let chosen: Vec<NodeId> = peers.collect();
         chosen
             .into_iter()
             .map(|to| Action::Heartbeat {
                 to,
-                message: Box::new(self.message(now, None)),
+                message: Box::new(self.message_with_gossip(now, None)),
             })
             .collect()
     }
 
-    /// States a fact of this daemon's own observation, or renews it.
+    /// Publishes a fact that this daemon observed itself, or renews it.
     pub fn set_fact(&mut self, now: Instant, kind: Kind, subject: u64, detail: u64, ttl: Span) {
         self.facts.set_detail(now, kind, subject, detail, ttl);
     }
 
-    /// Clears a fact that this daemon stated.
+    /// Clears a fact that this daemon published.
     pub fn clear_fact(&mut self, now: Instant, kind: Kind, subject: u64) {
         self.facts.clear(now, kind, subject);
     }
 
-    /// Facts of a kind that hold now, of all authors.
+    /// Returns the facts of a kind that have not expired or been cleared, of all authors.
     pub fn active_facts(&self, now: Instant, kind: Kind) -> Vec<Fact> {
         self.facts.active(now, kind).collect()
     }
 
-    /// Live members, without this daemon, in an order that differs between daemons.
+    /// Returns the live members without this daemon, in an order that differs between daemons.
     pub fn peers(&self) -> Vec<NodeId> {
         let mut peers: Vec<NodeId> = self
             .members
             .live()
             .map(|(node, _)| node)
-            .filter(|&node| self.book.get(node).is_some())
+            .filter(|&node| self.member_table.get(node).is_some())
             .collect();
         peers.sort_by_key(|n| n.0.wrapping_mul(self.id.0 | 1).rotate_left(17));
         peers
     }
 
-    /// Whether this daemon is one of those that watch the object API.
+    /// Returns whether this daemon has the role to watch the object API.
     pub fn is_watcher(&self) -> bool {
-        let leaving = |n: NodeId| self.book.get(n).is_some_and(|k| k.sample.leaving);
+        let leaving = |n: NodeId| self.member_table.get(n).is_some_and(|r| r.sample.leaving);
         let mut members: Vec<_> = self.members.live().filter(|&(n, _)| !leaving(n)).collect();
         members.push((self.id, DomainId::of(&self.contact.failure_domain)));
-        rendezvous::choose(&members, WATCH_DUTY, self.cfg.watchers).contains(&self.id)
+        rendezvous::choose(&members, WATCHER_ROLE, self.cfg.watchers).contains(&self.id)
     }
 
-    /// How much trials ask of each other live daemon, in positions a second. Suspects are left
-    /// out: most are gone, and paying work is protected from trials on the daemon itself.
+    /// Returns the trial demand on each other live daemon, in positions per second. Suspects are
+    /// excluded: most of them are dead, and each daemon protects paying work from trials itself.
     pub fn trial_demands(&self) -> Vec<u32> {
         self.members
             .live()
             .filter(|&(node, _)| self.members.health(node) == Some(Health::Alive))
-            .filter_map(|(node, _)| self.book.get(node))
-            .map(|k| k.sample.trial_demand)
+            .filter_map(|(node, _)| self.member_table.get(node))
+            .map(|r| r.sample.trial_demand)
             .collect()
     }
 
-    /// The other daemons, for operators; those that left are not shown.
+    /// Returns the other daemons for the status; those that left are omitted.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self
-            .book
+            .member_table
             .iter()
             .filter(|&(node, _)| node != self.id)
-            .filter_map(|(node, known)| {
+            .filter_map(|(node, record)| {
                 let state = match self.members.health(node)? {
                     Health::Left => return None,
                     Health::Dead => MemberState::Down,
-                    _ if known.sample.leaving => MemberState::Leaving,
+                    _ if record.sample.leaving => MemberState::Leaving,
                     Health::Suspect => MemberState::Suspect,
                     Health::Alive => MemberState::Live,
                 };
                 Some(Member {
-                    name: known.contact.name.clone(),
-                    generation: known.sample.generation,
+                    name: record.contact.name.clone(),
+                    generation: record.sample.generation,
                     state,
                 })
             })
@@ -361,26 +363,26 @@
         members
     }
 
-    /// What is held of a member.
+    /// Returns the health of a member; `None` when it is not known.
     pub fn health(&self, node: NodeId) -> Option<Health> {
         self.members.health(node)
     }
 
     fn change_sample(&mut self, change: impl FnOnce(&mut MemberSample)) {
-        let Some(known) = self.book.get(self.id) else {
+        let Some(record) = self.member_table.get(self.id) else {
             return;
         };
-        let mut sample = known.sample.clone();
+        let mut sample = record.sample.clone();
         change(&mut sample);
-        if sample != known.sample {
-            sample.version = known.sample.version.max(self.contact.started) + 1;
-            self.book.take_sample(&sample);
+        if sample != record.sample {
+            sample.version = record.sample.version.max(self.contact.started) + 1;
+            self.member_table.merge_sample(&sample);
         }
     }
 
-    fn take_sample(&mut self, sample: &MemberSample) {
+    fn merge_sample(&mut self, sample: &MemberSample) {
         if sample.node != self.id.0 {
-            self.book.take_sample(sample);
+            self.member_table.merge_sample(sample);
         }
     }
 
@@ -390,13 +392,13 @@
             match action {
                 membership::Action::Probe { target, view } => done.push(Action::Heartbeat {
                     to: target,
-                    message: Box::new(self.message(now, Some(view))),
+                    message: Box::new(self.message_with_gossip(now, Some(view))),
                 }),
                 membership::Action::IndirectProbe { via, target, view } => {
                     done.push(Action::HeartbeatVia {
                         via,
                         target,
-                        message: Box::new(self.message(now, Some(view))),
+                        message: Box::new(self.message_with_gossip(now, Some(view))),
                     });
                 }
                 membership::Action::HealthChanged { node, health } => {
@@ -408,8 +410,8 @@
         done
     }
 
-    /// A view of this daemon that has nothing to refute.
-    fn unremarkable(&self, by: NodeId) -> Update {
+    /// Returns a view of this daemon that requires no refutation.
+    fn alive_view(&self, by: NodeId) -> Update {
         Update {
             node: self.id,
             domain: DomainId::of(&self.contact.failure_domain),
@@ -419,32 +421,33 @@
         }
     }
 
-    /// A heartbeat or an answer, with as much news as the allowance lets through.
-    fn message(&mut self, now: Instant, view: Option<Update>) -> PeerMessage {
-        let available = self.allowance.available(now);
+    /// Builds a heartbeat or an answer, with as much gossip as the byte budget permits. Membership
+    /// updates come first, then contacts, facts and samples.
+    fn message_with_gossip(&mut self, now: Instant, view: Option<Update>) -> PeerMessage {
+        let available = self.byte_budget.available(now);
         let mut left = available;
-        let updates = self.members.take_updates(left / UPDATE_BYTES);
-        left -= updates.len() * UPDATE_BYTES;
-        let contacts = self.book.next_contacts(left / CONTACT_BYTES);
-        left -= contacts.len() * CONTACT_BYTES;
-        let members = self.book.iter().count();
+        let updates = self.members.take_updates(left / MAX_UPDATE_BYTES);
+        left -= updates.len() * MAX_UPDATE_BYTES;
+        let contacts = self.member_table.next_contacts(left / MAX_CONTACT_BYTES);
+        left -= contacts.len() * MAX_CONTACT_BYTES;
+        let members = self.member_table.iter().count();
         let facts = self.facts.take_delta(now, left, members);
         left -= facts.len() * facts::FACT_BYTES;
-        let samples = self.book.next_samples(left / SAMPLE_BYTES);
-        left -= samples.len() * SAMPLE_BYTES;
-        self.allowance.spend(available - left);
-        self.note_digests(now);
+        let samples = self.member_table.next_samples(left / MAX_SAMPLE_BYTES);
+        left -= samples.len() * MAX_SAMPLE_BYTES;
+        self.byte_budget.spend(available - left);
+        self.refresh_digests(now);
         PeerMessage {
             contacts,
             updates: updates.iter().map(convert::update_to_wire).collect(),
             facts: facts.iter().map(convert::fact_to_wire).collect(),
             samples,
-            ..self.plain_message(view)
+            ..self.message_without_gossip(view)
         }
     }
 
-    /// A heartbeat or an answer without news.
-    fn plain_message(&self, view: Option<Update>) -> PeerMessage {
+    /// Builds a heartbeat or an answer without gossip.
+    fn message_without_gossip(&self, view: Option<Update>) -> PeerMessage {
         PeerMessage {
             from: self.contact.clone(),
             incarnation: self.members.incarnation().0,
@@ -453,8 +456,8 @@
                 .filter(|v| v.health != Health::Alive)
                 .as_ref()
                 .map(convert::update_to_wire),
-            members_digest: self.members_settled.digest,
-            facts_digest: self.facts_settled.digest,
+            members_digest: self.own_members_digest.digest,
+            facts_digest: self.own_facts_digest.digest,
             contacts: Vec::new(),
             updates: Vec::new(),
             facts: Vec::new(),
@@ -462,25 +465,25 @@
         }
     }
 
-    fn take_news(&mut self, now: Instant, from: NodeId, message: &PeerMessage) -> Vec<Action> {
-        let mut actions = self.take_contacts(now, &message.contacts);
-        actions.extend(self.take_updates(now, &message.updates));
-        self.take_facts(now, &message.facts);
+    fn merge_gossip(&mut self, now: Instant, from: NodeId, message: &PeerMessage) -> Vec<Action> {
+        let mut actions = self.merge_contacts(now, &message.contacts);
+        actions.extend(self.merge_updates(now, &message.updates));
+        self.merge_facts(now, &message.facts);
         for sample in &message.samples {
-            self.take_sample(sample);
+            self.merge_sample(sample);
         }
         actions.extend(self.compare_generation(from, message.generation));
         actions.extend(self.compare_digests(now, from, message));
-        actions.extend(self.told_of_news());
+        actions.extend(self.take_facts_changed());
         actions
     }
 
-    /// Takes contacts; those of a new run count as alive until a probe says otherwise.
-    fn take_contacts(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
+    /// Merges contacts. A new incarnation counts as alive until a probe shows otherwise.
+    fn merge_contacts(&mut self, now: Instant, contacts: &[MemberContact]) -> Vec<Action> {
         let mut actions = Vec::new();
         for contact in contacts {
             let node = NodeId::of(&contact.name);
-            if node == self.id || !self.book.take_contact(contact) {
+            if node == self.id || !self.member_table.merge_contact(contact) {
                 continue;
             }
             let alive = Update {
@@ -498,8 +501,9 @@
         actions
     }
 
-    /// Takes reports of members that can be reached; of others the contact must come first.
-    fn take_updates(
+    /// Merges updates on members whose contact is known; those on others are ignored until the
+    /// contact arrives.
+    fn merge_updates(
         &mut self,
         now: Instant,
         updates: &[kelpworks_wire::MemberUpdate],
@@ -507,7 +511,7 @@
         let known = updates
             .iter()
             .map(convert::update_from_wire)
-            .filter(|u| self.book.get(u.node).is_some())
+            .filter(|u| self.member_table.get(u.node).is_some())
             .collect();
         let done = self
             .members
@@ -515,25 +519,25 @@
         self.carry_out(now, done)
     }
 
-    fn take_facts(&mut self, now: Instant, facts: &[kelpworks_wire::PeerFact]) {
+    fn merge_facts(&mut self, now: Instant, facts: &[kelpworks_wire::PeerFact]) {
         for fact in facts {
-            self.news |= self.facts.merge(now, convert::fact_from_wire(fact));
+            self.facts_changed |= self.facts.merge(now, convert::fact_from_wire(fact));
         }
     }
 
-    fn told_of_news(&mut self) -> Option<Action> {
-        std::mem::take(&mut self.news).then_some(Action::FactsChanged)
+    fn take_facts_changed(&mut self) -> Option<Action> {
+        std::mem::take(&mut self.facts_changed).then_some(Action::FactsChanged)
     }
 
     fn compare_generation(&mut self, from: NodeId, generation: u64) -> Vec<Action> {
         let generation = Generation(generation);
         let event = dissemination::Event::Heartbeat { from, generation };
-        let done = self.spread.on_event(event, &[]);
-        done.into_iter().map(spread_action).collect()
+        let done = self.dissemination.on_event(event, &[]);
+        done.into_iter().map(dissemination_action).collect()
     }
 }
 
-fn spread_action(action: dissemination::Action) -> Action {
+fn dissemination_action(action: dissemination::Action) -> Action {
     match action {
         dissemination::Action::Push(to) => Action::Push(to),
         dissemination::Action::Pull(from) => Action::Pull(from),
--- a/crates/kelpworks/src/membership/node/digests.rs
+++ b/crates/kelpworks/src/membership/node/digests.rs
@@ -1,55 +1,60 @@
-//! Digests of what daemons hold: where two differ for long, one asks the other for all.
+//! Anti-entropy: daemons compare digests of their state, and synchronize fully when these differ
+//! for too long.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use super::Node;
-use crate::membership::contract::Action;
+use crate::membership::interface::Action;
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::membership::Health;
 use kelpworks_coord::time::Instant;
 use kelpworks_coord::time::Span;
 use kelpworks_wire::PeerMessage;
 
-/// Least time between two computations of the digests.
-const DIGESTS_EVERY: Span = Span::from_millis(500);
+/// Minimum time between two computations of the digests.
+const MIN_DIGEST_INTERVAL: Span = Span::from_millis(500);
 
-/// A digest of this daemon's, and since when it has been the same.
+/// A digest of this daemon's state, and since when it has had this value.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Settled {
+pub(super) struct StableDigest {
     pub(super) digest: u64,
     pub(super) since: Instant,
 }
 
-impl Settled {
-    fn note(&mut self, now: Instant, digest: u64) {
+impl StableDigest {
+    fn record(&mut self, now: Instant, digest: u64) {
         if self.digest != digest {
-            *self = Settled { digest, since: now };
+            *self = StableDigest { digest, since: now };
         }
     }
 
-    fn differs(&self, now: Instant, theirs: u64, settle: Span) -> bool {
-        self.digest != theirs && now.since(self.since) >= settle
+    /// Returns whether a peer's digest differs while the own one has been stable for `timeout`, so
+    /// that the difference is not merely gossip in transit.
+    fn has_diverged(&self, now: Instant, theirs: u64, timeout: Span) -> bool {
+        self.digest != theirs && now.since(self.since) >= timeout
     }
 }
 
 impl Node {
+    /// Compares the digests in a message with the own ones; returns a full synchronization when one
+    /// is needed and [`Config::min_sync_interval`](super::Config) permits it.
     pub(super) fn compare_digests(
         &mut self,
         now: Instant,
         from: NodeId,
         message: &PeerMessage,
     ) -> Option<Action> {
-        self.note_digests(now);
-        let settle = self.cfg.settle;
+        self.refresh_digests(now);
+        let timeout = self.cfg.divergence_timeout;
         let members = self
-            .members_settled
-            .differs(now, message.members_digest, settle);
+            .own_members_digest
+            .has_diverged(now, message.members_digest, timeout);
         let facts = self
-            .facts_settled
-            .differs(now, message.facts_digest, settle);
+            .own_facts_digest
+            .has_diverged(now, message.facts_digest, timeout);
         let due = self
             .last_sync
-            .is_none_or(|at| now.since(at) >= self.cfg.sync_every);
+            .is_none_or(|at| now.since(at) >= self.cfg.min_sync_interval);
         if !(members || facts) || !due {
             return None;
         }
@@ -57,15 +62,15 @@
         Some(Action::Sync(from))
     }
 
-    /// Works the digests out anew when the last ones are old enough: it takes a look at all that
-    /// is held, and differences count only after [`Config::settle`].
-    pub(super) fn note_digests(&mut self, now: Instant) {
-        if now < self.next_digests {
+    /// Recomputes the digests unless they are recent. The computation visits the whole state, and
+    /// differences count only after [`Config::divergence_timeout`](super::Config).
+    pub(super) fn refresh_digests(&mut self, now: Instant) {
+        if now < self.digests_due {
             return;
         }
-        self.next_digests = now + DIGESTS_EVERY;
-        self.book
-            .forget(|n| n == self.id || self.members.health(n).is_some());
+        self.digests_due = now + MIN_DIGEST_INTERVAL;
+        self.member_table
+            .retain_members(|n| n == self.id || self.members.health(n).is_some());
         let mut live: Vec<(u64, u64)> = self
             .members
             .snapshot()
@@ -79,7 +84,7 @@
             hasher.update(&node.to_le_bytes());
             hasher.update(&incarnation.to_le_bytes());
         }
-        self.members_settled.note(now, hasher.digest());
-        self.facts_settled.note(now, self.facts.digest(now));
+        self.own_members_digest.record(now, hasher.digest());
+        self.own_facts_digest.record(now, self.facts.digest(now));
     }
 }
--- a/crates/kelpworks/src/pipeline/step.rs
+++ b/crates/kelpworks/src/pipeline/step.rs
@@ -304,7 +304,7 @@
         if !self.is_reply_to_step(&reply) {
             return Err(self.record_mismatch());
         }
-        self.counters.report(&reply.load);
+        self.counters.record_load(&reply.load);
         let last = self.hop.layers.end == self.params.layers;
         match reply.outcome {
             StepOutcome::Busy(busy) => Err(StepFailure::Busy(Duration::from_millis(u64::from(
--- a/crates/kelpworks/src/upstreams/monitor.rs
+++ b/crates/kelpworks/src/upstreams/monitor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the view, and publishes snapshots of it.
+//! Task that owns the view of the fleet and publishes snapshots of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 /// Settings of the monitor.
 #[derive(Clone, Debug)]
 pub struct UpstreamMonitorConfig {
-    /// How often each upstream is asked for its state.
+    /// Interval of polls of each upstream.
     pub state_poll: Duration,
-    /// How long an upstream may take to answer.
+    /// Timeout of a poll on one connection.
     pub poll_deadline: Duration,
 }
 
-/// Owner of the view of the fleet.
+/// Owner of the view of the fleet; see [`UpstreamMonitor::run`].
 #[derive(Debug)]
 pub struct UpstreamMonitor {
     cfg: UpstreamMonitorConfig,
@@ -42,7 +42,7 @@
 }
 
 impl UpstreamMonitor {
-    /// A monitor that publishes into `fleet`.
+    /// Creates a monitor that publishes snapshots into `fleet`.
     pub fn new(
         cfg: UpstreamMonitorConfig,
         engine: Arc<HttpEngine>,
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Where reports go.
+    /// Returns a sender of reports to this monitor.
     pub fn reports(&self) -> mpsc::UnboundedSender<Report> {
         self.reports_tx.clone()
     }
 
-    /// What this daemon observes of upstreams itself, for its peers.
+    /// Returns the observations of this daemon itself, for dissemination to peers.
     pub fn observed(&self) -> watch::Receiver<Vec<Observation>> {
         self.observed.subscribe()
     }
 
     /// Runs until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
-        self.take_register();
+        self.apply_register();
         let mut poll = tokio::time::interval(self.cfg.state_poll);
         poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -85,11 +85,11 @@
                     if changed.is_err() {
                         return;
                     }
-                    self.take_register();
+                    self.apply_register();
                     self.poll_all();
                 }
                 Some(report) = self.reports.recv() => {
-                    if self.take(report) {
+                    if self.apply(report) {
                         self.publish();
                     }
                 }
@@ -97,14 +97,14 @@
         }
     }
 
-    fn take_register(&mut self) {
+    fn apply_register(&mut self) {
         let register = Arc::clone(&self.register.borrow_and_update());
-        self.view.take_register(&register);
+        self.view.apply_register(&register);
         self.publish();
     }
 
-    /// Publishes a snapshot after a change of health, holdings or incarnation; loads change in
-    /// the counters, which snapshots share.
+    /// Publishes a snapshot. Needed after a change of health, layer assignments or incarnation;
+    /// loads are in the counters, which snapshots share.
     fn publish(&mut self) {
         self.view.refresh_index();
         self.fleet.store(Arc::new(self.view.fleet.clone()));
@@ -113,41 +113,41 @@
             .send_if_modified(|old| std::mem::replace(old, observed.clone()) != observed);
     }
 
-    /// Takes a report; tells whether requests have to know at once.
-    fn take(&mut self, report: Report) -> bool {
+    /// Applies a report; returns whether a new snapshot has to be published.
+    fn apply(&mut self, report: Report) -> bool {
         match report {
             Report::Suspect(key) => {
                 self.poll_one(key);
-                let changed = self.view.suspect(key);
-                self.note(changed, key, "failed under a request")
+                let changed = self.view.record_failure(key);
+                self.log_change(changed, key, "failed under a request")
             }
             Report::State(key, state) => {
-                let changed = self.view.take_state(key, &state);
-                self.note(changed, key, "state of the engine")
+                let changed = self.view.apply_state(key, &state);
+                self.log_change(changed, key, "state of the engine")
             }
             Report::Service(key, live) => {
-                let changed = self.view.answered(key, !live);
-                self.note(changed, key, "health of the service")
+                let changed = self.view.record_answer(key, !live);
+                self.log_change(changed, key, "health of the service")
             }
-            Report::Silent(key) => {
-                let changed = self.view.missed(key);
-                self.note(changed, key, "no answer to a poll")
+            Report::PollFailed(key) => {
+                let changed = self.view.record_missed_poll(key);
+                self.log_change(changed, key, "no answer to a poll")
             }
-            Report::HostList(hosts) => self.view.take_host_list(&hosts),
-            Report::Peers(words) => self.take_peers(&words),
+            Report::HostList(hosts) => self.view.apply_host_list(&hosts),
+            Report::Peers(peer_reports) => self.apply_peer_reports(&peer_reports),
         }
     }
 
-    fn take_peers(&mut self, words: &[PeerReport]) -> bool {
-        let changed = self.view.take_peers(words);
+    fn apply_peer_reports(&mut self, peer_reports: &[PeerReport]) -> bool {
+        let changed = self.view.apply_peer_reports(peer_reports);
         for &key in &changed {
-            self.note(true, key, "word of other daemons");
+            self.log_change(true, key, "reports of other daemons");
             self.poll_one(key);
         }
         !changed.is_empty()
     }
 
-    fn note(&self, changed: bool, key: UpstreamKey, reason: &'static str) -> bool {
+    fn log_change(&self, changed: bool, key: UpstreamKey, reason: &'static str) -> bool {
         if let Some(upstream) = self.view.fleet.upstreams.get(key).filter(|_| changed) {
             info!(
                 target: "decision", decision = "health", upstream = &*upstream.name,
--- a/crates/kelpworks/src/upstreams/view.rs
+++ b/crates/kelpworks/src/upstreams/view.rs
@@ -1,4 +1,4 @@
-//! The monitor's own state, and how a register and reports change it. No I/O.
+//! State of the monitor, and its updates by registers and reports. Does no I/O.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -31,83 +31,86 @@
     latency: Duration::from_millis(1),
     bytes_per_second: 1_250_000_000,
 };
-/// Polls without an answer after which an upstream counts as down.
-const MISSES_UNTIL_DOWN: u32 = 3;
-/// Other daemons whose word makes a single poll without an answer enough.
-const PEERS_UNTIL_DOWN: u32 = 2;
+/// Consecutive polls without an answer after which an upstream counts as down.
+const MISSED_POLLS_UNTIL_DOWN: u32 = 3;
+/// Number of other daemons that report an upstream as down from which a single poll without an
+/// answer suffices.
+const PEER_REPORTS_UNTIL_DOWN: u32 = 2;
 
-/// Doublings of the answers needed to clear a suspicion, at most.
-const MAX_STRIKES: u32 = 4;
-/// Answers to polls without a suspicion after which earlier ones are forgotten.
-const CLEAN_UNTIL_FORGOTTEN: u32 = 60;
+/// Maximum number of doublings of the answered polls that clear a suspicion.
+const MAX_DOUBLINGS: u32 = 4;
+/// Answered polls without a new suspicion after which earlier suspicions no longer count.
+const CLEAN_ANSWERS_UNTIL_RESET: u32 = 60;
 
-/// What the monitor knows of an upstream beside the snapshot.
+/// Evidence on the health of one upstream, from which its [`Health`] is derived.
 #[derive(Clone, Debug, Default)]
-struct Track {
-    /// Polls without an answer since the last answer.
-    misses: u32,
-    /// Whether it ever answered, so that its silence is news.
-    answered: bool,
-    /// Said by the upstream itself.
+struct HealthRecord {
+    /// Polls without an answer since the last answered one.
+    missed_polls: u32,
+    /// Whether it ever answered a poll. Only then are missed polls reported to peers.
+    has_answered: bool,
+    /// Whether the upstream itself reports that it takes no new work.
     draining: bool,
-    /// Reported by a request, or newly by a peer, and not cleared by answers to polls since.
+    /// Whether a request, or a new report of a peer, made it suspect, and answered polls have not
+    /// cleared that since.
     suspect: bool,
-    /// Suspicions of late; an upstream that answers polls but fails requests collects them.
-    strikes: u32,
-    /// Answers to polls that are still needed to clear the suspicion.
-    to_clear: u32,
-    /// Answers to polls since the last suspicion.
-    clean: u32,
-    /// Other daemons state that it takes no new work.
+    /// Recent suspicions; they accumulate on an upstream that answers polls and fails requests.
+    suspicions: u32,
+    /// Answered polls still needed to clear the suspicion.
+    answers_to_clear: u32,
+    /// Answered polls since the last suspicion.
+    clean_answers: u32,
+    /// Whether any other daemon reports that it takes no new work.
     peers_leaving: bool,
-    /// Other daemons that state that it is down; own answers count for more.
+    /// Number of other daemons that report it as down; this daemon's own answered polls take
+    /// precedence.
     peers_down: u32,
 }
 
-impl Track {
-    /// Notes a suspicion. The first is cleared by one answer, as it may be of a connection only;
-    /// each further one takes twice as many, so that an upstream that answers polls but fails
-    /// requests is not taken first again and again.
-    fn strike(&mut self) {
+impl HealthRecord {
+    /// Records a suspicion. The first one is cleared by a single answered poll, since the fault may
+    /// be of one connection only. Each further one needs twice as many, so that an upstream that
+    /// answers polls and fails requests is not preferred again after each poll.
+    fn count_suspicion(&mut self) {
         self.suspect = true;
-        self.clean = 0;
-        self.to_clear = 1 << self.strikes.min(MAX_STRIKES);
-        self.strikes = self.strikes.saturating_add(1);
+        self.clean_answers = 0;
+        self.answers_to_clear = 1 << self.suspicions.min(MAX_DOUBLINGS);
+        self.suspicions = self.suspicions.saturating_add(1);
     }
 
-    /// Notes an answer to a poll.
-    fn clear(&mut self) {
-        self.to_clear = self.to_clear.saturating_sub(1);
-        self.suspect = self.to_clear > 0;
-        self.clean = self.clean.saturating_add(1);
-        if self.clean >= CLEAN_UNTIL_FORGOTTEN {
-            self.strikes = 0;
+    /// Records an answered poll.
+    fn count_answer(&mut self) {
+        self.answers_to_clear = self.answers_to_clear.saturating_sub(1);
+        self.suspect = self.answers_to_clear > 0;
+        self.clean_answers = self.clean_answers.saturating_add(1);
+        if self.clean_answers >= CLEAN_ANSWERS_UNTIL_RESET {
+            self.suspicions = 0;
         }
     }
 }
 
-/// The monitor's state.
+/// The fleet snapshot to publish next, and the evidence behind it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: Fleet,
-    tracks: HashMap<UpstreamKey, Track>,
+    health_records: HashMap<UpstreamKey, HealthRecord>,
     by_name: HashMap<String, UpstreamKey>,
     /// Hosts that the platform's list shows as leaving.
     leaving: HashSet<String>,
-    /// What engines last said they hold; kept to read it anew when the register changes.
+    /// Layer ranges that engines last reported; resolved again when the register changes.
     loaded: HashMap<UpstreamKey, Vec<LoadedRange>>,
 }
 
 impl View {
-    /// Takes a register into use; upstreams that stay keep their keys, counters and state.
-    pub(crate) fn take_register(&mut self, register: &Register) {
+    /// Applies a register. Upstreams that remain keep their keys, counters and state.
+    pub(crate) fn apply_register(&mut self, register: &Register) {
         self.fleet.domains = register
             .failure_domains
             .iter()
             .map(|d| d.name.clone())
             .collect();
         self.fleet.links = links(register);
-        self.take_models(register);
+        self.apply_models(register);
         let listed: HashSet<&str> = register.hosts.iter().map(|h| h.name.as_str()).collect();
         let gone: Vec<String> = self
             .by_name
@@ -119,16 +122,16 @@
             self.remove(&name);
         }
         for host in &register.hosts {
-            self.take_host(register, host);
+            self.apply_host(register, host);
         }
         self.reindex();
     }
 
-    fn take_models(&mut self, register: &Register) {
+    fn apply_models(&mut self, register: &Register) {
         let old = std::mem::take(&mut self.fleet.models);
         for model in &register.models {
             let mut versions = vec![model.version.clone()];
-            // Versions seen before stay known, so that running sessions keep theirs.
+            // Versions of the previous register remain, so that running sessions keep theirs.
             if let Some(before) = old.iter().find(|m| m.name == model.name) {
                 let more = before
                     .versions
@@ -151,11 +154,11 @@
             return;
         };
         self.fleet.upstreams.remove(key);
-        self.tracks.remove(&key);
+        self.health_records.remove(&key);
         self.loaded.remove(&key);
     }
 
-    fn take_host(&mut self, register: &Register, host: &Host) {
+    fn apply_host(&mut self, register: &Register, host: &Host) {
         let url: Arc<str> = format!("http://{}", host.address).into();
         if let Some(&key) = self.by_name.get(&host.name) {
             if self.fleet.upstreams[key].url == url {
@@ -177,31 +180,32 @@
         };
         let key = self.fleet.upstreams.insert(upstream);
         self.by_name.insert(host.name.clone(), key);
-        // Not used until it has answered a poll.
-        let track = Track {
-            misses: MISSES_UNTIL_DOWN,
-            ..Track::default()
+        // A new upstream gets no work until it has answered a poll.
+        let record = HealthRecord {
+            missed_polls: MISSED_POLLS_UNTIL_DOWN,
+            ..HealthRecord::default()
         };
-        self.tracks.insert(key, track);
+        self.health_records.insert(key, record);
     }
 
     fn update_host(&mut self, register: &Register, host: &Host, key: UpstreamKey) {
         let domain = self.domain(&host.failure_domain);
-        let holdings = self.holdings(self.loaded.get(&key).map_or(&[][..], Vec::as_slice));
+        let assignments =
+            self.resolve_assignments(self.loaded.get(&key).map_or(&[][..], Vec::as_slice));
         let upstream = &mut self.fleet.upstreams[key];
         upstream.domain = domain;
         upstream.layer_rate = layer_rate(register, host);
         upstream.service = service(host);
-        upstream.layer_assignments = holdings;
+        upstream.layer_assignments = assignments;
     }
 
     fn domain(&self, name: &str) -> DomainKey {
-        let at = self.fleet.domains.iter().position(|d| d == name);
-        DomainKey(at.expect("a checked register names only its own failure domains") as u16)
+        let index = self.fleet.domains.iter().position(|d| d == name);
+        DomainKey(index.expect("a checked register names only its own failure domains") as u16)
     }
 
-    /// Takes what an engine says of itself; tells whether routing has to know at once.
-    pub(crate) fn take_state(&mut self, key: UpstreamKey, state: &EngineState) -> bool {
+    /// Applies the state that an engine reports; returns whether routing needs a new snapshot.
+    pub(crate) fn apply_state(&mut self, key: UpstreamKey, state: &EngineState) -> bool {
         if !self.fleet.upstreams.contains_key(key) {
             return false;
         }
@@ -209,51 +213,51 @@
             self.learn_version(range);
         }
         self.loaded.insert(key, state.loaded.clone());
-        let holdings = self.holdings(&state.loaded);
+        let assignments = self.resolve_assignments(&state.loaded);
         let upstream = &mut self.fleet.upstreams[key];
         let restarted = upstream.incarnation != state.incarnation;
         upstream.incarnation = state.incarnation;
-        upstream.counters.report(&state.load);
-        let changed = restarted || upstream.layer_assignments != holdings;
-        upstream.layer_assignments = holdings;
+        upstream.counters.record_load(&state.load);
+        let changed = restarted || upstream.layer_assignments != assignments;
+        upstream.layer_assignments = assignments;
         if changed {
             self.reindex();
         }
-        self.answered(key, state.draining) || changed
+        self.record_answer(key, state.draining) || changed
     }
 
-    /// Takes an answer of an upstream; tells whether its health changed.
-    pub(crate) fn answered(&mut self, key: UpstreamKey, draining: bool) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    /// Records an answered poll; returns whether the upstream's health changed.
+    pub(crate) fn record_answer(&mut self, key: UpstreamKey, draining: bool) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.misses = 0;
-        track.answered = true;
-        track.draining = draining;
-        track.clear();
-        self.judge(key)
+        record.missed_polls = 0;
+        record.has_answered = true;
+        record.draining = draining;
+        record.count_answer();
+        self.update_health(key)
     }
 
-    /// Takes a poll without an answer; tells whether the upstream's health changed.
-    pub(crate) fn missed(&mut self, key: UpstreamKey) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    /// Records a poll without an answer; returns whether the upstream's health changed.
+    pub(crate) fn record_missed_poll(&mut self, key: UpstreamKey) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.misses = track.misses.saturating_add(1);
-        self.judge(key)
+        record.missed_polls = record.missed_polls.saturating_add(1);
+        self.update_health(key)
     }
 
-    /// Takes the failure of a request; tells whether the upstream's health changed.
-    pub(crate) fn suspect(&mut self, key: UpstreamKey) -> bool {
-        let Some(track) = self.tracks.get_mut(&key) else {
+    /// Records a failed request; returns whether the upstream's health changed.
+    pub(crate) fn record_failure(&mut self, key: UpstreamKey) -> bool {
+        let Some(record) = self.health_records.get_mut(&key) else {
             return false;
         };
-        track.strike();
-        self.judge(key)
+        record.count_suspicion();
+        self.update_health(key)
     }
 
-    /// Takes the platform's host list; tells whether any upstream's health changed.
-    pub(crate) fn take_host_list(&mut self, hosts: &[ListedHost]) -> bool {
+    /// Applies the platform's host list; returns whether any upstream's health changed.
+    pub(crate) fn apply_host_list(&mut self, hosts: &[ListedHost]) -> bool {
         self.leaving = hosts
             .iter()
             .filter(|h| h.state == HostState::Leaving)
@@ -262,43 +266,44 @@
         let keys: Vec<UpstreamKey> = self.fleet.upstreams.keys().collect();
         let mut changed = false;
         for key in keys {
-            changed |= self.judge(key);
+            changed |= self.update_health(key);
         }
         changed
     }
 
-    /// Takes what other daemons state; returns the upstreams whose health changed by it.
-    pub(crate) fn take_peers(&mut self, words: &[PeerReport]) -> Vec<UpstreamKey> {
-        let words: HashMap<UpstreamId, &PeerReport> =
-            words.iter().map(|w| (w.upstream, w)).collect();
-        let named = self.fleet.upstreams.iter();
-        let named: Vec<_> = named.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
+    /// Applies the reports of other daemons; returns the upstreams whose health changed.
+    pub(crate) fn apply_peer_reports(&mut self, reports: &[PeerReport]) -> Vec<UpstreamKey> {
+        let reports: HashMap<UpstreamId, &PeerReport> =
+            reports.iter().map(|r| (r.upstream, r)).collect();
+        let ids = self.fleet.upstreams.iter();
+        let ids: Vec<_> = ids.map(|(k, u)| (k, UpstreamId::of(&u.name))).collect();
         let mut changed = Vec::new();
-        for (key, id) in named {
-            let word = words.get(&id);
-            let Some(track) = self.tracks.get_mut(&key) else {
+        for (key, id) in ids {
+            let report = reports.get(&id);
+            let Some(record) = self.health_records.get_mut(&key) else {
                 continue;
             };
-            let down = word.map_or(0, |w| w.down);
-            // Only the news makes a suspect: an answer to the poll that follows is newer.
-            track.suspect |= down > track.peers_down;
-            track.peers_down = down;
-            track.peers_leaving = word.is_some_and(|w| w.leaving);
-            if self.judge(key) {
+            let down = report.map_or(0, |r| r.down);
+            // Only an additional report makes the upstream suspect: the answer to the poll that
+            // follows is more recent than reports already known.
+            record.suspect |= down > record.peers_down;
+            record.peers_down = down;
+            record.peers_leaving = report.is_some_and(|r| r.leaving);
+            if self.update_health(key) {
                 changed.push(key);
             }
         }
         changed
     }
 
-    /// What this daemon observed itself, in order of the arena.
+    /// Returns the observations of this daemon itself, in key order.
     pub(crate) fn observed(&self) -> Vec<Observation> {
         let mut observed = Vec::new();
         for (key, upstream) in &self.fleet.upstreams {
-            let track = &self.tracks[&key];
-            let leaving = track.draining || self.leaving.contains(&*upstream.name);
-            let kind = match track.misses {
-                MISSES_UNTIL_DOWN.. if track.answered => ObservationKind::Down,
+            let record = &self.health_records[&key];
+            let leaving = record.draining || self.leaving.contains(&*upstream.name);
+            let kind = match record.missed_polls {
+                MISSED_POLLS_UNTIL_DOWN.. if record.has_answered => ObservationKind::Down,
                 _ if leaving => ObservationKind::Leaving,
                 _ => continue,
             };
@@ -308,16 +313,17 @@
         observed
     }
 
-    fn judge(&mut self, key: UpstreamKey) -> bool {
-        let track = &self.tracks[&key];
+    /// Derives the health of an upstream from the evidence; returns whether it changed.
+    fn update_health(&mut self, key: UpstreamKey) -> bool {
+        let record = &self.health_records[&key];
         let upstream = &mut self.fleet.upstreams[key];
         let listed = self.leaving.contains(&*upstream.name);
-        let leaving = track.draining || listed || track.peers_leaving;
-        let health = match track {
-            t if t.misses >= MISSES_UNTIL_DOWN => Health::Down,
-            t if t.misses > 0 && t.peers_down >= PEERS_UNTIL_DOWN => Health::Down,
+        let leaving = record.draining || listed || record.peers_leaving;
+        let health = match record {
+            t if t.missed_polls >= MISSED_POLLS_UNTIL_DOWN => Health::Down,
+            t if t.missed_polls > 0 && t.peers_down >= PEER_REPORTS_UNTIL_DOWN => Health::Down,
             _ if leaving => Health::Leaving,
-            t if t.suspect || t.misses > 0 => Health::Suspect,
+            t if t.suspect || t.missed_polls > 0 => Health::Suspect,
             _ => Health::Live,
         };
         let changed = upstream.health != health;
@@ -333,8 +339,9 @@
         }
     }
 
-    fn holdings(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
-        let mut holdings = Vec::new();
+    /// Resolves reported layer ranges; those of models that the register lacks are skipped.
+    fn resolve_assignments(&self, loaded: &[LoadedRange]) -> Vec<LayerAssignment> {
+        let mut assignments = Vec::new();
         for range in loaded {
             let Some(model) = self.fleet.model(&range.model) else {
                 continue;
@@ -344,21 +351,21 @@
                 continue;
             };
             let layers = range.layers.clone();
-            holdings.push(LayerAssignment {
+            assignments.push(LayerAssignment {
                 model,
                 version: version as u16,
                 layers,
             });
         }
-        holdings
+        assignments
     }
 
     fn reindex(&mut self) {
         let mut by_model = vec![Vec::new(); self.fleet.models.len()];
         let mut by_service: HashMap<String, Vec<UpstreamKey>> = HashMap::new();
         for (key, upstream) in &self.fleet.upstreams {
-            for holding in &upstream.layer_assignments {
-                let keys: &mut Vec<UpstreamKey> = &mut by_model[usize::from(holding.model.0)];
+            for assignment in &upstream.layer_assignments {
+                let keys: &mut Vec<UpstreamKey> = &mut by_model[usize::from(assignment.model.0)];
                 if keys.last() != Some(&key) {
                     keys.push(key);
                 }
@@ -371,7 +378,8 @@
         self.fleet.by_service = by_service;
     }
 
-    /// Works out the holders of each layer anew; needed after a change of health or holdings.
+    /// Rebuilds the index of upstreams by layer; needed after a change of health or of layer
+    /// assignments.
     pub(crate) fn refresh_index(&mut self) {
         self.fleet.index = Some(Arc::new(Index::build(&self.fleet)));
     }
