--- a/crates/kelpworks-relay/src/peers/limits.rs
+++ b/crates/kelpworks-relay/src/peers/limits.rs
@@ -91,7 +91,7 @@
 
 /// Latest announcement of an upstream while it is reported to peers.
 pub(super) fn limit_of(upstream: &Upstream, now: Instant) -> Option<LimitOf> {
-    let (per_second, at) = upstream.limiter.announced()?;
+    let (per_second, at) = upstream.limiter.latest_announcement()?;
     let is_reported = per_second.is_some() || now.duration_since(at) < END_REPORT_TTL;
     is_reported.then(|| LimitOf {
         instance: Arc::clone(&upstream.entry.instance),
--- a/crates/kelpworks-relay/src/peers/limits_tests.rs
+++ b/crates/kelpworks-relay/src/peers/limits_tests.rs
@@ -15,8 +15,8 @@
 use crate::fleet::UpstreamKey;
 use crate::limits::Announcement;
 use crate::limits::BURST;
+use crate::limits::RATE_WINDOW;
 use crate::limits::Rate;
-use crate::limits::WINDOW;
 
 /// Interval between two requests to each daemon.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
@@ -75,7 +75,7 @@
             .copied()
             .filter(|&a| a >= from)
             .collect();
-        let end = |i: usize| late.partition_point(|&at| at - late[i] <= WINDOW);
+        let end = |i: usize| late.partition_point(|&at| at - late[i] <= RATE_WINDOW);
         (0..late.len()).map(|i| end(i) - i).max().unwrap_or(0)
     }
 
@@ -120,7 +120,7 @@
         .send_requests(Duration::from_secs(20), limited_to(per_second))
         .await;
     let most = limited_fleet.max_in_window(from);
-    let allowed = (per_second * WINDOW.as_secs_f64() + BURST) as usize;
+    let allowed = (per_second * RATE_WINDOW.as_secs_f64() + BURST) as usize;
     assert!(most <= allowed, "{most} in a window, {allowed} allowed");
     let used = limited_fleet.arrivals_since(from) as f64 / 20.0;
     let least = MIN_USED_FRACTION * per_second;
@@ -146,7 +146,7 @@
         .send_requests(Duration::from_secs(12), limited_to(per_second))
         .await;
     let most = limited_fleet.max_in_window(from);
-    let allowed = (per_second * WINDOW.as_secs_f64() + BURST) as usize;
+    let allowed = (per_second * RATE_WINDOW.as_secs_f64() + BURST) as usize;
     assert!(most <= allowed, "{most} in a window, {allowed} allowed");
     let again = Instant::now();
     limited_fleet
--- a/crates/kelpworks-relay/src/permit.rs
+++ b/crates/kelpworks-relay/src/permit.rs
@@ -1,9 +1,9 @@
 //! Permission to send a request to an upstream once.
 //!
-//! Nothing is sent without a [`Permit`]. It holds a retry of the service's budget, if the request
-//! may have reached an upstream before, and an admission under the upstream's own limit. Both are
-//! refunded if nothing was written to a connection: a good part of the attempts that fail while
-//! engines that are gone are still registered.
+//! Nothing is sent without a [`Permit`]. It holds a retry from the service's budget, if the
+//! request may have reached an upstream before, and an admission under the upstream's own limit.
+//! Both are refunded if nothing was written to a connection, as in many of the attempts that fail
+//! while engines that no longer run are still registered.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,24 +16,24 @@
 use crate::retry_budget::RetryBudget;
 use crate::sync::lock;
 
-/// Permission to send a request once; given back when dropped.
+/// Permission to send a request once; refunded when dropped.
 #[derive(Debug, Default)]
 #[must_use]
 pub struct Permit {
-    /// None for a first arrival.
+    /// `None` for a first arrival.
     retry: Option<Retry>,
-    /// None until the upstream is chosen.
-    admitted: Option<AdmissionGuard>,
+    /// `None` until the upstream is chosen.
+    admission: Option<AdmissionGuard>,
 }
 
-/// A retry that was taken from a service's budget.
+/// A retry taken from the budget of a service.
 #[derive(Debug)]
 struct Retry {
-    counts: Arc<Mutex<RetryBudget>>,
+    budget: Arc<Mutex<RetryBudget>>,
     service: Arc<str>,
 }
 
-/// An admission under an upstream's limit.
+/// An admission under the limit of an upstream.
 #[derive(Debug)]
 #[must_use]
 pub struct AdmissionGuard {
@@ -43,7 +43,7 @@
 }
 
 impl AdmissionGuard {
-    /// An admission under the limit of an upstream of a fleet.
+    /// Creates a guard for an admission under the limit of an upstream of a fleet.
     pub(crate) fn new(
         fleet: &Arc<Mutex<Fleet>>,
         upstream: UpstreamKey,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes the admission back: the request is not sent.
+    /// Takes the admission back because the request is not sent.
     pub(crate) fn refund(self) {
         let mut fleet = lock(&self.fleet);
         if let Some(u) = fleet.get_mut(self.upstream) {
@@ -66,12 +66,13 @@
 }
 
 impl Permit {
-    /// For a request that has reached no upstream yet.
+    /// Creates a permit for a request that has reached no upstream yet.
     pub fn first() -> Permit {
         Permit::default()
     }
 
-    /// For one that may have; `None` when the bound allows no more.
+    /// Creates a permit for a request that may have reached one; `None` when the budget is
+    /// exhausted.
     pub fn retry(
         budget: &Arc<Mutex<RetryBudget>>,
         service: &Arc<str>,
@@ -82,52 +83,53 @@
         drop(counts);
         taken.then(|| Permit {
             retry: Some(Retry {
-                counts: Arc::clone(budget),
+                budget: Arc::clone(budget),
                 service: Arc::clone(service),
             }),
-            admitted: None,
+            admission: None,
         })
     }
 
     /// Adds the admission of the upstream that the request is to be sent to.
-    pub fn with_admission(mut self, admitted: AdmissionGuard) -> Permit {
-        self.admitted = Some(admitted);
+    pub fn with_admission(mut self, admission: AdmissionGuard) -> Permit {
+        self.admission = Some(admission);
         self
     }
 
-    /// The request is written now, and counts even if its sending is given up half way.
-    pub fn spend(mut self) -> Spent {
-        Spent {
+    /// Marks the permit as used, as the request is written now. It stays used even if sending is
+    /// cancelled half-way.
+    pub fn spend(mut self) -> SpentPermit {
+        SpentPermit {
             retry: self.retry.take(),
-            admitted: self.admitted.take(),
+            admission: self.admission.take(),
         }
     }
 }
 
 /// A permit that was used.
 #[derive(Debug)]
-pub struct Spent {
+pub struct SpentPermit {
     retry: Option<Retry>,
-    admitted: Option<AdmissionGuard>,
+    admission: Option<AdmissionGuard>,
 }
 
-impl Spent {
-    /// It came out that nothing was written.
+impl SpentPermit {
+    /// Restores the permit after it turned out that nothing was written.
     pub fn undo(self) -> Permit {
         Permit {
             retry: self.retry,
-            admitted: self.admitted,
+            admission: self.admission,
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(Retry { counts, service }) = self.retry.take() {
-            lock(&counts).refund(&service);
+        if let Some(Retry { budget, service }) = self.retry.take() {
+            lock(&budget).refund(&service);
         }
-        if let Some(admitted) = self.admitted.take() {
-            admitted.refund();
+        if let Some(admission) = self.admission.take() {
+            admission.refund();
         }
     }
 }
--- a/crates/kelpworks-relay/tests/limits.rs
+++ b/crates/kelpworks-relay/tests/limits.rs
@@ -95,7 +95,7 @@
     let ended = after(start, 20);
     limiter.on_answer(Announcement::Unlimited, after(start, 10), ended);
     limiter.on_answer(Announcement::Unlimited, after(start, 30), after(start, 40));
-    assert_eq!(limiter.announced(), Some((None, ended)));
+    assert_eq!(limiter.latest_announcement(), Some((None, ended)));
 }
 
 #[test]
