--- a/crates/kelpworks-relay/src/operators.rs
+++ b/crates/kelpworks-relay/src/operators.rs
@@ -1,4 +1,4 @@
-//! The pages for the balancer and for operators: readiness and metrics.
+//! HTTP endpoints for the load balancer and for operators: readiness and metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,10 +15,10 @@
 
 use crate::shared::Shared;
 
-/// Whether this daemon can serve.
+/// Whether this daemon can serve requests, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// It can.
+    /// It has a configuration and at least one upstream.
     Ready,
     /// A planned stop has begun.
     Stopping,
@@ -29,7 +29,7 @@
 }
 
 impl Readiness {
-    /// As things stand.
+    /// Returns the current readiness of a daemon.
     pub(crate) fn of(shared: &Shared) -> Readiness {
         if shared.stopping.load(Ordering::Relaxed) {
             return Readiness::Stopping;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The word for the page and the log.
+    /// Returns the text of the readiness endpoint and of the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Readiness::Ready => "ready",
@@ -54,29 +54,30 @@
     }
 }
 
-struct Ready {
+struct ReadinessHandler {
     shared: Arc<Shared>,
 }
 
-struct Metrics {
+struct MetricsHandler {
     metrics: PrometheusHandle,
 }
 
-/// The balancer's page; any path, since platforms differ in it.
-pub(crate) fn readiness(shared: &Arc<Shared>) -> Router {
-    let ready = Ready {
+/// Returns the readiness endpoint for the load balancer. It answers on any path, since platforms
+/// differ in the one they request.
+pub(crate) fn readiness_router(shared: &Arc<Shared>) -> Router {
+    let handler = ReadinessHandler {
         shared: Arc::clone(shared),
     };
-    Router::with_path("{**rest}").get(ready)
+    Router::with_path("{**rest}").get(handler)
 }
 
-/// The operators' page.
-pub(crate) fn metrics(metrics: PrometheusHandle) -> Router {
-    Router::with_path("metrics").get(Metrics { metrics })
+/// Returns the endpoint that serves metrics in the Prometheus format.
+pub(crate) fn metrics_router(metrics: PrometheusHandle) -> Router {
+    Router::with_path("metrics").get(MetricsHandler { metrics })
 }
 
 #[async_trait]
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -93,7 +94,7 @@
 }
 
 #[async_trait]
-impl Handler for Metrics {
+impl Handler for MetricsHandler {
     async fn handle(
         &self,
         _req: &mut Request,
--- a/crates/kelpworks-relay/src/peers/exchange.rs
+++ b/crates/kelpworks-relay/src/peers/exchange.rs
@@ -279,7 +279,7 @@
         let live_peers = members.live().count();
         let is_isolated = live_peers == 0 && now.duration_since(self.started) >= ISOLATION_TIMEOUT;
         let is_complete = is_isolated || (1..=MAX_SMALL_FLEET_PEERS).contains(&live_peers);
-        self.shared.set_demand(demand, is_complete);
+        self.shared.set_remote_demand(demand, is_complete);
     }
 }
 
--- a/crates/kelpworks-relay/src/relay/stream.rs
+++ b/crates/kelpworks-relay/src/relay/stream.rs
@@ -157,7 +157,7 @@
     in_flight_guard: InFlightGuard,
 ) -> Reply {
     let mut stream_relay: StreamRelay<D, E> = StreamRelay {
-        profile: inbound.service.engines.clone(),
+        profile: inbound.service.engine_profile.clone(),
         last_event: inbound.head.last_event,
         shared,
         engine_api,
