--- a/crates/kelpworks-cli/src/args.rs
+++ b/crates/kelpworks-cli/src/args.rs
@@ -11,7 +11,7 @@
 use crate::failure::Failure;
 use crate::failure::Result;
 use kelpworks::config::accept::PartKind;
-use kelpworks::config::accept::name_of;
+use kelpworks::config::accept::part_name;
 use kelpworks::units::DurationSetting;
 
 /// Time to wait until a change is in force on every daemon, when `--wait` is absent.
@@ -120,7 +120,7 @@
 }
 
 fn change(mut args: Arguments, which: PartKind, verb: &str) -> Result<Command> {
-    let noun = name_of(which);
+    let noun = part_name(which);
     if subcommand(&mut args)?.as_deref() != Some(verb) {
         return Err(Failure::Usage(format!("expected `{noun} {verb} FILE`")));
     }
--- a/crates/kelpworks-cli/src/change.rs
+++ b/crates/kelpworks-cli/src/change.rs
@@ -13,7 +13,7 @@
 use kelpworks::config::accept::PartKind;
 use kelpworks::config::accept::Proposal;
 use kelpworks::config::accept::RetryPolicy;
-use kelpworks::config::accept::name_of;
+use kelpworks::config::accept::part_name;
 use kelpworks::config::document::read_file;
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
@@ -35,7 +35,7 @@
     let accepted = accept::accept(&target.api, &proposal, RetryPolicy::default()).await;
     let accepted = accepted.map_err(Failure::Accept)?;
     let generation = accepted.generation;
-    let noun = name_of(change.which);
+    let noun = part_name(change.which);
     match accepted.changed {
         true => println!("{noun} accepted as generation {generation}"),
         false => println!("{noun} already accepted, as of generation {generation}"),
@@ -50,7 +50,7 @@
     let text = read_file(file)?;
     match which {
         PartKind::Register => Register::parse(&name, &text).map(drop)?,
-        PartKind::Rules => Rules::parse_alone(&name, &text).map(drop)?,
+        PartKind::Rules => Rules::parse_without_register(&name, &text).map(drop)?,
     }
     Ok(Proposal::new(which, &name, text))
 }
--- a/crates/kelpworks-cli/src/check.rs
+++ b/crates/kelpworks-cli/src/check.rs
@@ -54,7 +54,7 @@
 fn read_input(path: &Path) -> document::Result<Input<'_>> {
     let name = path.display().to_string();
     let text = read_file(path)?;
-    let kind = FileKind::of(&name, &text)?;
+    let kind = FileKind::detect(&name, &text)?;
     Ok(Input {
         path,
         name,
@@ -106,11 +106,11 @@
 fn check(input: &Input<'_>, register: Option<&Register>) -> document::Result<()> {
     let (name, text) = (&input.name, &input.text);
     match (input.kind, register) {
-        (FileKind::Settings, Some(r)) => Settings::parse_with(name, text, r).map(drop),
+        (FileKind::Settings, Some(r)) => Settings::parse_with_register(name, text, r).map(drop),
         (FileKind::Settings, None) => Settings::parse(name, text).map(drop),
         (FileKind::Register, _) => Register::parse(name, text).map(drop),
         (FileKind::Rules, Some(r)) => Rules::parse(name, text, r).map(drop),
-        (FileKind::Rules, None) => Rules::parse_alone(name, text).map(drop),
+        (FileKind::Rules, None) => Rules::parse_without_register(name, text).map(drop),
     }
 }
 
--- a/crates/kelpworks-cli/src/failure.rs
+++ b/crates/kelpworks-cli/src/failure.rs
@@ -93,7 +93,7 @@
 fn is_bad_input(error: &accept::Error) -> bool {
     matches!(
         error,
-        accept::Error::Invalid(_) | accept::Error::BreaksRules(_) | accept::Error::NoRegister
+        accept::Error::Invalid(_) | accept::Error::IncompatibleRules(_) | accept::Error::NoRegister
     )
 }
 
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -135,7 +135,7 @@
     let mut rules_memory = Series::new(role, "bytes of rules in memory", "teams");
     for teams in TEAMS {
         let text = rules_text(teams);
-        let read = || Rules::parse_alone("rules", &text).expect("valid rules");
+        let read = || Rules::parse_without_register("rules", &text).expect("valid rules");
         let x = teams as f64;
         rules_bytes.add(x, text.len() as f64);
         let seconds = cost::per_call(LEAST, || {
--- a/crates/kelpworks/src/active_config.rs
+++ b/crates/kelpworks/src/active_config.rs
@@ -77,7 +77,7 @@
                 service: s,
                 method: m,
                 path: p,
-            } => s == service && m == method && path::is_below(path, p),
+            } => s == service && m == method && path::matches_prefix(path, p),
             NonIdempotent::Model { .. } => false,
         })
     }
--- a/crates/kelpworks/src/config/accept/mod.rs
+++ b/crates/kelpworks/src/config/accept/mod.rs
@@ -33,7 +33,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use self::store::Store;
+use self::store::ConfigStore;
 use crate::clients::object_api;
 use crate::clients::object_api::ObjectApi;
 use crate::config::diff::Diff;
@@ -67,15 +67,15 @@
     Invalid(document::Error),
     /// The register would make the rules in force invalid.
     #[error("the register does not fit the rules in force: {0}")]
-    BreaksRules(document::Error),
+    IncompatibleRules(document::Error),
     /// Rules were proposed before any register.
     #[error("no register has been imported yet; rules are checked against one")]
     NoRegister,
     /// Another operator changed the same part meanwhile.
-    #[error("conflict: the {} changed meanwhile, see generation {generation}", name_of(*.which))]
+    #[error("conflict: the {} changed meanwhile, see generation {generation}", part_name(*.part_kind))]
     Conflict {
         /// The part.
-        which: PartKind,
+        part_kind: PartKind,
         /// The generation that holds the other change.
         generation: u64,
     },
@@ -84,11 +84,11 @@
     #[error(
         "the {} changed again while a reply was lost, see generation {generation}; \
          the proposal may have been in force before that",
-        name_of(*.which)
+        part_name(*.part_kind)
     )]
     Superseded {
         /// The part.
-        which: PartKind,
+        part_kind: PartKind,
         /// The generation that holds the other change.
         generation: u64,
     },
@@ -97,7 +97,7 @@
     Unavailable(object_api::Error),
     /// The reply to the swap was lost and could not be settled.
     #[error("the object API's reply was lost; the change may have been accepted, ask `status`")]
-    Unsettled,
+    OutcomeUnknown,
     /// The head object cannot be read.
     #[error("the head object is not readable; nothing was applied")]
     HeadCorrupt,
@@ -116,8 +116,8 @@
 }
 
 /// A part as operators call it.
-pub fn name_of(which: PartKind) -> &'static str {
-    match which {
+pub fn part_name(part_kind: PartKind) -> &'static str {
+    match part_kind {
         PartKind::Register => FileKind::Register.as_str(),
         PartKind::Rules => FileKind::Rules.as_str(),
     }
@@ -147,7 +147,7 @@
 ///
 /// As [`accept`], but for races.
 pub async fn plan<A: ObjectApi>(api: &A, proposal: &Proposal, retry: RetryPolicy) -> Result<Plan> {
-    let mut store = Store::new(api, retry);
+    let mut store = ConfigStore::new(api, retry);
     let head = store.head().await?.head;
     let texts = store.texts(&head, None).await?;
     Ok(Plan {
@@ -163,9 +163,9 @@
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`], [`Error::BreaksRules`] and [`Error::NoRegister`] when the proposal is
+/// [`Error::Invalid`], [`Error::IncompatibleRules`] and [`Error::NoRegister`] when the proposal is
 /// refused as it stands; [`Error::Conflict`] when another operator changed the same part
-/// meanwhile; [`Error::Unsettled`] and [`Error::Superseded`] when it may have been accepted.
+/// meanwhile; [`Error::OutcomeUnknown`] and [`Error::Superseded`] when it may have been accepted.
 /// In all other cases nothing was applied.
 pub async fn accept<A: ObjectApi>(
     api: &A,
@@ -173,29 +173,29 @@
     retry: RetryPolicy,
 ) -> Result<Accepted> {
     let mut driver = Driver {
-        store: Store::new(api, retry),
+        store: ConfigStore::new(api, retry),
         proposal,
-        unfit: None,
-        written: false,
+        validation_error: None,
+        head_maybe_written: false,
     };
     let head = driver.store.head().await?;
     let texts = driver.store.texts(&head.head, None).await?;
     proposal.validate(&texts)?;
-    if let Some(accepted) = driver.confirm(head).await {
+    if let Some(accepted) = driver.confirm_already_active(head).await {
         return Ok(accepted);
     }
     let outcome = driver.run().await?;
-    driver.conclude(outcome)
+    driver.into_result(outcome)
 }
 
 /// Carries out what a [`Swap`] asks for.
 struct Driver<'a, A> {
-    store: Store<'a, A>,
+    store: ConfigStore<'a, A>,
     proposal: &'a Proposal,
     /// Why the pair was found not to fit.
-    unfit: Option<Error>,
+    validation_error: Option<Error>,
     /// Whether a write of the head may have taken effect.
-    written: bool,
+    head_maybe_written: bool,
 }
 
 impl<A: ObjectApi> Driver<'_, A> {
@@ -203,8 +203,8 @@
     /// date: the same head is written again on the condition of its version.
     ///
     /// Whatever becomes of that write does no harm, so when it fails the swap goes its course.
-    async fn confirm(&mut self, at: StoredHead) -> Option<Accepted> {
-        let found = self.same_text(&at.head)?;
+    async fn confirm_already_active(&mut self, at: StoredHead) -> Option<Accepted> {
+        let found = self.already_active(&at.head)?;
         let event = self.store.swap_head(at.version, &at.head).await.ok()?;
         (event == SwapEvent::Swapped).then_some(found)
     }
@@ -212,7 +212,7 @@
     /// Runs the swap to its end.
     async fn run(&mut self) -> Result<SwapOutcome> {
         let started = Instant::now();
-        let now = || time::Instant::from_millis(millis(started.elapsed()));
+        let now = || time::Instant::from_millis(saturating_millis(started.elapsed()));
         let mut swap = Swap::new(self.config(), self.proposal.change(), now());
         let mut event = SwapEvent::Start;
         loop {
@@ -220,10 +220,10 @@
             // the time on a tick only, so past the end a tick goes in place of another call.
             event = match swap.on_event(now(), event).pop() {
                 Some(SwapAction::Done(outcome)) => return Ok(outcome),
-                Some(_) if started.elapsed() >= self.store.retry.timeout => SwapEvent::Tick,
-                Some(action) => self.act(action).await?,
+                Some(_) if started.elapsed() >= self.store.retry.swap_timeout => SwapEvent::Tick,
+                Some(action) => self.perform(action).await?,
                 None => {
-                    self.store.retry.pause().await;
+                    self.store.retry.wait_with_jitter().await;
                     SwapEvent::Tick
                 }
             };
@@ -233,13 +233,13 @@
     fn config(&self) -> head::Config {
         let retry = self.store.retry;
         head::Config {
-            retry_interval: time::Span::from_millis(millis(retry.pause)),
-            timeout: time::Span::from_millis(millis(retry.timeout)),
+            retry_interval: time::Span::from_millis(saturating_millis(retry.min_delay)),
+            timeout: time::Span::from_millis(saturating_millis(retry.swap_timeout)),
         }
     }
 
     /// Does one thing, and tells what came of it.
-    async fn act(&mut self, action: SwapAction) -> Result<SwapEvent> {
+    async fn perform(&mut self, action: SwapAction) -> Result<SwapEvent> {
         let event = match action {
             SwapAction::PutBlob(_) => self.store.put_blob(&self.proposal.text).await,
             SwapAction::ReadHead => self.store.read_head().await,
@@ -247,15 +247,21 @@
             SwapAction::SwapHead { if_version, head } => {
                 let event = self.store.swap_head(if_version, &head).await;
                 if event == Ok(SwapEvent::Lost) {
-                    self.written = true;
-                    self.store.retry.pause().await;
+                    self.head_maybe_written = true;
+                    self.store.retry.wait_with_jitter().await;
                 }
                 event
             }
             SwapAction::Done(_) => Ok(SwapEvent::Tick),
         };
         // After a lost write no error can promise that nothing was applied.
-        event.map_err(|e| if self.written { Error::Unsettled } else { e })
+        event.map_err(|e| {
+            if self.head_maybe_written {
+                Error::OutcomeUnknown
+            } else {
+                e
+            }
+        })
     }
 
     /// Validates the pair of a head that holds the proposal.
@@ -266,39 +272,43 @@
             Err(Error::Unavailable(_)) => return Ok(SwapEvent::Refused),
             Err(e) => return Err(e),
         };
-        self.unfit = self.proposal.validate(&texts).err();
-        Ok(match self.unfit {
+        self.validation_error = self.proposal.validate(&texts).err();
+        Ok(match self.validation_error {
             None => SwapEvent::Valid,
             Some(_) => SwapEvent::Invalid,
         })
     }
 
     /// What the outcome means to the operator.
-    fn conclude(self, outcome: SwapOutcome) -> Result<Accepted> {
-        let which = self.proposal.which;
+    fn into_result(self, outcome: SwapOutcome) -> Result<Accepted> {
+        let part_kind = self.proposal.part_kind;
         match outcome {
             SwapOutcome::Accepted(generation) => Ok(accepted(generation, true)),
-            SwapOutcome::Conflict { current } => self.same_text(&current).ok_or(Error::Conflict {
-                which,
-                generation: current.generation.0,
-            }),
+            SwapOutcome::Conflict { current } => {
+                self.already_active(&current).ok_or(Error::Conflict {
+                    part_kind,
+                    generation: current.generation.0,
+                })
+            }
             SwapOutcome::Superseded { current } => {
-                self.same_text(&current).ok_or(Error::Superseded {
-                    which,
+                self.already_active(&current).ok_or(Error::Superseded {
+                    part_kind,
                     generation: current.generation.0,
                 })
             }
-            SwapOutcome::Invalid => Err(self.unfit.unwrap_or(Error::Unsettled)),
-            SwapOutcome::NotApplied => Err(Error::Unavailable(self.store.last)),
+            SwapOutcome::Invalid => Err(self.validation_error.unwrap_or(Error::OutcomeUnknown)),
+            SwapOutcome::NotApplied => Err(Error::Unavailable(self.store.last_error)),
             // The swap does not tell a write that was refused from one under way; here every
             // call has ended, so only a lost one leaves a doubt.
-            SwapOutcome::Unknown if !self.written => Err(Error::Unavailable(self.store.last)),
-            SwapOutcome::Unknown => Err(Error::Unsettled),
+            SwapOutcome::Unknown if !self.head_maybe_written => {
+                Err(Error::Unavailable(self.store.last_error))
+            }
+            SwapOutcome::Unknown => Err(Error::OutcomeUnknown),
         }
     }
 
     /// The other change brought the very text that was proposed.
-    fn same_text(&self, current: &Head) -> Option<Accepted> {
+    fn already_active(&self, current: &Head) -> Option<Accepted> {
         let part = self.proposal.part_in(current)?;
         (part.digest == self.proposal.digest).then(|| accepted(part.since, false))
     }
@@ -312,6 +322,6 @@
 }
 
 /// A time as the state machines count it.
-fn millis(time: std::time::Duration) -> u64 {
+fn saturating_millis(time: std::time::Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/kelpworks/src/config/accept/proposal.rs
+++ b/crates/kelpworks/src/config/accept/proposal.rs
@@ -2,7 +2,7 @@
 
 use super::Error;
 use super::Result;
-use super::store::Texts;
+use super::store::PartTexts;
 use crate::config::diff::Diff;
 use crate::config::head::digest_of;
 use crate::register::Register;
@@ -15,14 +15,14 @@
 use kelpworks_coord::id::Nonce;
 
 /// Name of a part in force, where errors would name a file.
-const RULES_IN_FORCE: &str = "rules in force";
-/// As [`RULES_IN_FORCE`].
-const REGISTER_IN_FORCE: &str = "register in force";
+const ACTIVE_RULES_NAME: &str = "rules in force";
+/// As [`ACTIVE_RULES_NAME`].
+const ACTIVE_REGISTER_NAME: &str = "register in force";
 
 /// A new text of one part.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    pub(super) which: PartKind,
+    pub(super) part_kind: PartKind,
     pub(super) text: String,
     pub(super) digest: Digest,
     file: String,
@@ -30,9 +30,9 @@
 
 impl Proposal {
     /// Proposes a text of this part; `file` names it in errors.
-    pub fn new(which: PartKind, file: &str, text: String) -> Proposal {
+    pub fn new(part_kind: PartKind, file: &str, text: String) -> Proposal {
         Proposal {
-            which,
+            part_kind,
             file: file.to_owned(),
             digest: digest_of(&text),
             text,
@@ -42,7 +42,7 @@
     /// The change that this asks for, with a nonce of its own.
     pub(super) fn change(&self) -> Change {
         Change {
-            kind: self.which,
+            kind: self.part_kind,
             digest: self.digest,
             nonce: Nonce(rand::random()),
         }
@@ -50,17 +50,17 @@
 
     /// The proposal's part in a head.
     pub(super) fn part_in(&self, head: &Head) -> Option<Part> {
-        match self.which {
+        match self.part_kind {
             PartKind::Register => head.register,
             PartKind::Rules => head.rules,
         }
     }
 
     /// Validates the pair that the proposal makes with the other part.
-    pub(super) fn validate(&self, texts: &Texts) -> Result<()> {
-        match self.which {
-            PartKind::Register => self.register(texts).map(drop),
-            PartKind::Rules => self.rules(texts).map(drop),
+    pub(super) fn validate(&self, texts: &PartTexts) -> Result<()> {
+        match self.part_kind {
+            PartKind::Register => self.parse_register(texts).map(drop),
+            PartKind::Rules => self.parse_rules(texts).map(drop),
         }
     }
 
@@ -68,36 +68,36 @@
     ///
     /// A part in force that this release does not read counts as empty, or it could never be
     /// replaced.
-    pub(super) fn diff(&self, texts: &Texts) -> Result<Diff> {
-        match self.which {
+    pub(super) fn diff(&self, texts: &PartTexts) -> Result<Diff> {
+        match self.part_kind {
             PartKind::Register => {
-                let new = self.register(texts)?;
+                let new = self.parse_register(texts)?;
                 let old = texts.register.as_deref().unwrap_or_default();
-                let old = Register::parse(REGISTER_IN_FORCE, old).unwrap_or_default();
+                let old = Register::parse(ACTIVE_REGISTER_NAME, old).unwrap_or_default();
                 Ok(Diff::of_registers(&old, &new))
             }
             PartKind::Rules => {
-                let new = self.rules(texts)?;
+                let new = self.parse_rules(texts)?;
                 let old = texts.rules.as_deref().unwrap_or_default();
-                let old = Rules::parse_alone(RULES_IN_FORCE, old).unwrap_or_default();
+                let old = Rules::parse_without_register(ACTIVE_RULES_NAME, old).unwrap_or_default();
                 Ok(Diff::of_rules(&old, &new))
             }
         }
     }
 
     /// The proposed register, when the rules fit it.
-    fn register(&self, texts: &Texts) -> Result<Register> {
+    fn parse_register(&self, texts: &PartTexts) -> Result<Register> {
         let new = Register::parse(&self.file, &self.text).map_err(Error::Invalid)?;
         if let Some(rules) = &texts.rules {
-            Rules::parse(RULES_IN_FORCE, rules, &new).map_err(Error::BreaksRules)?;
+            Rules::parse(ACTIVE_RULES_NAME, rules, &new).map_err(Error::IncompatibleRules)?;
         }
         Ok(new)
     }
 
     /// The proposed rules, when they fit the register.
-    fn rules(&self, texts: &Texts) -> Result<Rules> {
+    fn parse_rules(&self, texts: &PartTexts) -> Result<Rules> {
         let register = texts.register.as_ref().ok_or(Error::NoRegister)?;
-        let register = Register::parse(REGISTER_IN_FORCE, register).map_err(Error::Invalid)?;
+        let register = Register::parse(ACTIVE_REGISTER_NAME, register).map_err(Error::Invalid)?;
         Rules::parse(&self.file, &self.text, &register).map_err(Error::Invalid)
     }
 }
--- a/crates/kelpworks/src/config/accept/store.rs
+++ b/crates/kelpworks/src/config/accept/store.rs
@@ -26,64 +26,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// Reads for one purpose, at most. Default 6.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Pause before a repetition, at least; up to twice as long. Default 200 ms.
-    pub pause: Duration,
+    pub min_delay: Duration,
     /// Longest time for a whole change. Default 15 s.
-    pub timeout: Duration,
+    pub swap_timeout: Duration,
 }
 
 impl Default for RetryPolicy {
     fn default() -> RetryPolicy {
         RetryPolicy {
-            attempts: 6,
-            pause: Duration::from_millis(200),
-            timeout: Duration::from_secs(15),
+            max_attempts: 6,
+            min_delay: Duration::from_millis(200),
+            swap_timeout: Duration::from_secs(15),
         }
     }
 }
 
 impl RetryPolicy {
     /// Waits before a repetition, with jitter so that rivals do not meet again.
-    pub(super) async fn pause(&self) {
+    pub(super) async fn wait_with_jitter(&self) {
         let factor = rand::rng().random_range(1.0..2.0);
-        tokio::time::sleep(self.pause.mul_f64(factor)).await;
+        tokio::time::sleep(self.min_delay.mul_f64(factor)).await;
     }
 }
 
 /// The texts that a head names.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Texts {
+pub(super) struct PartTexts {
     pub(super) register: Option<String>,
     pub(super) rules: Option<String>,
 }
 
 /// The object API with a retry policy, and its last error.
 #[derive(Debug)]
-pub(super) struct Store<'a, A> {
+pub(super) struct ConfigStore<'a, A> {
     pub(super) api: &'a A,
     pub(super) retry: RetryPolicy,
     /// What the API last failed with, for the report when time runs out.
-    pub(super) last: object_api::Error,
+    pub(super) last_error: object_api::Error,
 }
 
-impl<'a, A: ObjectApi> Store<'a, A> {
-    pub(super) fn new(api: &'a A, retry: RetryPolicy) -> Store<'a, A> {
-        Store {
+impl<'a, A: ObjectApi> ConfigStore<'a, A> {
+    pub(super) fn new(api: &'a A, retry: RetryPolicy) -> ConfigStore<'a, A> {
+        ConfigStore {
             api,
             retry,
-            last: object_api::Error::Unavailable,
+            last_error: object_api::Error::Unavailable,
         }
     }
 
     /// Reads the head, patiently.
     pub(super) async fn head(&mut self) -> Result<StoredHead> {
         let object = self.get(HEAD_KIND, HEAD_NAME).await?;
-        stored(object.as_ref())
+        decode_head(object.as_ref())
     }
 
     /// Reads the texts that a head names, patiently; `skip` is at hand already.
-    pub(super) async fn texts(&mut self, head: &Head, skip: Option<Digest>) -> Result<Texts> {
+    pub(super) async fn texts(&mut self, head: &Head, skip: Option<Digest>) -> Result<PartTexts> {
         let mut blobs = [None, None];
         for (blob, part) in blobs.iter_mut().zip([head.register, head.rules]) {
             let wanted = part.map(|p| p.digest).filter(|d| Some(*d) != skip);
@@ -92,7 +92,7 @@
             }
         }
         let [register, rules] = blobs;
-        Ok(Texts { register, rules })
+        Ok(PartTexts { register, rules })
     }
 
     /// Reads a blob and checks that it is the one its name promises.
@@ -107,24 +107,24 @@
 
     /// Reads an object; reading twice does no harm, so any failure is retried.
     async fn get(&mut self, kind: &str, name: &str) -> Result<Option<Object>> {
-        for _ in 0..self.retry.attempts {
+        for _ in 0..self.retry.max_attempts {
             match self.api.get(kind, name).await {
                 Ok(object) => return Ok(Some(object)),
                 Err(object_api::Error::NotFound) => return Ok(None),
-                Err(e) => self.failed(e),
+                Err(e) => self.record_error(e),
             }
-            self.retry.pause().await;
+            self.retry.wait_with_jitter().await;
         }
-        Err(Error::Unavailable(self.last.clone()))
+        Err(Error::Unavailable(self.last_error.clone()))
     }
 
     /// Reads the head once, as an event of the swap.
     pub(super) async fn read_head(&mut self) -> Result<SwapEvent> {
         match self.api.get(HEAD_KIND, HEAD_NAME).await {
-            Ok(object) => Ok(SwapEvent::HeadRead(stored(Some(&object))?)),
-            Err(object_api::Error::NotFound) => Ok(SwapEvent::HeadRead(stored(None)?)),
+            Ok(object) => Ok(SwapEvent::HeadRead(decode_head(Some(&object))?)),
+            Err(object_api::Error::NotFound) => Ok(SwapEvent::HeadRead(decode_head(None)?)),
             Err(e) => {
-                self.failed(e);
+                self.record_error(e);
                 Ok(SwapEvent::Refused)
             }
         }
@@ -142,7 +142,7 @@
                 Err(Error::Unavailable(object_api::Error::TooLarge))
             }
             Err(e) => {
-                self.failed(e);
+                self.record_error(e);
                 Ok(SwapEvent::Refused)
             }
         }
@@ -164,7 +164,7 @@
             Err(object_api::Error::Outdated) => self.conflict(None, if_version).await,
             Err(e) => {
                 let may_have_run = e.may_have_run();
-                self.failed(e);
+                self.record_error(e);
                 Ok(match may_have_run {
                     true => SwapEvent::Lost,
                     false => SwapEvent::Refused,
@@ -181,7 +181,7 @@
         if_version: Version,
     ) -> Result<SwapEvent> {
         let at = match current {
-            Some(object) => stored(Some(&object))?,
+            Some(object) => decode_head(Some(&object))?,
             None => self.head().await?,
         };
         Ok(match at.version > if_version {
@@ -191,16 +191,16 @@
     }
 
     /// Notes an error, and leaves a connection behind that may be dead.
-    fn failed(&mut self, error: object_api::Error) {
+    fn record_error(&mut self, error: object_api::Error) {
         if error == object_api::Error::Lost {
             self.api.reset_connections();
         }
-        self.last = error;
+        self.last_error = error;
     }
 }
 
 /// The head of its object; the empty one when there is none.
-fn stored(object: Option<&Object>) -> Result<StoredHead> {
+fn decode_head(object: Option<&Object>) -> Result<StoredHead> {
     let Some(object) = object else {
         return Ok(StoredHead {
             version: Version::ABSENT,
--- a/crates/kelpworks/src/config/diff.rs
+++ b/crates/kelpworks/src/config/diff.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Section {
     /// What is listed, such as `hosts`.
-    pub what: &'static str,
+    pub list_name: &'static str,
     /// Names that are new.
     pub added: Vec<String>,
     /// Names that are gone.
@@ -41,26 +41,26 @@
 impl Diff {
     /// The difference of two registers.
     pub fn of_registers(old: &Register, new: &Register) -> Diff {
-        let pair = |l: &crate::register::Link| {
+        let link_name = |l: &crate::register::Link| {
             let (a, b) = (&l.from, &l.to);
             format!("{} - {}", a.min(b), a.max(b))
         };
         let sections = vec![
-            section("accelerators", &old.accelerators, &new.accelerators, |a| {
+            compare("accelerators", &old.accelerators, &new.accelerators, |a| {
                 a.name.clone()
             }),
-            section(
+            compare(
                 "failure domains",
                 &old.failure_domains,
                 &new.failure_domains,
                 |d| d.name.clone(),
             ),
-            section("models", &old.models, &new.models, |m| m.name.clone()),
-            section("hosts", &old.hosts, &new.hosts, |h| h.name.clone()),
-            section("links", &old.links, &new.links, pair),
+            compare("models", &old.models, &new.models, |m| m.name.clone()),
+            compare("hosts", &old.hosts, &new.hosts, |h| h.name.clone()),
+            compare("links", &old.links, &new.links, link_name),
         ];
         Diff {
-            sections: kept(sections),
+            sections: non_empty(sections),
             trial_share: None,
         }
     }
@@ -68,17 +68,17 @@
     /// The difference of two sets of rules.
     pub fn of_rules(old: &Rules, new: &Rules) -> Diff {
         let sections = vec![
-            section("teams", &old.teams, &new.teams, |t| t.name.clone()),
-            section(
+            compare("teams", &old.teams, &new.teams, |t| t.name.clone()),
+            compare(
                 "non-idempotent",
                 &old.non_idempotent,
                 &new.non_idempotent,
-                match_name,
+                describe_match,
             ),
         ];
         let shares = (old.trial_share, new.trial_share);
         Diff {
-            sections: kept(sections),
+            sections: non_empty(sections),
             trial_share: (shares.0 != shares.1).then_some(shares),
         }
     }
@@ -90,8 +90,8 @@
 }
 
 /// Compares two lists of things that have unique names.
-fn section<T: PartialEq>(
-    what: &'static str,
+fn compare<T: PartialEq>(
+    list_name: &'static str,
     old: &[T],
     new: &[T],
     name: impl Fn(&T) -> String,
@@ -100,7 +100,7 @@
     let new: BTreeMap<String, &T> = new.iter().map(|t| (name(t), t)).collect();
     let differs = |n: &&String| old.get(*n).is_some_and(|t| *t != new[*n]);
     Section {
-        what,
+        list_name,
         added: new
             .keys()
             .filter(|n| !old.contains_key(*n))
@@ -116,13 +116,14 @@
 }
 
 /// The sections that hold anything.
-fn kept(sections: Vec<Section>) -> Vec<Section> {
-    let holds = |s: &Section| !(s.added.is_empty() && s.removed.is_empty() && s.changed.is_empty());
-    sections.into_iter().filter(holds).collect()
+fn non_empty(sections: Vec<Section>) -> Vec<Section> {
+    let has_changes =
+        |s: &Section| !(s.added.is_empty() && s.removed.is_empty() && s.changed.is_empty());
+    sections.into_iter().filter(has_changes).collect()
 }
 
 /// A match of non-idempotent requests in words; it has no other content.
-fn match_name(rule: &NonIdempotent) -> String {
+fn describe_match(rule: &NonIdempotent) -> String {
     match rule {
         NonIdempotent::Service {
             service,
@@ -145,10 +146,10 @@
 impl fmt::Display for Section {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = (self.added.len(), self.removed.len(), self.changed.len());
-        let what = self.what;
+        let list_name = self.list_name;
         writeln!(
             f,
-            "{what}: {} added, {} removed, {} changed",
+            "{list_name}: {} added, {} removed, {} changed",
             counts.0, counts.1, counts.2
         )?;
         for (sign, names) in [
--- a/crates/kelpworks/src/config/document.rs
+++ b/crates/kelpworks/src/config/document.rs
@@ -23,10 +23,10 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Largest configuration file; the object API holds values of up to a megabyte.
-pub const MAX_BYTES: usize = 1_000_000;
+pub const MAX_FILE_BYTES: usize = 1_000_000;
 
 /// Longest name of anything in a configuration.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// A fault in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Path of the key, such as `host[3].address`; empty when the fault is the file's.
     pub key: String,
     /// What is wrong.
-    pub kind: Kind,
+    pub kind: ConfigErrorKind,
 }
 
 /// The line as it stands after the name of the file.
@@ -71,36 +71,36 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
-pub enum Kind {
+pub enum ConfigErrorKind {
     /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Io(io::ErrorKind),
-    /// The file is larger than [`MAX_BYTES`].
-    #[error("file is larger than {MAX_BYTES} bytes")]
+    /// The file is larger than [`MAX_FILE_BYTES`].
+    #[error("file is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
     /// The file holds nothing.
     #[error("file is empty")]
-    Empty,
+    EmptyFile,
     /// The file is not text.
     #[error("file is not UTF-8")]
     NotUtf8,
     /// A key that must be there is not; the line is that of its table.
     #[error("missing key")]
-    Missing,
+    MissingKey,
     /// A key that is not known here.
     #[error("unknown key, {0}")]
     UnknownKey(String),
     /// The text is not TOML, or a value is of another type.
     #[error("{0}")]
-    Form(String),
+    Toml(String),
     /// A name that is empty, too long or has a character that names may not have.
-    #[error("names have 1 to {MAX_NAME} letters, digits, `-`, `_` or `.`")]
-    Name,
+    #[error("names have 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`")]
+    InvalidName,
     /// A value that must differ from every other one appears twice.
-    #[error("duplicate {what} `{value}`, first on line {first}")]
+    #[error("duplicate {item_kind} `{value}`, first on line {first}")]
     Duplicate {
         /// What it is.
-        what: &'static str,
+        item_kind: &'static str,
         /// The value.
         value: String,
         /// Line of its first appearance.
@@ -113,10 +113,10 @@
         first: usize,
     },
     /// A reference to something that is not defined.
-    #[error("unknown {what} `{name}`")]
-    Unknown {
+    #[error("unknown {item_kind} `{name}`")]
+    Undefined {
         /// What it is.
-        what: &'static str,
+        item_kind: &'static str,
         /// Its name.
         name: String,
     },
@@ -125,28 +125,28 @@
     NotPositive,
     /// A share that is not within 0 and 1.
     #[error("must be between 0 and 1")]
-    Share,
+    ShareOutOfRange,
     /// A token digest in another form; the value is not repeated here.
     #[error("expected a list of SHA-256 digests, each of 64 hexadecimal digits")]
-    Digest,
+    InvalidDigest,
     /// A list that must not be empty.
     #[error("must name at least one {0}")]
-    None(&'static str),
+    EmptyList(&'static str),
     /// A host that is neither or both of engine and service, and the like.
     #[error("{0}")]
-    Mixed(&'static str),
+    Constraint(&'static str),
     /// A URL in a form that is not taken; it is not repeated here.
     #[error("expected a URL such as `http://10.0.0.1:8080`, without user or password")]
-    Url,
+    InvalidUrl,
     /// A value that must not exceed another.
     #[error("must not be above `{0}`")]
-    Above(&'static str),
+    AboveMax(&'static str),
     /// A value that must not be less than another.
     #[error("must not be below `{0}`")]
-    Below(&'static str),
+    BelowMin(&'static str),
     /// None of the kinds of files.
     #[error("neither settings, a register nor rules")]
-    UnknownFile,
+    UnknownFileKind,
 }
 
 /// Reads a file, refusing a large one by its size before its content is read.
@@ -158,13 +158,13 @@
     let name = path.display().to_string();
     let io_error = |e: io::Error| Error {
         line: 0,
-        ..file_error(&name, Kind::Io(e.kind()))
+        ..file_error(&name, ConfigErrorKind::Io(e.kind()))
     };
     let file = File::open(path).map_err(io_error)?;
     let mut bytes = Vec::new();
-    let limit = MAX_BYTES as u64 + 1;
+    let limit = MAX_FILE_BYTES as u64 + 1;
     file.take(limit).read_to_end(&mut bytes).map_err(io_error)?;
-    text_of(&name, bytes)
+    decode_utf8(&name, bytes)
 }
 
 /// Turns the bytes of a file into its text.
@@ -172,9 +172,9 @@
 /// # Errors
 ///
 /// When there are too many bytes or they are not UTF-8.
-pub fn text_of(file: &str, bytes: Vec<u8>) -> Result<String> {
-    if bytes.len() > MAX_BYTES {
-        return Err(file_error(file, Kind::TooLarge));
+pub fn decode_utf8(file: &str, bytes: Vec<u8>) -> Result<String> {
+    if bytes.len() > MAX_FILE_BYTES {
+        return Err(file_error(file, ConfigErrorKind::TooLarge));
     }
     String::from_utf8(bytes).map_err(|e| {
         let valid = e.utf8_error().valid_up_to();
@@ -182,13 +182,13 @@
             file: file.to_owned(),
             line: line_at(e.as_bytes(), valid),
             key: String::new(),
-            kind: Kind::NotUtf8,
+            kind: ConfigErrorKind::NotUtf8,
         }
     })
 }
 
 /// A fault of a whole file, reported on its first line.
-fn file_error(file: &str, kind: Kind) -> Error {
+fn file_error(file: &str, kind: ConfigErrorKind) -> Error {
     Error {
         file: file.to_owned(),
         line: 1,
@@ -210,78 +210,78 @@
     text: &'a str,
     /// Offsets of the line breaks, rising: the line of each name is asked for, and counting from
     /// the start of the text each time would take time by the square of its size.
-    breaks: Vec<usize>,
+    newline_offsets: Vec<usize>,
     root: Spanned<DeTable<'a>>,
-    faults: Vec<Error>,
+    errors: Vec<Error>,
 }
 
 impl<'a> Document<'a> {
     /// Opens a document: checks its size and that it is TOML.
     pub(crate) fn open(file: &'a str, text: &'a str) -> Result<Document<'a>> {
-        if text.len() > MAX_BYTES {
-            return Err(file_error(file, Kind::TooLarge));
+        if text.len() > MAX_FILE_BYTES {
+            return Err(file_error(file, ConfigErrorKind::TooLarge));
         }
         let root = DeTable::parse(text).map_err(|e| Error {
             file: file.to_owned(),
             line: line_at(text.as_bytes(), e.span().map_or(0, |s| s.start)),
             key: String::new(),
-            kind: Kind::Form(one_line(e.message())),
+            kind: ConfigErrorKind::Toml(join_lines(e.message())),
         })?;
         if root.get_ref().is_empty() {
-            return Err(file_error(file, Kind::Empty));
+            return Err(file_error(file, ConfigErrorKind::EmptyFile));
         }
         Ok(Document {
             file,
             text,
-            breaks: text.match_indices('\n').map(|(at, _)| at).collect(),
+            newline_offsets: text.match_indices('\n').map(|(at, _)| at).collect(),
             root,
-            faults: Vec::new(),
+            errors: Vec::new(),
         })
     }
 
     /// Reads the document into its raw form.
-    pub(crate) fn read<T: DeserializeOwned>(&self) -> Result<T> {
+    pub(crate) fn deserialize<T: DeserializeOwned>(&self) -> Result<T> {
         toml::from_str(self.text).map_err(|e| {
             // Without a span the fault is the whole file's.
             let span = e.span().filter(|s| !s.is_empty());
             let mut error = match span {
-                Some(span) => self.error(&span, Kind::Form(one_line(e.message()))),
-                None => self.file_error(Kind::Form(one_line(e.message()))),
+                Some(span) => self.error_at(&span, ConfigErrorKind::Toml(join_lines(e.message()))),
+                None => self.file_error(ConfigErrorKind::Toml(join_lines(e.message()))),
             };
-            name_missing_or_unknown(&mut error);
+            classify_key_error(&mut error);
             error
         })
     }
 
     /// Whether the document has this key at its top.
-    pub(crate) fn has(&self, key: &str) -> bool {
+    pub(crate) fn has_key(&self, key: &str) -> bool {
         self.root.get_ref().contains_key(key)
     }
 
     /// A fault of the whole file.
-    pub(crate) fn file_error(&self, kind: Kind) -> Error {
+    pub(crate) fn file_error(&self, kind: ConfigErrorKind) -> Error {
         file_error(self.file, kind)
     }
 
     /// Line of a span.
     pub(crate) fn line(&self, span: &Range<usize>) -> usize {
-        1 + self.breaks.partition_point(|&at| at < span.start)
+        1 + self.newline_offsets.partition_point(|&at| at < span.start)
     }
 
     /// Notes a fault at a span.
-    pub(crate) fn fault(&mut self, span: Range<usize>, kind: Kind) {
-        let error = self.error(&span, kind);
-        self.faults.push(error);
+    pub(crate) fn record_error(&mut self, span: Range<usize>, kind: ConfigErrorKind) {
+        let error = self.error_at(&span, kind);
+        self.errors.push(error);
     }
 
     /// Ends the checks: the first fault by line, if there is any.
     pub(crate) fn finish(self) -> Result<()> {
-        let first = self.faults.into_iter().min_by_key(|e| e.line);
+        let first = self.errors.into_iter().min_by_key(|e| e.line);
         first.map_or(Ok(()), Err)
     }
 
     /// The fault at a span.
-    fn error(&self, span: &Range<usize>, kind: Kind) -> Error {
+    fn error_at(&self, span: &Range<usize>, kind: ConfigErrorKind) -> Error {
         let mut key = String::new();
         key_in_table(self.root.get_ref(), span, &mut key);
         Error {
@@ -295,25 +295,25 @@
 
 /// Turns serde's two messages about keys into kinds of their own. Should serde word them
 /// otherwise one day, the message stays as it is.
-fn name_missing_or_unknown(error: &mut Error) {
-    let Kind::Form(message) = &error.kind else {
+fn classify_key_error(error: &mut Error) {
+    let ConfigErrorKind::Toml(message) = &error.kind else {
         return;
     };
     let missing = message.strip_prefix("missing field `");
     if let Some(name) = missing.and_then(|m| m.strip_suffix('`')) {
         let dot = if error.key.is_empty() { "" } else { "." };
         error.key = format!("{}{dot}{name}", error.key);
-        error.kind = Kind::Missing;
+        error.kind = ConfigErrorKind::MissingKey;
         return;
     }
     let unknown = message.strip_prefix("unknown field `");
     if let Some((_, expected)) = unknown.and_then(|m| m.split_once("`, ")) {
-        error.kind = Kind::UnknownKey(expected.to_owned());
+        error.kind = ConfigErrorKind::UnknownKey(expected.to_owned());
     }
 }
 
 /// A message of the TOML library on one line.
-fn one_line(message: &str) -> String {
+fn join_lines(message: &str) -> String {
     message.trim().replace('\n', ", ")
 }
 
--- a/crates/kelpworks/src/config/file_kind.rs
+++ b/crates/kelpworks/src/config/file_kind.rs
@@ -1,7 +1,7 @@
 //! Tells settings, a register and rules apart by their keys.
 
+use super::document::ConfigErrorKind;
 use super::document::Document;
-use super::document::Kind;
 use super::document::Result;
 
 /// The kinds of configuration files.
@@ -16,7 +16,7 @@
 }
 
 /// Top keys that only one kind of file has.
-const KEYS: &[(FileKind, &[&str])] = &[
+const TOP_LEVEL_KEYS: &[(FileKind, &[&str])] = &[
     (
         FileKind::Settings,
         &["listen", "platform", "log", "limits", "timing"],
@@ -34,13 +34,13 @@
     /// # Errors
     ///
     /// When the text is not TOML, or has no key of any kind.
-    pub fn of(file: &str, text: &str) -> Result<FileKind> {
+    pub fn detect(file: &str, text: &str) -> Result<FileKind> {
         let doc = Document::open(file, text)?;
-        let has_any = |keys: &[&str]| keys.iter().any(|k| doc.has(k));
-        let found = KEYS.iter().find(|(_, keys)| has_any(keys));
+        let has_any = |keys: &[&str]| keys.iter().any(|k| doc.has_key(k));
+        let found = TOP_LEVEL_KEYS.iter().find(|(_, keys)| has_any(keys));
         match found {
             Some((kind, _)) => Ok(*kind),
-            None => Err(doc.file_error(Kind::UnknownFile)),
+            None => Err(doc.file_error(ConfigErrorKind::UnknownFileKind)),
         }
     }
 
--- a/crates/kelpworks/src/register/check.rs
+++ b/crates/kelpworks/src/register/check.rs
@@ -20,9 +20,9 @@
 use super::file::LinkTable;
 use super::file::ModelTable;
 use super::file::RegisterFile;
+use crate::config::document::ConfigErrorKind;
 use crate::config::document::Document;
-use crate::config::document::Kind;
-use crate::config::unique::Names;
+use crate::config::unique::DefinedNames;
 
 const ENGINE_KEYS_MISSING: &str =
     "needs either `service`, or `accelerator`, `accelerators` and `models`";
@@ -33,8 +33,8 @@
 /// Reads and checks a register.
 pub(super) fn parse(file: &str, text: &str) -> Result<Register> {
     let mut doc = Document::open(file, text)?;
-    let raw: RegisterFile = doc.read()?;
-    let names = Defined::collect(&mut doc, &raw);
+    let raw: RegisterFile = doc.deserialize()?;
+    let names = Definitions::collect(&mut doc, &raw);
     check_amounts(&mut doc, &raw);
     check_links(&mut doc, &raw.link, &names);
     check_addresses(&mut doc, &raw.host);
@@ -50,34 +50,34 @@
 }
 
 /// What the file defines for other tables to refer to.
-struct Defined<'a> {
-    accelerators: Names<'a>,
-    domains: Names<'a>,
-    models: Names<'a>,
+struct Definitions<'a> {
+    accelerators: DefinedNames<'a>,
+    domains: DefinedNames<'a>,
+    models: DefinedNames<'a>,
 }
 
-impl<'a> Defined<'a> {
+impl<'a> Definitions<'a> {
     /// Collects the names and notes those that are malformed or appear twice.
-    fn collect(doc: &mut Document<'_>, raw: &'a RegisterFile) -> Defined<'a> {
-        let mut accelerators = Names::new("accelerator");
+    fn collect(doc: &mut Document<'_>, raw: &'a RegisterFile) -> Definitions<'a> {
+        let mut accelerators = DefinedNames::new("accelerator");
         for a in &raw.accelerator {
             accelerators.define(doc, &a.name);
         }
-        let mut domains = Names::new("failure domain");
+        let mut domains = DefinedNames::new("failure domain");
         for d in &raw.failure_domain {
             domains.define(doc, &d.name);
-            Names::new("region").define(doc, &d.region);
+            DefinedNames::new("region").define(doc, &d.region);
         }
-        let mut models = Names::new("model");
+        let mut models = DefinedNames::new("model");
         for m in &raw.model {
             models.define(doc, &m.name);
-            Names::new("version").define(doc, &m.version);
+            DefinedNames::new("version").define(doc, &m.version);
         }
-        let mut hosts = Names::new("host");
+        let mut hosts = DefinedNames::new("host");
         for h in &raw.host {
             hosts.define(doc, &h.get_ref().name);
         }
-        Defined {
+        Definitions {
             accelerators,
             domains,
             models,
@@ -89,38 +89,45 @@
 fn check_amounts(doc: &mut Document<'_>, raw: &RegisterFile) {
     for a in &raw.accelerator {
         let rate = *a.layer_rate.get_ref();
-        positive(doc, &a.layer_rate, rate.is_finite() && rate > 0.0);
-        positive(doc, &a.memory, a.memory.get_ref().0 > 0);
+        require_positive(doc, &a.layer_rate, rate.is_finite() && rate > 0.0);
+        require_positive(doc, &a.memory, a.memory.get_ref().0 > 0);
     }
     for m in &raw.model {
-        positive(doc, &m.layers, *m.layers.get_ref() > 0);
-        positive(doc, &m.layer_size, m.layer_size.get_ref().0 > 0);
+        require_positive(doc, &m.layers, *m.layers.get_ref() > 0);
+        require_positive(doc, &m.layer_size, m.layer_size.get_ref().0 > 0);
     }
     for l in &raw.link {
-        positive(doc, &l.bandwidth, l.bandwidth.get_ref().0 > 0);
+        require_positive(doc, &l.bandwidth, l.bandwidth.get_ref().0 > 0);
     }
 }
 
 /// Notes a fault where an amount is not above 0.
-fn positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
+fn require_positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
     if !is_positive {
-        doc.fault(at.span(), Kind::NotPositive);
+        doc.record_error(at.span(), ConfigErrorKind::NotPositive);
     }
 }
 
 /// Checks that links join known failure domains, and each pair at most once.
-fn check_links(doc: &mut Document<'_>, links: &[LinkTable], names: &Defined<'_>) {
+fn check_links(doc: &mut Document<'_>, links: &[LinkTable], names: &Definitions<'_>) {
     let mut seen = HashMap::new();
     for l in links {
-        names.domains.refer(doc, &l.from);
-        names.domains.refer(doc, &l.to);
+        names.domains.check_reference(doc, &l.from);
+        names.domains.check_reference(doc, &l.to);
         let (a, b) = (l.from.get_ref(), l.to.get_ref());
         let pair = (a.min(b), a.max(b));
         let line = doc.line(&l.from.span());
         if let Some(first) = seen.insert(pair, line) {
-            let what = "link";
+            let item_kind = "link";
             let value = format!("{} - {}", pair.0, pair.1);
-            doc.fault(l.from.span(), Kind::Duplicate { what, value, first });
+            doc.record_error(
+                l.from.span(),
+                ConfigErrorKind::Duplicate {
+                    item_kind,
+                    value,
+                    first,
+                },
+            );
         }
     }
 }
@@ -131,13 +138,20 @@
     for h in hosts {
         let address = &h.get_ref().address;
         if address.get_ref().port() == 0 {
-            doc.fault(address.span(), Kind::Mixed(PORT_ZERO));
+            doc.record_error(address.span(), ConfigErrorKind::Constraint(PORT_ZERO));
         }
         let line = doc.line(&address.span());
         if let Some(first) = seen.insert(*address.get_ref(), line) {
-            let what = "address";
+            let item_kind = "address";
             let value = address.get_ref().to_string();
-            doc.fault(address.span(), Kind::Duplicate { what, value, first });
+            doc.record_error(
+                address.span(),
+                ConfigErrorKind::Duplicate {
+                    item_kind,
+                    value,
+                    first,
+                },
+            );
         }
     }
 }
@@ -146,11 +160,13 @@
 fn check_hosts(
     doc: &mut Document<'_>,
     hosts: &[Spanned<HostTable>],
-    names: &Defined<'_>,
+    names: &Definitions<'_>,
 ) -> Vec<Host> {
     let mut checked = Vec::with_capacity(hosts.len());
     for h in hosts {
-        names.domains.refer(doc, &h.get_ref().failure_domain);
+        names
+            .domains
+            .check_reference(doc, &h.get_ref().failure_domain);
         let Some(role) = check_role(doc, h, names) else {
             continue;
         };
@@ -169,7 +185,7 @@
 fn check_role(
     doc: &mut Document<'_>,
     host: &Spanned<HostTable>,
-    names: &Defined<'_>,
+    names: &Definitions<'_>,
 ) -> Option<HostRole> {
     let h = host.get_ref();
     let any_engine_key = h.accelerator.is_some()
@@ -177,9 +193,12 @@
         || h.models.is_some()
         || h.checks_fencing.is_some();
     if let Some(service) = &h.service {
-        Names::new("service").define(doc, service);
+        DefinedNames::new("service").define(doc, service);
         if any_engine_key {
-            doc.fault(service.span(), Kind::Mixed(SERVICE_AND_ENGINE));
+            doc.record_error(
+                service.span(),
+                ConfigErrorKind::Constraint(SERVICE_AND_ENGINE),
+            );
             return None;
         }
         return Some(HostRole::Service(service.get_ref().clone()));
@@ -187,11 +206,14 @@
     let (Some(accelerator), Some(count), Some(models)) =
         (&h.accelerator, &h.accelerators, &h.models)
     else {
-        doc.fault(host.span(), Kind::Mixed(ENGINE_KEYS_MISSING));
+        doc.record_error(
+            host.span(),
+            ConfigErrorKind::Constraint(ENGINE_KEYS_MISSING),
+        );
         return None;
     };
-    names.accelerators.refer(doc, accelerator);
-    positive(doc, count, *count.get_ref() > 0);
+    names.accelerators.check_reference(doc, accelerator);
+    require_positive(doc, count, *count.get_ref() > 0);
     check_models(doc, models, names);
     Some(HostRole::Engine(EngineHost {
         accelerator: accelerator.get_ref().clone(),
@@ -209,14 +231,14 @@
 fn check_models(
     doc: &mut Document<'_>,
     models: &Spanned<Vec<Spanned<String>>>,
-    names: &Defined<'_>,
+    names: &Definitions<'_>,
 ) {
     if models.get_ref().is_empty() {
-        doc.fault(models.span(), Kind::None("model"));
+        doc.record_error(models.span(), ConfigErrorKind::EmptyList("model"));
     }
-    let mut own = Names::new("model");
+    let mut own = DefinedNames::new("model");
     for m in models.get_ref() {
-        names.models.refer(doc, m);
+        names.models.check_reference(doc, m);
         own.define(doc, m);
     }
 }
--- a/crates/kelpworks/src/rules/check.rs
+++ b/crates/kelpworks/src/rules/check.rs
@@ -11,10 +11,10 @@
 use super::file::NonIdempotentTable;
 use super::file::RulesFile;
 use super::file::TeamTable;
+use crate::config::document::ConfigErrorKind;
 use crate::config::document::Document;
-use crate::config::document::Kind;
-use crate::config::unique::Names;
-use crate::config::unique::unknown;
+use crate::config::unique::DefinedNames;
+use crate::config::unique::record_undefined;
 use crate::register::Register;
 
 /// Hexadecimal digits of a SHA-256 digest.
@@ -28,12 +28,12 @@
 /// Reads and checks rules; models and services only when there is a register.
 pub(super) fn parse(file: &str, text: &str, register: Option<&Register>) -> Result<Rules> {
     let mut doc = Document::open(file, text)?;
-    let raw: RulesFile = doc.read()?;
+    let raw: RulesFile = doc.deserialize()?;
     let share = *raw.trial.share.get_ref();
     if !(0.0..=1.0).contains(&share) {
-        doc.fault(raw.trial.share.span(), Kind::Share);
+        doc.record_error(raw.trial.share.span(), ConfigErrorKind::ShareOutOfRange);
     }
-    let mut names = Names::new("team");
+    let mut names = DefinedNames::new("team");
     for t in &raw.team {
         names.define(&mut doc, &t.name);
     }
@@ -56,16 +56,19 @@
     let mut checked = Vec::with_capacity(teams.len());
     for t in teams {
         if *t.weight.get_ref() == 0 {
-            doc.fault(t.weight.span(), Kind::NotPositive);
+            doc.record_error(t.weight.span(), ConfigErrorKind::NotPositive);
         }
-        let Some(token_sha256) = digests(t.token_sha256.get_ref()) else {
-            doc.fault(t.token_sha256.span(), Kind::Digest);
+        let Some(token_sha256) = parse_digests(t.token_sha256.get_ref()) else {
+            doc.record_error(t.token_sha256.span(), ConfigErrorKind::InvalidDigest);
             continue;
         };
         let line = doc.line(&t.token_sha256.span());
         for digest in &token_sha256 {
             if let Some(first) = seen.insert(digest.clone(), line) {
-                doc.fault(t.token_sha256.span(), Kind::DuplicateToken { first });
+                doc.record_error(
+                    t.token_sha256.span(),
+                    ConfigErrorKind::DuplicateToken { first },
+                );
             }
         }
         checked.push(Team {
@@ -79,16 +82,16 @@
 }
 
 /// The digests in lower case; `None` when the value is anything else than a list of digests.
-fn digests(value: &toml::Value) -> Option<Vec<String>> {
+fn parse_digests(value: &toml::Value) -> Option<Vec<String>> {
     let items = value.as_array()?;
     if items.is_empty() {
         return None;
     }
-    items.iter().map(digest).collect()
+    items.iter().map(parse_digest).collect()
 }
 
 /// One digest in lower case.
-fn digest(value: &toml::Value) -> Option<String> {
+fn parse_digest(value: &toml::Value) -> Option<String> {
     let text = value.as_str()?;
     let is_digest = text.len() == DIGEST_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     is_digest.then(|| text.to_ascii_lowercase())
@@ -98,16 +101,16 @@
 fn check_match(
     doc: &mut Document<'_>,
     rule: &Spanned<NonIdempotentTable>,
-    teams: &Names<'_>,
+    teams: &DefinedNames<'_>,
     register: Option<&Register>,
 ) -> Option<NonIdempotent> {
     let r = rule.get_ref();
     match (&r.service, &r.method, &r.path, &r.model, &r.team) {
         (Some(service), Some(method), Some(path), None, None) => {
             if register.is_some_and(|reg| !reg.has_service(service.get_ref())) {
-                unknown(doc, "service", service);
+                record_undefined(doc, "service", service);
             }
-            check_call(doc, method, path);
+            check_method_and_path(doc, method, path);
             Some(NonIdempotent::Service {
                 service: service.get_ref().clone(),
                 method: method.get_ref().clone(),
@@ -116,28 +119,28 @@
         }
         (None, None, None, Some(model), Some(team)) => {
             if register.is_some_and(|reg| !reg.has_model(model.get_ref())) {
-                unknown(doc, "model", model);
+                record_undefined(doc, "model", model);
             }
-            teams.refer(doc, team);
+            teams.check_reference(doc, team);
             Some(NonIdempotent::Model {
                 model: model.get_ref().clone(),
                 team: team.get_ref().clone(),
             })
         }
         _ => {
-            doc.fault(rule.span(), Kind::Mixed(MATCH_KEYS));
+            doc.record_error(rule.span(), ConfigErrorKind::Constraint(MATCH_KEYS));
             None
         }
     }
 }
 
 /// Checks the method and the path of a call.
-fn check_call(doc: &mut Document<'_>, method: &Spanned<String>, path: &Spanned<String>) {
+fn check_method_and_path(doc: &mut Document<'_>, method: &Spanned<String>, path: &Spanned<String>) {
     let text = method.get_ref();
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_uppercase()) {
-        doc.fault(method.span(), Kind::Mixed(METHOD_FORM));
+        doc.record_error(method.span(), ConfigErrorKind::Constraint(METHOD_FORM));
     }
     if !path.get_ref().starts_with('/') {
-        doc.fault(path.span(), Kind::Mixed(PATH_FORM));
+        doc.record_error(path.span(), ConfigErrorKind::Constraint(PATH_FORM));
     }
 }
--- a/crates/kelpworks/src/rules/mod.rs
+++ b/crates/kelpworks/src/rules/mod.rs
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// As [`Rules::parse`], but for models and services.
-    pub fn parse_alone(file: &str, text: &str) -> Result<Rules> {
+    pub fn parse_without_register(file: &str, text: &str) -> Result<Rules> {
         check::parse(file, text, None)
     }
 }
--- a/crates/kelpworks/src/rules/path.rs
+++ b/crates/kelpworks/src/rules/path.rs
@@ -7,13 +7,13 @@
 use percent_encoding::percent_decode_str;
 
 /// Whether a path starts with the prefix of a rule, as it stands or in its plain spelling.
-pub(crate) fn is_below(path: &str, prefix: &str) -> bool {
-    path.starts_with(prefix) || plain(path).starts_with(prefix)
+pub(crate) fn matches_prefix(path: &str, prefix: &str) -> bool {
+    path.starts_with(prefix) || normalize(path).starts_with(prefix)
 }
 
 /// A path with its characters decoded, and without empty and dot segments. It ends with a slash, so
 /// that a prefix that ends with one matches too.
-fn plain(path: &str) -> String {
+fn normalize(path: &str) -> String {
     let decoded = percent_decode_str(path).decode_utf8_lossy();
     let mut segments = Vec::new();
     for segment in decoded.split(['/', '\\']) {
--- a/crates/kelpworks/src/settings/check.rs
+++ b/crates/kelpworks/src/settings/check.rs
@@ -17,27 +17,27 @@
 use super::file::PlatformTable;
 use super::file::SettingsFile;
 use super::file::TimingTable;
+use crate::config::document::ConfigErrorKind;
 use crate::config::document::Document;
-use crate::config::document::Kind;
-use crate::config::unique::Names;
-use crate::config::unique::unknown;
+use crate::config::unique::DefinedNames;
+use crate::config::unique::record_undefined;
 use crate::register::Register;
 
 /// A lease is at least as long as so many order bounds: a holder renews it when three tenths have
 /// passed, and must have time for an order then even after a renewal failed.
-const ORDER_BOUNDS_A_LEASE: u32 = 3;
-const ORDER_BOUNDS: &str = "3 times placement.order_bound";
-const LEASE_PART: &str = "a third of placement.lease";
+const MIN_ORDER_BOUNDS_PER_LEASE: u32 = 3;
+const MIN_LEASE_TEXT: &str = "3 times placement.order_bound";
+const MAX_ORDER_BOUND_TEXT: &str = "a third of placement.lease";
 
 /// Reads and checks settings; the failure domain only when there is a register.
 pub(super) fn parse(file: &str, text: &str, register: Option<&Register>) -> Result<Settings> {
     let mut doc = Document::open(file, text)?;
-    let raw: SettingsFile = doc.read()?;
-    Names::new("daemon").define(&mut doc, &raw.name);
-    Names::new("failure domain").define(&mut doc, &raw.failure_domain);
+    let raw: SettingsFile = doc.deserialize()?;
+    DefinedNames::new("daemon").define(&mut doc, &raw.name);
+    DefinedNames::new("failure domain").define(&mut doc, &raw.failure_domain);
     let domain = raw.failure_domain.get_ref();
     if register.is_some_and(|r| !r.has_failure_domain(domain)) {
-        unknown(&mut doc, "failure domain", &raw.failure_domain);
+        record_undefined(&mut doc, "failure domain", &raw.failure_domain);
     }
     check_listen(&mut doc, &raw.listen);
     check_url(&mut doc, &raw.platform.object_api);
@@ -67,9 +67,16 @@
         }
         let line = doc.line(&address.span());
         if let Some(first) = seen.insert(*address.get_ref(), line) {
-            let what = "address";
+            let item_kind = "address";
             let value = address.get_ref().to_string();
-            doc.fault(address.span(), Kind::Duplicate { what, value, first });
+            doc.record_error(
+                address.span(),
+                ConfigErrorKind::Duplicate {
+                    item_kind,
+                    value,
+                    first,
+                },
+            );
         }
     }
 }
@@ -77,7 +84,7 @@
 /// Checks a base URL; one with a password is refused, since URLs are logged.
 fn check_url(doc: &mut Document<'_>, url: &Spanned<String>) {
     if !is_base_url(url.get_ref()) {
-        doc.fault(url.span(), Kind::Url);
+        doc.record_error(url.span(), ConfigErrorKind::InvalidUrl);
     }
 }
 
@@ -87,24 +94,27 @@
         return false;
     };
     let has_user = !url.username().is_empty() || url.password().is_some();
-    let has_more = url.query().is_some() || url.fragment().is_some();
-    matches!(url.scheme(), "http" | "https") && url.has_host() && !has_user && !has_more
+    let has_query_or_fragment = url.query().is_some() || url.fragment().is_some();
+    matches!(url.scheme(), "http" | "https")
+        && url.has_host()
+        && !has_user
+        && !has_query_or_fragment
 }
 
 /// Checks that every limit is above 0.
 fn check_limits(doc: &mut Document<'_>, limits: &LimitsTable) {
-    positive(doc, &limits.body, limits.body.get_ref().0 > 0);
-    positive(doc, &limits.max_tokens, *limits.max_tokens.get_ref() > 0);
-    positive(doc, &limits.queue, *limits.queue.get_ref() > 0);
+    require_positive(doc, &limits.body, limits.body.get_ref().0 > 0);
+    require_positive(doc, &limits.max_tokens, *limits.max_tokens.get_ref() > 0);
+    require_positive(doc, &limits.queue, *limits.queue.get_ref() > 0);
     let claims = &limits.claim_writes_per_second;
-    positive(doc, claims, *claims.get_ref() > 0);
+    require_positive(doc, claims, *claims.get_ref() > 0);
     let target = &limits.token_target;
-    positive(doc, target, !target.get_ref().0.is_zero());
+    require_positive(doc, target, !target.get_ref().0.is_zero());
 }
 
 /// Checks that every time is above 0 and the floor not above the ceiling.
 fn check_timing(doc: &mut Document<'_>, timing: &TimingTable) {
-    let all = [
+    let times = [
         &timing.request,
         &timing.connect,
         &timing.step_floor,
@@ -116,46 +126,59 @@
         &timing.balancer_notice,
         &timing.drain,
     ];
-    for span in all {
-        positive(doc, span, !span.get_ref().0.is_zero());
+    for time in times {
+        require_positive(doc, time, !time.get_ref().0.is_zero());
     }
     if timing.step_floor.get_ref() <= timing.step_ceiling.get_ref() {
         return;
     }
     // Either may stand at its default; the fault goes to the one in the file.
     match timing.step_floor.span().is_empty() {
-        true => doc.fault(timing.step_ceiling.span(), Kind::Below("timing.step_floor")),
-        false => doc.fault(timing.step_floor.span(), Kind::Above("timing.step_ceiling")),
+        true => doc.record_error(
+            timing.step_ceiling.span(),
+            ConfigErrorKind::BelowMin("timing.step_floor"),
+        ),
+        false => doc.record_error(
+            timing.step_floor.span(),
+            ConfigErrorKind::AboveMax("timing.step_ceiling"),
+        ),
     }
 }
 
 /// Checks that every time and rate is above 0, and that a lease leaves time for orders.
 fn check_placement(doc: &mut Document<'_>, placement: &PlacementTable) {
-    let all = [
+    let times = [
         &placement.lease,
         &placement.order_bound,
         &placement.interval,
         &placement.lost_after,
         &placement.improve_after,
     ];
-    for span in all {
-        positive(doc, span, !span.get_ref().0.is_zero());
+    for time in times {
+        require_positive(doc, time, !time.get_ref().0.is_zero());
     }
     let rate = &placement.weight_rate;
-    positive(doc, rate, rate.get_ref().0 > 0);
-    if placement.order_bound.get_ref().0 * ORDER_BOUNDS_A_LEASE <= placement.lease.get_ref().0 {
+    require_positive(doc, rate, rate.get_ref().0 > 0);
+    if placement.order_bound.get_ref().0 * MIN_ORDER_BOUNDS_PER_LEASE <= placement.lease.get_ref().0
+    {
         return;
     }
     match placement.order_bound.span().is_empty() {
-        true => doc.fault(placement.lease.span(), Kind::Below(ORDER_BOUNDS)),
-        false => doc.fault(placement.order_bound.span(), Kind::Above(LEASE_PART)),
+        true => doc.record_error(
+            placement.lease.span(),
+            ConfigErrorKind::BelowMin(MIN_LEASE_TEXT),
+        ),
+        false => doc.record_error(
+            placement.order_bound.span(),
+            ConfigErrorKind::AboveMax(MAX_ORDER_BOUND_TEXT),
+        ),
     }
 }
 
 /// Notes a fault where an amount is not above 0.
-fn positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
+fn require_positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
     if !is_positive {
-        doc.fault(at.span(), Kind::NotPositive);
+        doc.record_error(at.span(), ConfigErrorKind::NotPositive);
     }
 }
 
--- a/crates/kelpworks/src/settings/file.rs
+++ b/crates/kelpworks/src/settings/file.rs
@@ -97,10 +97,10 @@
 impl Default for LimitsTable {
     fn default() -> LimitsTable {
         LimitsTable {
-            body: unplaced(Size(1 << 20)),
-            max_tokens: unplaced(4096),
-            queue: unplaced(1024),
-            claim_writes_per_second: unplaced(200),
+            body: without_span(Size(1 << 20)),
+            max_tokens: without_span(4096),
+            queue: without_span(1024),
+            claim_writes_per_second: without_span(200),
             token_target: millis(50),
         }
     }
@@ -163,16 +163,16 @@
             interval: millis(1_000),
             lost_after: millis(10_000),
             improve_after: millis(60_000),
-            weight_rate: unplaced(Rate(1_000_000_000)),
+            weight_rate: without_span(Rate(1_000_000_000)),
         }
     }
 }
 
 /// A default; it has no place in the file.
-fn unplaced<T>(value: T) -> Spanned<T> {
+fn without_span<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
 
 fn millis(n: u64) -> Spanned<DurationSetting> {
-    unplaced(DurationSetting(Duration::from_millis(n)))
+    without_span(DurationSetting(Duration::from_millis(n)))
 }
--- a/crates/kelpworks/src/settings/mod.rs
+++ b/crates/kelpworks/src/settings/mod.rs
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// As [`Settings::parse`], and when the register lacks the failure domain.
-    pub fn parse_with(file: &str, text: &str, register: &Register) -> Result<Settings> {
+    pub fn parse_with_register(file: &str, text: &str, register: &Register) -> Result<Settings> {
         check::parse(file, text, Some(register))
     }
 }
--- a/crates/kelpworks/tests/config_accept.rs
+++ b/crates/kelpworks/tests/config_accept.rs
@@ -22,9 +22,9 @@
 use support::Rival;
 
 const RETRY: RetryPolicy = RetryPolicy {
-    attempts: 4,
-    pause: Duration::from_millis(10),
-    timeout: Duration::from_secs(2),
+    max_attempts: 4,
+    min_delay: Duration::from_millis(10),
+    swap_timeout: Duration::from_secs(2),
 };
 
 /// A register with these models and one host that carries them all.
@@ -274,7 +274,7 @@
     let error = accept(&api, &rules("0.2", "caption"), RETRY)
         .await
         .unwrap_err();
-    assert_eq!(error == Error::Unsettled, unsettled, "{error:?}");
+    assert_eq!(error == Error::OutcomeUnknown, unsettled, "{error:?}");
     assert_eq!(api.head().generation.0, 2);
 }
 
--- a/crates/kelpworks/tests/config_parse.rs
+++ b/crates/kelpworks/tests/config_parse.rs
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use kelpworks::config::document::MAX_BYTES;
+use kelpworks::config::document::MAX_FILE_BYTES;
+use kelpworks::config::document::decode_utf8;
 use kelpworks::config::document::read_file;
-use kelpworks::config::document::text_of;
 use kelpworks::register::HostRole;
 use kelpworks::register::Register;
 use kelpworks::rules::Rules;
@@ -320,17 +320,17 @@
 #[test]
 fn settings_are_checked_against_a_register() {
     let text = edit(SETTINGS, "hall-a", "hall-b");
-    let error = Settings::parse_with("settings.toml", &text, &register()).unwrap_err();
+    let error = Settings::parse_with_register("settings.toml", &text, &register()).unwrap_err();
     assert_snapshot!("settings_unknown_domain", error.to_string());
-    assert!(Settings::parse_with("settings.toml", SETTINGS, &register()).is_ok());
+    assert!(Settings::parse_with_register("settings.toml", SETTINGS, &register()).is_ok());
 }
 
 #[test]
 fn rules_alone_look_up_teams_only() {
     let text = edit(RULES, "model = \"caption\"", "model = \"report\"");
-    assert!(Rules::parse_alone("rules.toml", &text).is_ok());
+    assert!(Rules::parse_without_register("rules.toml", &text).is_ok());
     let text = edit(RULES, "team = \"sellers\"", "team = \"buyers\"");
-    assert!(Rules::parse_alone("rules.toml", &text).is_err());
+    assert!(Rules::parse_without_register("rules.toml", &text).is_err());
 }
 
 /// A logged team shows neither tokens nor digests.
@@ -342,14 +342,14 @@
 
 #[rstest]
 #[case::large("file_large", vec![b'#'; 10_000_000])]
-#[case::just_over("file_just_over", vec![b'#'; MAX_BYTES + 1])]
+#[case::just_over("file_just_over", vec![b'#'; MAX_FILE_BYTES + 1])]
 #[case::not_utf8("file_not_utf8", b"name = \"a\"\nx = \"\xff\"\n".to_vec())]
 fn files_are_refused(#[case] name: &str, #[case] bytes: Vec<u8>) {
     let path = std::env::temp_dir().join(format!("kelpworks-{}-{name}.toml", std::process::id()));
     fs::write(&path, &bytes).unwrap();
     let from_file = read_file(&path).unwrap_err();
     fs::remove_file(&path).unwrap();
-    let from_bytes = text_of(name, bytes).unwrap_err();
+    let from_bytes = decode_utf8(name, bytes).unwrap_err();
     assert_eq!(from_file.kind, from_bytes.kind);
     assert_snapshot!(name, from_bytes.to_string());
 }
@@ -357,7 +357,7 @@
 /// A text of the greatest size allowed is read; one byte more is refused unread.
 #[test]
 fn size_limit_is_exact() {
-    let padding = "#".repeat(MAX_BYTES - SETTINGS.len());
+    let padding = "#".repeat(MAX_FILE_BYTES - SETTINGS.len());
     let text = format!("{SETTINGS}{padding}");
     assert!(Settings::parse("settings.toml", &text).is_ok());
     let error = Settings::parse("settings.toml", &format!("{text}#")).unwrap_err();
@@ -378,7 +378,7 @@
         let _ = Settings::parse("a", &text);
         let _ = Register::parse("b", &text);
         let _ = Rules::parse("c", &text, &register());
-        let _ = Rules::parse_alone("d", &text);
+        let _ = Rules::parse_without_register("d", &text);
     }
 
     #[test]
