--- a/crates/kelpworks/src/config/accept/mod.rs
+++ b/crates/kelpworks/src/config/accept/mod.rs
@@ -1,10 +1,10 @@
-//! How a register or rules become the fleet's: the operator's side.
+//! Publishing of a register or rules to the fleet, as operators do it.
 //!
-//! The text is stored under its digest, the pair that it makes with the other
-//! part in force is validated, and one conditional update of the head accepts
-//! it. An operator who loses a race rebases when only the other part changed,
-//! and is told the conflict when the same part changed. The decisions are those
-//! of [`kelpworks_coord::head::Swap`]; here are the calls that it asks for.
+//! A proposal is one part of the configuration, the register or the rules. It is validated
+//! together with the other part that is active, its text is stored under its digest, and one
+//! conditional update of the head accepts it. If another operator's change comes first, the
+//! proposal is rebased on it if only the other part changed, and fails with a conflict if the same
+//! part changed. [`kelpworks_coord::head::Swap`] makes the decisions; this module makes the calls.
 //!
 //! ```no_run
 //! use kelpworks::clients::object_api::Deadlines;
@@ -23,9 +23,10 @@
 //! # }
 //! ```
 //!
-//! Limits: a race is seen from the moment that this reads the head. An edit
-//! that an operator made of an older file is not told from a deliberate one;
-//! the difference that [`plan`] shows is there to be looked at.
+//! Limits: a conflict is detected only with changes made after the swap first reads the head, once
+//! the text is stored. If an operator edits an outdated copy of a file, the proposal reverts the
+//! changes made since that copy, and this is not detected. Operators review the difference that
+//! [`plan`] returns.
 
 mod proposal;
 mod store;
@@ -54,7 +55,7 @@
 pub use self::store::RetryPolicy;
 pub use kelpworks_coord::head::PartKind;
 
-/// The result of this module.
+/// Result of publishing a register or rules.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Why a register or rules were not accepted.
@@ -62,60 +63,65 @@
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The proposal itself is at fault.
+    /// The proposed text is invalid. Also returned when the active register, against which
+    /// proposed rules are checked, is invalid.
     #[error("{0}")]
     Invalid(document::Error),
-    /// The register would make the rules in force invalid.
+    /// The proposed register would make the active rules invalid.
     #[error("the register does not fit the rules in force: {0}")]
     IncompatibleRules(document::Error),
-    /// Rules were proposed before any register.
+    /// Rules were proposed before any register was imported.
     #[error("no register has been imported yet; rules are checked against one")]
     NoRegister,
-    /// Another operator changed the same part meanwhile.
-    #[error("conflict: the {} changed meanwhile, see generation {generation}", part_name(*.part_kind))]
+    /// Another operator changed the same part after the swap first read the head.
+    #[error(
+        "conflict: the {} changed meanwhile, see generation {generation}",
+        part_name(*.part_kind)
+    )]
     Conflict {
-        /// The part.
+        /// The part that was proposed.
         part_kind: PartKind,
-        /// The generation that holds the other change.
+        /// Current generation of the head, which contains the other change.
         generation: u64,
     },
-    /// The reply to the swap was lost, and the same part has changed since: the proposal was
-    /// replaced, or never in force.
+    /// The reply to the update of the head was lost, and the same part has changed since. The
+    /// proposal was accepted and then replaced, or was never accepted.
     #[error(
         "the {} changed again while a reply was lost, see generation {generation}; \
          the proposal may have been in force before that",
         part_name(*.part_kind)
     )]
     Superseded {
-        /// The part.
+        /// The part that was proposed.
         part_kind: PartKind,
-        /// The generation that holds the other change.
+        /// Current generation of the head, which contains the other change.
         generation: u64,
     },
-    /// The object API did not do its part; nothing was applied.
+    /// A call to the object API failed; nothing was applied.
     #[error("{0}; nothing was applied")]
     Unavailable(object_api::Error),
-    /// The reply to the swap was lost and could not be settled.
-    #[error("the object API's reply was lost; the change may have been accepted, ask `status`")]
+    /// The reply to the update of the head was lost, and no later call showed whether the update
+    /// took effect.
+    #[error("the object API's reply was lost; the change may have been accepted, check `status`")]
     OutcomeUnknown,
-    /// The head object cannot be read.
+    /// The body of the head object cannot be decoded or encoded.
     #[error("the head object is not readable; nothing was applied")]
     HeadCorrupt,
-    /// The head names a text that is not there.
+    /// The head names a text that is not stored.
     #[error("object {digest} of the configuration in force is missing; nothing was applied")]
     BlobMissing {
-        /// Its digest.
+        /// Digest by which the head names the text.
         digest: Digest,
     },
-    /// A stored text does not have the digest it is stored under.
+    /// A stored text does not match the digest under which it is stored.
     #[error("object {digest} of the configuration in force is damaged; nothing was applied")]
     BlobCorrupt {
-        /// Its digest.
+        /// Digest by which the head names the text.
         digest: Digest,
     },
 }
 
-/// A part as operators call it.
+/// Returns the name of a part in commands and messages.
 pub fn part_name(part_kind: PartKind) -> &'static str {
     match part_kind {
         PartKind::Register => FileKind::Register.as_str(),
@@ -126,26 +132,26 @@
 /// An accepted proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// The generation that brought it.
+    /// Generation that introduced the text.
     pub generation: u64,
-    /// False when the very text was found in force, by whomever.
+    /// False if the same text was already active, whether or not another operator published it.
     pub changed: bool,
 }
 
 /// What accepting a proposal would do now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Generation in force; 0 before the first import.
+    /// Active generation; 0 before the first import.
     pub generation: u64,
-    /// The difference to what is in force.
+    /// Difference between the active part and the proposal.
     pub diff: Diff,
 }
 
-/// Says what accepting a proposal would do, and does none of it.
+/// Validates a proposal and returns what [`accept`] would change, without changing anything.
 ///
 /// # Errors
 ///
-/// As [`accept`], but for races.
+/// Those of [`accept`], except the ones that come from concurrent changes or lost replies.
 pub async fn plan<A: ObjectApi>(api: &A, proposal: &Proposal, retry: RetryPolicy) -> Result<Plan> {
     let mut store = ConfigStore::new(api, retry);
     let head = store.head().await?.head;
@@ -156,17 +162,18 @@
     })
 }
 
-/// Validates a proposal against what is in force, and makes it the fleet's.
+/// Validates a proposal against the other active part, and publishes it to the fleet.
 ///
-/// A refused proposal leaves nothing behind: it is validated before its text is stored. Only one
-/// that a race made unfit leaves its text, which nothing names.
+/// A proposal is validated before its text is stored, so a refused one leaves no object behind.
+/// The exception is a proposal that a concurrent change made invalid: its text stays stored, but
+/// no head names it.
 ///
 /// # Errors
 ///
 /// [`Error::Invalid`], [`Error::IncompatibleRules`] and [`Error::NoRegister`] when the proposal is
-/// refused as it stands; [`Error::Conflict`] when another operator changed the same part
-/// meanwhile; [`Error::OutcomeUnknown`] and [`Error::Superseded`] when it may have been accepted.
-/// In all other cases nothing was applied.
+/// refused; [`Error::Conflict`] when another operator changed the same part concurrently;
+/// [`Error::OutcomeUnknown`] and [`Error::Superseded`] when the proposal may have been accepted.
+/// Nothing was applied in all other cases.
 pub async fn accept<A: ObjectApi>(
     api: &A,
     proposal: &Proposal,
@@ -188,36 +195,36 @@
     driver.into_result(outcome)
 }
 
-/// Carries out what a [`Swap`] asks for.
+/// Makes the calls that a [`Swap`] requests and returns their results to it.
 struct Driver<'a, A> {
     store: ConfigStore<'a, A>,
     proposal: &'a Proposal,
-    /// Why the pair was found not to fit.
+    /// Error of the last validation, if it failed.
     validation_error: Option<Error>,
     /// Whether a write of the head may have taken effect.
     head_maybe_written: bool,
 }
 
 impl<A: ObjectApi> Driver<'_, A> {
-    /// Finds the proposal in force already, and makes sure that the head read was not out of
-    /// date: the same head is written again on the condition of its version.
+    /// Returns the proposal as accepted if its text is already active. The head that was read may
+    /// be stale, so the same head is written again on condition that its version is unchanged.
     ///
-    /// Whatever becomes of that write does no harm, so when it fails the swap goes its course.
+    /// That write does not change the head's content. If it fails, the swap runs as usual.
     async fn confirm_already_active(&mut self, at: StoredHead) -> Option<Accepted> {
         let found = self.already_active(&at.head)?;
         let event = self.store.swap_head(at.version, &at.head).await.ok()?;
         (event == SwapEvent::Swapped).then_some(found)
     }
 
-    /// Runs the swap to its end.
+    /// Runs the swap until it ends.
     async fn run(&mut self) -> Result<SwapOutcome> {
         let started = Instant::now();
         let now = || time::Instant::from_millis(saturating_millis(started.elapsed()));
         let mut swap = Swap::new(self.config(), self.proposal.change(), now());
         let mut event = SwapEvent::Start;
         loop {
-            // A swap asks for one thing at a time, or for nothing while it waits. It looks at
-            // the time on a tick only, so past the end a tick goes in place of another call.
+            // A swap requests one action at a time, or none while it waits to retry. It checks its
+            // timeout only on a tick, so after the timeout it gets a tick instead of another call.
             event = match swap.on_event(now(), event).pop() {
                 Some(SwapAction::Done(outcome)) => return Ok(outcome),
                 Some(_) if started.elapsed() >= self.store.retry.swap_timeout => SwapEvent::Tick,
@@ -238,7 +245,7 @@
         }
     }
 
-    /// Does one thing, and tells what came of it.
+    /// Performs an action and returns its result as an event of the swap.
     async fn perform(&mut self, action: SwapAction) -> Result<SwapEvent> {
         let event = match action {
             SwapAction::PutBlob(_) => self.store.put_blob(&self.proposal.text).await,
@@ -254,7 +261,7 @@
             }
             SwapAction::Done(_) => Ok(SwapEvent::Tick),
         };
-        // After a lost write no error can promise that nothing was applied.
+        // After a write whose reply was lost, an error must not state that nothing was applied.
         event.map_err(|e| {
             if self.head_maybe_written {
                 Error::OutcomeUnknown
@@ -264,7 +271,7 @@
         })
     }
 
-    /// Validates the pair of a head that holds the proposal.
+    /// Validates the proposal together with the other part that a new head names.
     async fn validate(&mut self, head: &Head) -> Result<SwapEvent> {
         let texts = self.store.texts(head, Some(self.proposal.digest)).await;
         let texts = match texts {
@@ -279,7 +286,7 @@
         })
     }
 
-    /// What the outcome means to the operator.
+    /// Turns the outcome of the swap into the result for the operator.
     fn into_result(self, outcome: SwapOutcome) -> Result<Accepted> {
         let part_kind = self.proposal.part_kind;
         match outcome {
@@ -298,8 +305,8 @@
             }
             SwapOutcome::Invalid => Err(self.validation_error.unwrap_or(Error::OutcomeUnknown)),
             SwapOutcome::NotApplied => Err(Error::Unavailable(self.store.last_error)),
-            // The swap does not tell a write that was refused from one under way; here every
-            // call has ended, so only a lost one leaves a doubt.
+            // The swap does not distinguish a refused write from one in flight. Every call has
+            // ended here, so the outcome is unknown only after a write whose reply was lost.
             SwapOutcome::Unknown if !self.head_maybe_written => {
                 Err(Error::Unavailable(self.store.last_error))
             }
@@ -307,7 +314,7 @@
         }
     }
 
-    /// The other change brought the very text that was proposed.
+    /// Returns the proposal as accepted without a change if the head already names its text.
     fn already_active(&self, current: &Head) -> Option<Accepted> {
         let part = self.proposal.part_in(current)?;
         (part.digest == self.proposal.digest).then(|| accepted(part.since, false))
@@ -321,7 +328,7 @@
     }
 }
 
-/// A time as the state machines count it.
+/// Converts a duration to whole milliseconds, the unit of the state machines.
 fn saturating_millis(time: std::time::Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/kelpworks/src/config/accept/proposal.rs
+++ b/crates/kelpworks/src/config/accept/proposal.rs
@@ -1,4 +1,4 @@
-//! A new text of one part, and the pair that it makes with the other.
+//! A proposed text of one part of the configuration, and its validation with the other part.
 
 use super::Error;
 use super::Result;
@@ -14,12 +14,12 @@
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::Nonce;
 
-/// Name of a part in force, where errors would name a file.
+/// Stands in errors about the active rules in place of a file name.
 const ACTIVE_RULES_NAME: &str = "rules in force";
-/// As [`ACTIVE_RULES_NAME`].
+/// Stands in errors about the active register in place of a file name.
 const ACTIVE_REGISTER_NAME: &str = "register in force";
 
-/// A new text of one part.
+/// A proposed text of one part: the register or the rules.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     pub(super) part_kind: PartKind,
@@ -29,7 +29,7 @@
 }
 
 impl Proposal {
-    /// Proposes a text of this part; `file` names it in errors.
+    /// Creates a proposal without validating its text. `file` is its name in errors.
     pub fn new(part_kind: PartKind, file: &str, text: String) -> Proposal {
         Proposal {
             part_kind,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The change that this asks for, with a nonce of its own.
+    /// Returns the change of the head that publishes this proposal, with a new random nonce.
     pub(super) fn change(&self) -> Change {
         Change {
             kind: self.part_kind,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The proposal's part in a head.
+    /// Returns the part of a head that this proposal would replace.
     pub(super) fn part_in(&self, head: &Head) -> Option<Part> {
         match self.part_kind {
             PartKind::Register => head.register,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Validates the pair that the proposal makes with the other part.
+    /// Validates the proposal together with the other part of `texts`.
     pub(super) fn validate(&self, texts: &PartTexts) -> Result<()> {
         match self.part_kind {
             PartKind::Register => self.parse_register(texts).map(drop),
@@ -64,10 +64,11 @@
         }
     }
 
-    /// Validates as [`Proposal::validate`] does, and compares with what the texts hold now.
+    /// Validates the proposal as [`Proposal::validate`] does, and compares it with the active text
+    /// of the same part.
     ///
-    /// A part in force that this release does not read counts as empty, or it could never be
-    /// replaced.
+    /// If this release cannot parse the active text, it counts as empty. Otherwise it could never
+    /// be replaced.
     pub(super) fn diff(&self, texts: &PartTexts) -> Result<Diff> {
         match self.part_kind {
             PartKind::Register => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The proposed register, when the rules fit it.
+    /// Parses the proposed register and checks that the active rules are valid with it.
     fn parse_register(&self, texts: &PartTexts) -> Result<Register> {
         let new = Register::parse(&self.file, &self.text).map_err(Error::Invalid)?;
         if let Some(rules) = &texts.rules {
@@ -94,7 +95,7 @@
         Ok(new)
     }
 
-    /// The proposed rules, when they fit the register.
+    /// Parses the proposed rules and checks them against the active register.
     fn parse_rules(&self, texts: &PartTexts) -> Result<Rules> {
         let register = texts.register.as_ref().ok_or(Error::NoRegister)?;
         let register = Register::parse(ACTIVE_REGISTER_NAME, register).map_err(Error::Invalid)?;
--- a/crates/kelpworks/src/config/accept/store.rs
+++ b/crates/kelpworks/src/config/accept/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the object API for the head and the blobs.
+//! Calls to the object API that read and write the head and the texts that it names.
 
 use std::time::Duration;
 
@@ -22,14 +22,17 @@
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::Version;
 
-/// How often and how patiently calls to the object API are repeated.
+/// Retry limits and timeouts of calls to the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Reads for one purpose, at most. Default 6.
+    /// Maximum number of attempts to read an object before the read counts as failed. The swap
+    /// itself retries failed steps until `swap_timeout`. Default 6.
     pub max_attempts: u32,
-    /// Pause before a repetition, at least; up to twice as long. Default 200 ms.
+    /// Minimum delay before a retry; jitter makes it up to twice as long. Default 200 ms.
     pub min_delay: Duration,
-    /// Longest time for a whole change. Default 15 s.
+    /// Timeout of the swap, which stores the text and updates the head. It does not include the
+    /// reads and the validation before the swap, and does not interrupt a call in flight.
+    /// Default 15 s.
     pub swap_timeout: Duration,
 }
 
@@ -44,26 +47,27 @@
 }
 
 impl RetryPolicy {
-    /// Waits before a repetition, with jitter so that rivals do not meet again.
+    /// Waits before a retry, with jitter so that concurrent operators do not collide again.
     pub(super) async fn wait_with_jitter(&self) {
         let factor = rand::rng().random_range(1.0..2.0);
         tokio::time::sleep(self.min_delay.mul_f64(factor)).await;
     }
 }
 
-/// The texts that a head names.
+/// Texts of the parts that a head names. A part is `None` if the head names none, or if the
+/// caller skipped its text.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct PartTexts {
     pub(super) register: Option<String>,
     pub(super) rules: Option<String>,
 }
 
-/// The object API with a retry policy, and its last error.
+/// Client for the configuration objects in the object API, with a retry policy.
 #[derive(Debug)]
 pub(super) struct ConfigStore<'a, A> {
     pub(super) api: &'a A,
     pub(super) retry: RetryPolicy,
-    /// What the API last failed with, for the report when time runs out.
+    /// Last error of the API, returned to the operator after a timeout or the last attempt.
     pub(super) last_error: object_api::Error,
 }
 
@@ -76,13 +80,13 @@
         }
     }
 
-    /// Reads the head, patiently.
+    /// Reads the head, with retries.
     pub(super) async fn head(&mut self) -> Result<StoredHead> {
         let object = self.get(HEAD_KIND, HEAD_NAME).await?;
         decode_head(object.as_ref())
     }
 
-    /// Reads the texts that a head names, patiently; `skip` is at hand already.
+    /// Reads the texts that a head names, with retries, except the text with digest `skip`.
     pub(super) async fn texts(&mut self, head: &Head, skip: Option<Digest>) -> Result<PartTexts> {
         let mut blobs = [None, None];
         for (blob, part) in blobs.iter_mut().zip([head.register, head.rules]) {
@@ -95,7 +99,7 @@
         Ok(PartTexts { register, rules })
     }
 
-    /// Reads a blob and checks that it is the one its name promises.
+    /// Reads a text and checks that it matches its digest.
     async fn blob(&mut self, digest: Digest) -> Result<String> {
         let object = self.get(BLOB_KIND, &digest.to_string()).await?;
         let body = object.ok_or(Error::BlobMissing { digest })?.body;
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Reads an object; reading twice does no harm, so any failure is retried.
+    /// Reads an object. Reads are idempotent, so any failure is retried.
     async fn get(&mut self, kind: &str, name: &str) -> Result<Option<Object>> {
         for _ in 0..self.retry.max_attempts {
             match self.api.get(kind, name).await {
@@ -118,7 +122,7 @@
         Err(Error::Unavailable(self.last_error.clone()))
     }
 
-    /// Reads the head once, as an event of the swap.
+    /// Reads the head without a retry, and returns the result as an event of the swap.
     pub(super) async fn read_head(&mut self) -> Result<SwapEvent> {
         match self.api.get(HEAD_KIND, HEAD_NAME).await {
             Ok(object) => Ok(SwapEvent::HeadRead(decode_head(Some(&object))?)),
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Writes a blob once. Its name is its digest, so writing it twice does no harm.
+    /// Stores a text without a retry. Its name is its digest, so storing it twice is harmless.
     pub(super) async fn put_blob(&mut self, text: &str) -> Result<SwapEvent> {
         let name = digest_of(text).to_string();
         let put = self
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Writes the head once, when it still has this version.
+    /// Writes the head without a retry, on condition that it still has this version.
     pub(super) async fn swap_head(
         &mut self,
         if_version: Version,
@@ -173,8 +177,8 @@
         }
     }
 
-    /// The head that stood in the way. An answer that is not newer than the version that just
-    /// failed is out of date and tells nothing: the write is tried again later.
+    /// Returns a conflict with the current head. A head that is not newer than the version that
+    /// just failed is stale, so the write then counts as refused and is retried later.
     async fn conflict(
         &mut self,
         current: Option<Box<Object>>,
@@ -190,7 +194,7 @@
         })
     }
 
-    /// Notes an error, and leaves a connection behind that may be dead.
+    /// Records an error. After a lost reply, drops the connections, which may be dead.
     fn record_error(&mut self, error: object_api::Error) {
         if error == object_api::Error::Lost {
             self.api.reset_connections();
@@ -199,7 +203,7 @@
     }
 }
 
-/// The head of its object; the empty one when there is none.
+/// Decodes the head object. Returns the empty head if there is no object.
 fn decode_head(object: Option<&Object>) -> Result<StoredHead> {
     let Some(object) = object else {
         return Ok(StoredHead {
--- a/crates/kelpworks/src/config/diff.rs
+++ b/crates/kelpworks/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What a change adds, removes and changes, for operators to look at before it is applied.
+//! Difference between two registers or two sets of rules, for operators to review before a change.
 //!
 //! ```
 //! use kelpworks::config::diff::Diff;
@@ -16,30 +16,30 @@
 use crate::rules::NonIdempotent;
 use crate::rules::Rules;
 
-/// The difference of two registers or two sets of rules.
+/// The difference between two registers or two sets of rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// Lists of named things that differ; equal ones are left out.
+    /// Lists of named items that differ; lists without a difference are left out.
     pub sections: Vec<Section>,
-    /// The trial share before and after, when it differs.
+    /// Trial share before and after the change; `None` if it does not differ.
     pub trial_share: Option<(f64, f64)>,
 }
 
-/// What differs in one list of named things, each in the order of names.
+/// Difference between two versions of one list of named items. Names are sorted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Section {
-    /// What is listed, such as `hosts`.
+    /// Heading of the list, such as `hosts`.
     pub list_name: &'static str,
-    /// Names that are new.
+    /// Names that occur in the new list only.
     pub added: Vec<String>,
-    /// Names that are gone.
+    /// Names that occur in the old list only.
     pub removed: Vec<String>,
-    /// Names that stay with another content.
+    /// Names that occur in both lists with different content.
     pub changed: Vec<String>,
 }
 
 impl Diff {
-    /// The difference of two registers.
+    /// Compares two registers.
     pub fn of_registers(old: &Register, new: &Register) -> Diff {
         let link_name = |l: &crate::register::Link| {
             let (a, b) = (&l.from, &l.to);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The difference of two sets of rules.
+    /// Compares two sets of rules.
     pub fn of_rules(old: &Rules, new: &Rules) -> Diff {
         let sections = vec![
             compare("teams", &old.teams, &new.teams, |t| t.name.clone()),
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Whether nothing differs.
+    /// Returns whether there is no difference.
     pub fn is_empty(&self) -> bool {
         self.sections.is_empty() && self.trial_share.is_none()
     }
 }
 
-/// Compares two lists of things that have unique names.
+/// Compares two lists of items by the name that `name` returns, which is unique in each list.
 fn compare<T: PartialEq>(
     list_name: &'static str,
     old: &[T],
@@ -115,14 +115,15 @@
     }
 }
 
-/// The sections that hold anything.
+/// Drops the sections without a difference.
 fn non_empty(sections: Vec<Section>) -> Vec<Section> {
     let has_changes =
         |s: &Section| !(s.added.is_empty() && s.removed.is_empty() && s.changed.is_empty());
     sections.into_iter().filter(has_changes).collect()
 }
 
-/// A match of non-idempotent requests in words; it has no other content.
+/// Describes a rule for non-idempotent requests. The description serves as the rule's name and
+/// covers all its fields, so such a rule is added or removed but never changed.
 fn describe_match(rule: &NonIdempotent) -> String {
     match rule {
         NonIdempotent::Service {
--- a/crates/kelpworks/src/config/document.rs
+++ b/crates/kelpworks/src/config/document.rs
@@ -1,10 +1,10 @@
-//! A configuration file while it is read: finds the line and key of each fault.
+//! Reader for configuration files that finds the line and key of each error.
 //!
-//! The three kinds of files (settings, register, rules) share this reader, so
-//! that each fault is reported in one form, `file:line: key: message`.
+//! The three kinds of files (settings, register, rules) share this reader, so that all errors have
+//! one form, `file:line: key: message`.
 //!
-//! Values never enter a message unless they are names or quantities: a bearer
-//! token that strays into a file must not reach a log.
+//! Messages quote a value only if it is a name or a quantity: a bearer token that was put into a
+//! file by mistake must not reach a log.
 
 use std::fmt;
 use std::fs::File;
@@ -22,28 +22,28 @@
 /// The result of this module.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Largest configuration file; the object API holds values of up to a megabyte.
+/// Maximum size of a configuration file. The object API stores values of up to a megabyte.
 pub const MAX_FILE_BYTES: usize = 1_000_000;
 
-/// Longest name of anything in a configuration.
+/// Maximum length of a name in a configuration file.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// A fault in a configuration file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("{file}{}: {}{kind}", LineSuffix(*line), KeyPrefix(key))]
 pub struct Error {
     /// Name of the file.
     pub file: String,
-    /// Line, from 1; 0 when the file has no line to show.
+    /// Line number, from 1; 0 if the file could not be read.
     pub line: usize,
-    /// Path of the key, such as `host[3].address`; empty when the fault is the file's.
+    /// Path of the key, such as `host[3].address`; empty if the error concerns the whole file.
     pub key: String,
-    /// What is wrong.
+    /// Which check failed, with its details.
     pub kind: ConfigErrorKind,
 }
 
-/// The line as it stands after the name of the file.
+/// Formats a line number as `:line`, or as nothing if it is 0.
 struct LineSuffix(usize);
 
 impl fmt::Display for LineSuffix {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The key as it stands before a message.
+/// Formats a key as `key: `, or as nothing if it is empty.
 struct KeyPrefix<'a>(&'a str);
 
 impl fmt::Display for KeyPrefix<'_> {
@@ -67,7 +67,7 @@
     }
 }
 
-/// What is wrong with a configuration file.
+/// Kind of an error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
@@ -78,78 +78,80 @@
     /// The file is larger than [`MAX_FILE_BYTES`].
     #[error("file is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
-    /// The file holds nothing.
+    /// The file has no keys.
     #[error("file is empty")]
     EmptyFile,
-    /// The file is not text.
+    /// The file is not UTF-8; the line is that of the first invalid byte.
     #[error("file is not UTF-8")]
     NotUtf8,
-    /// A key that must be there is not; the line is that of its table.
+    /// A required key is missing; the line is that of its table.
     #[error("missing key")]
     MissingKey,
-    /// A key that is not known here.
+    /// The table has no key of this name. The text lists the keys that it has.
     #[error("unknown key, {0}")]
     UnknownKey(String),
-    /// The text is not TOML, or a value is of another type.
+    /// The text is not TOML, or a value has the wrong type. Holds the message of the TOML library.
     #[error("{0}")]
     Toml(String),
-    /// A name that is empty, too long or has a character that names may not have.
+    /// A name is empty, too long or has a character that names may not have.
     #[error("names have 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`")]
     InvalidName,
-    /// A value that must differ from every other one appears twice.
+    /// A value that must be unique appears twice.
     #[error("duplicate {item_kind} `{value}`, first on line {first}")]
     Duplicate {
-        /// What it is.
+        /// Kind of item, such as `host`.
         item_kind: &'static str,
         /// The value.
         value: String,
         /// Line of its first appearance.
         first: usize,
     },
-    /// A token digest that appears twice; it is not repeated here.
+    /// A token digest appears twice. The message does not quote it.
     #[error("duplicate token digest, first on line {first}")]
     DuplicateToken {
         /// Line of its first appearance.
         first: usize,
     },
-    /// A reference to something that is not defined.
+    /// A reference to an item that is not defined.
     #[error("unknown {item_kind} `{name}`")]
     Undefined {
-        /// What it is.
+        /// Kind of item, such as `host`.
         item_kind: &'static str,
-        /// Its name.
+        /// Name that is referred to.
         name: String,
     },
-    /// A number that must be above 0.
+    /// A quantity that must be above 0 is not.
     #[error("must be above 0")]
     NotPositive,
-    /// A share that is not within 0 and 1.
+    /// A share is not between 0 and 1.
     #[error("must be between 0 and 1")]
     ShareOutOfRange,
-    /// A token digest in another form; the value is not repeated here.
+    /// The value is not a list of token digests. The message does not quote it, since it may be a
+    /// bearer token.
     #[error("expected a list of SHA-256 digests, each of 64 hexadecimal digits")]
     InvalidDigest,
-    /// A list that must not be empty.
+    /// A list is empty that must have at least one item of the named kind.
     #[error("must name at least one {0}")]
     EmptyList(&'static str),
-    /// A host that is neither or both of engine and service, and the like.
+    /// Another constraint is violated, such as that a host is either an engine or a service. The
+    /// text states the constraint.
     #[error("{0}")]
     Constraint(&'static str),
-    /// A URL in a form that is not taken; it is not repeated here.
+    /// A URL is not a valid base URL. The message does not quote it, since it may hold a password.
     #[error("expected a URL such as `http://10.0.0.1:8080`, without user or password")]
     InvalidUrl,
-    /// A value that must not exceed another.
+    /// A value exceeds its maximum, which the text names.
     #[error("must not be above `{0}`")]
     AboveMax(&'static str),
-    /// A value that must not be less than another.
+    /// A value is less than its minimum, which the text names.
     #[error("must not be below `{0}`")]
     BelowMin(&'static str),
-    /// None of the kinds of files.
+    /// The top-level keys match no kind of configuration file.
     #[error("neither settings, a register nor rules")]
     UnknownFileKind,
 }
 
-/// Reads a file, refusing a large one by its size before its content is read.
+/// Reads a file, but at most one byte more than [`MAX_FILE_BYTES`].
 ///
 /// # Errors
 ///
@@ -167,11 +169,11 @@
     decode_utf8(&name, bytes)
 }
 
-/// Turns the bytes of a file into its text.
+/// Decodes the content of a file. `file` is its name in errors.
 ///
 /// # Errors
 ///
-/// When there are too many bytes or they are not UTF-8.
+/// When there are more than [`MAX_FILE_BYTES`] bytes or they are not UTF-8.
 pub fn decode_utf8(file: &str, bytes: Vec<u8>) -> Result<String> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(file_error(file, ConfigErrorKind::TooLarge));
@@ -187,7 +189,7 @@
     })
 }
 
-/// A fault of a whole file, reported on its first line.
+/// Returns an error that concerns a whole file, reported on its first line.
 fn file_error(file: &str, kind: ConfigErrorKind) -> Error {
     Error {
         file: file.to_owned(),
@@ -197,26 +199,26 @@
     }
 }
 
-/// Line of a byte offset, from 1.
+/// Returns the line number, from 1, of a byte offset.
 fn line_at(text: &[u8], offset: usize) -> usize {
     let before = &text[..offset.min(text.len())];
     1 + before.iter().filter(|&&b| b == b'\n').count()
 }
 
-/// A file under reading, and the faults found in it so far.
+/// A parsed file and the errors found in it so far.
 #[derive(Debug)]
 pub(crate) struct Document<'a> {
     file: &'a str,
     text: &'a str,
-    /// Offsets of the line breaks, rising: the line of each name is asked for, and counting from
-    /// the start of the text each time would take time by the square of its size.
+    /// Offsets of the line breaks in ascending order. The line of every name is looked up, so
+    /// counting from the start each time would take time quadratic in the size of the text.
     newline_offsets: Vec<usize>,
     root: Spanned<DeTable<'a>>,
     errors: Vec<Error>,
 }
 
 impl<'a> Document<'a> {
-    /// Opens a document: checks its size and that it is TOML.
+    /// Parses a text as TOML. Fails if it is too large, has no keys or is not TOML.
     pub(crate) fn open(file: &'a str, text: &'a str) -> Result<Document<'a>> {
         if text.len() > MAX_FILE_BYTES {
             return Err(file_error(file, ConfigErrorKind::TooLarge));
@@ -239,10 +241,10 @@
         })
     }
 
-    /// Reads the document into its raw form.
+    /// Deserializes the document, before any check across its keys.
     pub(crate) fn deserialize<T: DeserializeOwned>(&self) -> Result<T> {
         toml::from_str(self.text).map_err(|e| {
-            // Without a span the fault is the whole file's.
+            // An error without a span concerns the whole file.
             let span = e.span().filter(|s| !s.is_empty());
             let mut error = match span {
                 Some(span) => self.error_at(&span, ConfigErrorKind::Toml(join_lines(e.message()))),
@@ -253,34 +255,34 @@
         })
     }
 
-    /// Whether the document has this key at its top.
+    /// Returns whether the document has this key at its top level.
     pub(crate) fn has_key(&self, key: &str) -> bool {
         self.root.get_ref().contains_key(key)
     }
 
-    /// A fault of the whole file.
+    /// Returns an error that concerns the whole file.
     pub(crate) fn file_error(&self, kind: ConfigErrorKind) -> Error {
         file_error(self.file, kind)
     }
 
-    /// Line of a span.
+    /// Returns the line number, from 1, of the start of a span.
     pub(crate) fn line(&self, span: &Range<usize>) -> usize {
         1 + self.newline_offsets.partition_point(|&at| at < span.start)
     }
 
-    /// Notes a fault at a span.
+    /// Records an error at a span.
     pub(crate) fn record_error(&mut self, span: Range<usize>, kind: ConfigErrorKind) {
         let error = self.error_at(&span, kind);
         self.errors.push(error);
     }
 
-    /// Ends the checks: the first fault by line, if there is any.
+    /// Ends the checks. Returns the first recorded error by line, if there is any.
     pub(crate) fn finish(self) -> Result<()> {
         let first = self.errors.into_iter().min_by_key(|e| e.line);
         first.map_or(Ok(()), Err)
     }
 
-    /// The fault at a span.
+    /// Returns an error at a span, with the line and key found there.
     fn error_at(&self, span: &Range<usize>, kind: ConfigErrorKind) -> Error {
         let mut key = String::new();
         key_in_table(self.root.get_ref(), span, &mut key);
@@ -293,8 +295,8 @@
     }
 }
 
-/// Turns serde's two messages about keys into kinds of their own. Should serde word them
-/// otherwise one day, the message stays as it is.
+/// Recognizes serde's messages about missing and unknown keys and gives the error the matching
+/// kind. If a later version of serde changes the wording, the error keeps the message unchanged.
 fn classify_key_error(error: &mut Error) {
     let ConfigErrorKind::Toml(message) = &error.kind else {
         return;
@@ -312,17 +314,17 @@
     }
 }
 
-/// A message of the TOML library on one line.
+/// Puts a message of the TOML library on one line.
 fn join_lines(message: &str) -> String {
     message.trim().replace('\n', ", ")
 }
 
-/// Whether `outer` covers the start of `inner`.
+/// Returns whether `outer` contains the whole of `inner`.
 fn covers(outer: &Range<usize>, inner: &Range<usize>) -> bool {
     outer.start <= inner.start && inner.end <= outer.end
 }
 
-/// Appends the path of the innermost key at a span; says whether there is one.
+/// Appends the path of the innermost key at a span. Returns whether there is one.
 fn key_in_table(table: &DeTable<'_>, span: &Range<usize>, path: &mut String) -> bool {
     for (key, value) in table.iter() {
         let before = path.len();
@@ -339,7 +341,7 @@
     false
 }
 
-/// As [`key_in_table`], for a value.
+/// Does the same as [`key_in_table`] for a value.
 fn key_in_value(value: &Spanned<DeValue<'_>>, span: &Range<usize>, path: &mut String) -> bool {
     let inside = match value.get_ref() {
         DeValue::Table(table) => key_in_table(table, span, path),
@@ -349,7 +351,7 @@
     inside || covers(&value.span(), span)
 }
 
-/// As [`key_in_table`], for the items of an array.
+/// Does the same as [`key_in_table`] for the items of an array.
 fn key_in_array<'v, 'i: 'v>(
     items: impl Iterator<Item = &'v Spanned<DeValue<'i>>>,
     span: &Range<usize>,
--- a/crates/kelpworks/src/config/file_kind.rs
+++ b/crates/kelpworks/src/config/file_kind.rs
@@ -1,21 +1,21 @@
-//! Tells settings, a register and rules apart by their keys.
+//! Detects from its keys whether a file holds settings, a register or rules.
 
 use super::document::ConfigErrorKind;
 use super::document::Document;
 use super::document::Result;
 
-/// The kinds of configuration files.
+/// Kind of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FileKind {
     /// Settings of one daemon.
     Settings,
-    /// The register.
+    /// Hosts, models and failure domains of the fleet.
     Register,
-    /// The rules.
+    /// Teams, the trial share and non-idempotent requests.
     Rules,
 }
 
-/// Top keys that only one kind of file has.
+/// Top-level keys that occur in only one kind of file.
 const TOP_LEVEL_KEYS: &[(FileKind, &[&str])] = &[
     (
         FileKind::Settings,
@@ -29,11 +29,11 @@
 ];
 
 impl FileKind {
-    /// The kind of a file by its top keys; `file` names it in errors.
+    /// Detects the kind of a file from its top-level keys. `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// When the text is not TOML, or has no key of any kind.
+    /// When the text is too large, empty or not TOML, or has none of the keys that identify a kind.
     pub fn detect(file: &str, text: &str) -> Result<FileKind> {
         let doc = Document::open(file, text)?;
         let has_any = |keys: &[&str]| keys.iter().any(|k| doc.has_key(k));
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The kind as operators call it.
+    /// Returns the name of the kind in commands and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             FileKind::Settings => "settings",
--- a/crates/kelpworks/src/config/mod.rs
+++ b/crates/kelpworks/src/config/mod.rs
@@ -1,9 +1,8 @@
-//! Configuration: how its files are read, and how a register or rules become the fleet's.
+//! Configuration: reading its files, and publishing a register or rules to the fleet.
 //!
-//! A daemon's settings are a file on its host. The register and the rules are
-//! the fleet's: each is an immutable object of the object API, named by its
-//! digest, and one head object names the pair in force. [`accept`] is the
-//! operator's side of changing that head.
+//! The settings of a daemon are a file on its host. The register and the rules are shared by the
+//! fleet: each is an immutable object in the object API, named by its digest, and one head object
+//! names the active pair. [`accept`] is what operators use to change that head.
 
 pub mod accept;
 pub mod diff;
--- a/crates/kelpworks/src/config/unique.rs
+++ b/crates/kelpworks/src/config/unique.rs
@@ -1,4 +1,4 @@
-//! Names that must be unique in a file, with the line of each.
+//! Names defined in a file, checked for duplicates, and references to them.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::config::document::Document;
 use crate::config::document::MAX_NAME_BYTES;
 
-/// The names of one kind of thing in one file.
+/// Names of one kind of item, such as hosts, that one file defines.
 #[derive(Debug)]
 pub(crate) struct DefinedNames<'a> {
     item_kind: &'static str,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> DefinedNames<'a> {
-    /// No names yet, of this kind of thing.
+    /// Creates an empty set. `item_kind` is the kind's name in errors.
     pub(crate) fn new(item_kind: &'static str) -> DefinedNames<'a> {
         DefinedNames {
             item_kind,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds a name; notes a fault when it is malformed or there already.
+    /// Adds a name; records an error if it is malformed or already defined.
     pub(crate) fn define(&mut self, doc: &mut Document<'_>, name: &'a Spanned<String>) {
         if !is_valid_name(name.get_ref()) {
             doc.record_error(name.span(), ConfigErrorKind::InvalidName);
@@ -47,7 +47,7 @@
         self.lines.insert(name.get_ref(), line);
     }
 
-    /// Notes a fault when the name is not defined.
+    /// Records an error if the name is not defined.
     pub(crate) fn check_reference(&self, doc: &mut Document<'_>, name: &Spanned<String>) {
         if !self.lines.contains_key(name.get_ref().as_str()) {
             record_undefined(doc, self.item_kind, name);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Notes that a name is not defined; a malformed one is not repeated.
+/// Records the error that a name is not defined. The error does not quote a malformed name.
 pub(crate) fn record_undefined(
     doc: &mut Document<'_>,
     item_kind: &'static str,
@@ -71,7 +71,7 @@
     doc.record_error(name.span(), kind);
 }
 
-/// Whether a text may name something: it goes into URLs, logs and metrics as it stands.
+/// Returns whether a text is a valid name. Names appear unescaped in URLs, logs and metrics.
 pub(crate) fn is_valid_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(allowed)
