--- a/crates/kelpworks/src/register/check.rs
+++ b/crates/kelpworks/src/register/check.rs
@@ -1,4 +1,4 @@
-//! Checks of the register across its keys: names are unique, references resolve.
+//! Checks of the register across its keys, such as that names are unique and references resolve.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
      `accelerators`, `models` and `checks_fencing`";
 const PORT_ZERO: &str = "the port of an upstream must be above 0";
 
-/// Reads and checks a register.
+/// Parses and checks a register.
 pub(super) fn parse(file: &str, text: &str) -> Result<Register> {
     let mut doc = Document::open(file, text)?;
     let raw: RegisterFile = doc.deserialize()?;
@@ -49,7 +49,7 @@
     })
 }
 
-/// What the file defines for other tables to refer to.
+/// Names defined in the file that other tables refer to.
 struct Definitions<'a> {
     accelerators: DefinedNames<'a>,
     domains: DefinedNames<'a>,
@@ -57,7 +57,7 @@
 }
 
 impl<'a> Definitions<'a> {
-    /// Collects the names and notes those that are malformed or appear twice.
+    /// Collects the names; records an error for each that is malformed or appears twice.
     fn collect(doc: &mut Document<'_>, raw: &'a RegisterFile) -> Definitions<'a> {
         let mut accelerators = DefinedNames::new("accelerator");
         for a in &raw.accelerator {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Notes amounts that must be above 0 and are not.
+/// Checks that all amounts outside the host tables are above 0.
 fn check_amounts(doc: &mut Document<'_>, raw: &RegisterFile) {
     for a in &raw.accelerator {
         let rate = *a.layer_rate.get_ref();
@@ -101,14 +101,14 @@
     }
 }
 
-/// Notes a fault where an amount is not above 0.
+/// Records an error at `at` if the amount is not above 0.
 fn require_positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
     if !is_positive {
         doc.record_error(at.span(), ConfigErrorKind::NotPositive);
     }
 }
 
-/// Checks that links join known failure domains, and each pair at most once.
+/// Checks that links join defined failure domains, and that no pair is listed twice.
 fn check_links(doc: &mut Document<'_>, links: &[LinkTable], names: &Definitions<'_>) {
     let mut seen = HashMap::new();
     for l in links {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Checks that no two hosts share an address and that each can be dialled.
+/// Checks that no two hosts share an address and that no port is 0.
 fn check_addresses(doc: &mut Document<'_>, hosts: &[Spanned<HostTable>]) {
     let mut seen: HashMap<SocketAddr, usize> = HashMap::new();
     for h in hosts {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Checks every host and turns it into its checked form.
+/// Checks the hosts and returns those with a valid role.
 fn check_hosts(
     doc: &mut Document<'_>,
     hosts: &[Spanned<HostTable>],
@@ -181,7 +181,8 @@
     checked
 }
 
-/// What a host does; `None` after a fault was noted.
+/// Checks the keys that determine what a host runs. Returns `None` if they do not determine a
+/// role, after an error was recorded.
 fn check_role(
     doc: &mut Document<'_>,
     host: &Spanned<HostTable>,
@@ -227,7 +228,8 @@
     }))
 }
 
-/// Checks the models that a host may carry.
+/// Checks that the list of a host's models is not empty, and that each model is defined and appears
+/// once.
 fn check_models(
     doc: &mut Document<'_>,
     models: &Spanned<Vec<Spanned<String>>>,
--- a/crates/kelpworks/src/register/file.rs
+++ b/crates/kelpworks/src/register/file.rs
@@ -1,4 +1,4 @@
-//! The register as it stands in its file, before any check across keys.
+//! The register as deserialized from its file, before any check across keys.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::units::Rate;
 use crate::units::Size;
 
-/// The file.
+/// Top level of the file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -54,7 +54,7 @@
     pub(super) layer_size: Spanned<Size>,
 }
 
-/// One `[[host]]`: with `service` a plain service, otherwise a model engine.
+/// One `[[host]]`: a plain service if `service` is present, otherwise a model engine.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/kelpworks/src/register/mod.rs
+++ b/crates/kelpworks/src/register/mod.rs
@@ -1,7 +1,7 @@
-//! The register: hosts, accelerators, failure domains and the models each host may carry.
+//! The register: hosts, accelerators, failure domains and the models that each host may load.
 //!
-//! Operators keep it as a TOML file and import it as a whole. It says what may
-//! be; what an upstream really holds, it says itself.
+//! Operators keep it as a TOML file and import it as a whole. It lists the models that each host is
+//! allowed to load; which layers an upstream has loaded is reported by the upstream.
 //!
 //! ```
 //! use kelpworks::register::Register;
@@ -45,33 +45,34 @@
     pub models: Vec<Model>,
     /// Upstream hosts.
     pub hosts: Vec<Host>,
-    /// Links between failure domains; a pair that is not listed gets the default.
+    /// Links between failure domains; a pair that is not listed gets default values.
     pub links: Vec<Link>,
 }
 
 impl Register {
-    /// Reads a register from its TOML text; `file` names it in errors.
+    /// Parses and checks a register. `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// The first fault by line: not TOML, an unknown or missing key, a wrong
-    /// unit, a duplicate, a reference to something undefined, an amount of 0.
+    /// Text that is not TOML, an unknown or missing key, or a wrong unit. Otherwise the first error
+    /// by line: a malformed or duplicate name, an undefined reference, an amount that is not above
+    /// 0, or a host that is neither an engine nor a plain service.
     pub fn parse(file: &str, text: &str) -> Result<Register> {
         check::parse(file, text)
     }
 
-    /// Whether a model of this name is in the register.
+    /// Returns whether the register has a model of this name.
     pub fn has_model(&self, name: &str) -> bool {
         self.models.iter().any(|m| m.name == name)
     }
 
-    /// Whether any host runs a plain service of this name.
+    /// Returns whether any host runs a plain service of this name.
     pub fn has_service(&self, name: &str) -> bool {
         let runs = |h: &Host| matches!(&h.role, HostRole::Service(s) if s == name);
         self.hosts.iter().any(runs)
     }
 
-    /// Whether a failure domain of this name is in the register.
+    /// Returns whether the register has a failure domain of this name.
     pub fn has_failure_domain(&self, name: &str) -> bool {
         self.failure_domains.iter().any(|d| d.name == name)
     }
@@ -80,37 +81,37 @@
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accelerator {
-    /// Unique name.
+    /// Name, unique among accelerators.
     pub name: String,
-    /// Layers of one token that one accelerator runs a second; above 0.
+    /// Speed of one accelerator, in layers per second for one token; above 0.
     pub layer_rate: f64,
-    /// Memory of one accelerator.
+    /// Memory of one accelerator; above 0.
     pub memory: Size,
 }
 
 /// A failure domain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailureDomain {
-    /// Unique name.
+    /// Name, unique among failure domains.
     pub name: String,
-    /// Region it stands in.
+    /// Name of the region that contains it.
     pub region: String,
 }
 
 /// A model to serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Unique name.
+    /// Name, unique among models.
     pub name: String,
-    /// Version to serve.
+    /// Version of the weights to serve.
     pub version: String,
     /// Number of layers; above 0.
     pub layers: u32,
-    /// Weights of one layer.
+    /// Size of the weights of one layer; above 0.
     pub layer_size: Size,
 }
 
-/// What an upstream host does.
+/// What an upstream host runs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostRole {
     /// Runs a model engine.
@@ -119,41 +120,41 @@
     Service(String),
 }
 
-/// Accelerators of an engine host.
+/// Accelerators of an engine host, and the models that it may load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineHost {
     /// Name of the kind of accelerator.
     pub accelerator: String,
-    /// How many; above 0.
+    /// Number of accelerators; above 0.
     pub accelerators: u32,
-    /// Names of the models it may carry; never empty.
+    /// Names of the models that the host may load; never empty.
     pub models: Vec<String>,
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses an order whose fencing token is outdated. Default false.
     pub checks_fencing: bool,
 }
 
 /// An upstream host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Unique name.
+    /// Name, unique among hosts.
     pub name: String,
-    /// Failure domain it stands in.
+    /// Name of the failure domain that contains the host.
     pub failure_domain: String,
-    /// Where it listens; unique.
+    /// Address on which the host accepts requests; unique among hosts.
     pub address: SocketAddr,
-    /// What it does.
+    /// Whether the host runs an engine or a plain service.
     pub role: HostRole,
 }
 
-/// A link between two failure domains, both ways.
+/// A link between two failure domains. Its properties apply in both directions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
-    /// One end.
+    /// Failure domain at one end.
     pub from: String,
-    /// The other end; may be the same failure domain.
+    /// Failure domain at the other end; may be the same one.
     pub to: String,
     /// One-way latency.
     pub latency: DurationSetting,
-    /// Bandwidth of one connection.
+    /// Bandwidth of one connection; above 0.
     pub bandwidth: Rate,
 }
