--- a/crates/kelpworks/src/rules/check.rs
+++ b/crates/kelpworks/src/rules/check.rs
@@ -25,7 +25,7 @@
 const METHOD_FORM: &str = "expected an HTTP method in upper case";
 const PATH_FORM: &str = "expected a path that starts with `/`";
 
-/// Reads and checks rules; models and services only when there is a register.
+/// Parses and checks rules. Models and services are looked up only if there is a register.
 pub(super) fn parse(file: &str, text: &str, register: Option<&Register>) -> Result<Rules> {
     let mut doc = Document::open(file, text)?;
     let raw: RulesFile = doc.deserialize()?;
@@ -50,7 +50,8 @@
     })
 }
 
-/// Checks weights and token digests.
+/// Checks weights and token digests. Skips teams whose digests are malformed, after an error was
+/// recorded.
 fn check_teams(doc: &mut Document<'_>, teams: &[TeamTable]) -> Vec<Team> {
     let mut seen = HashMap::new();
     let mut checked = Vec::with_capacity(teams.len());
@@ -81,7 +82,7 @@
     checked
 }
 
-/// The digests in lower case; `None` when the value is anything else than a list of digests.
+/// Returns the digests in lower case, or `None` if the value is not a non-empty list of digests.
 fn parse_digests(value: &toml::Value) -> Option<Vec<String>> {
     let items = value.as_array()?;
     if items.is_empty() {
@@ -90,14 +91,15 @@
     items.iter().map(parse_digest).collect()
 }
 
-/// One digest in lower case.
+/// Returns a digest in lower case, or `None` if the value is not a digest.
 fn parse_digest(value: &toml::Value) -> Option<String> {
     let text = value.as_str()?;
     let is_digest = text.len() == DIGEST_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     is_digest.then(|| text.to_ascii_lowercase())
 }
 
-/// Checks one match of non-idempotent requests; `None` after a fault was noted.
+/// Checks one rule for non-idempotent requests. Returns `None` if its keys do not determine a kind
+/// of rule, after an error was recorded.
 fn check_match(
     doc: &mut Document<'_>,
     rule: &Spanned<NonIdempotentTable>,
@@ -134,7 +136,7 @@
     }
 }
 
-/// Checks the method and the path of a call.
+/// Checks that the method is in upper case and that the path starts with a slash.
 fn check_method_and_path(doc: &mut Document<'_>, method: &Spanned<String>, path: &Spanned<String>) {
     let text = method.get_ref();
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_uppercase()) {
--- a/crates/kelpworks/src/rules/file.rs
+++ b/crates/kelpworks/src/rules/file.rs
@@ -1,11 +1,11 @@
-//! The rules as they stand in their file, before any check across keys.
+//! The rules as deserialized from their file, before any check across keys.
 
 use serde::Deserialize;
 use toml::Spanned;
 
 use kelpworks_wire::Class;
 
-/// The file.
+/// Top level of the file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -34,7 +34,7 @@
     pub(super) class: Class,
     #[serde(default = "default_weight")]
     pub(super) weight: Spanned<u32>,
-    /// Of any type: an error of the TOML library about a wrong one would show
+    /// Accepts any type and is checked later. The TOML library's error for a wrong type would quote
     /// the value, which may be a bearer token put here by mistake.
     pub(super) token_sha256: Spanned<toml::Value>,
 }
@@ -51,7 +51,7 @@
     pub(super) team: Option<Spanned<String>>,
 }
 
-/// Weight of a team that states none.
+/// Weight of a team whose table has no `weight`.
 const DEFAULT_WEIGHT: u32 = 1;
 
 fn default_weight() -> Spanned<u32> {
--- a/crates/kelpworks/src/rules/mod.rs
+++ b/crates/kelpworks/src/rules/mod.rs
@@ -1,8 +1,9 @@
-//! The rules: which teams pay, what share trials may take, and what is non-idempotent.
+//! The rules: teams and their classes, the share of the fleet for trials, and which requests are
+//! non-idempotent.
 //!
-//! Operators keep them as a TOML file and apply it as a whole. Rules are always
-//! checked against a register, since they name its models and services. Bearer
-//! tokens appear only as SHA-256 digests, and not even these reach an error.
+//! Operators keep them as a TOML file and apply it as a whole. Before rules are applied they are
+//! checked against a register, since they name its models and services. Bearer tokens appear only
+//! as SHA-256 digests, and error messages do not quote even these.
 //!
 //! ```
 //! use kelpworks::register::Register;
@@ -35,36 +36,34 @@
 pub use crate::config::document::Error;
 pub use crate::config::document::Result;
 
-/// The whole of the rules, checked against a register.
+/// All rules. Those from [`Rules::parse`] are checked against a register.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Share of the fleet that trials may take, 0 to 1.
+    /// Share of the fleet that trials may use, from 0 to 1.
     pub trial_share: f64,
-    /// Teams; names and tokens are unique.
+    /// Teams; no two have the same name or a token in common.
     pub teams: Vec<Team>,
-    /// Requests that run at most once.
+    /// Rules that select the requests that must run at most once.
     pub non_idempotent: Vec<NonIdempotent>,
 }
 
 impl Rules {
-    /// Reads rules from their TOML text; `file` names it in errors.
-    ///
-    /// The default of a team's weight is 1.
+    /// Parses and checks rules. `file` is their name in errors.
     ///
     /// # Errors
     ///
-    /// The first fault by line: not TOML, an unknown or missing key, a share
-    /// outside 0 to 1, a duplicate team or token, or a rule for a team, model
-    /// or service that does not exist.
+    /// Text that is not TOML, or an unknown or missing key. Otherwise the first error by line: a
+    /// share outside 0 to 1, a weight of 0, a malformed or duplicate team name or token digest, a
+    /// rule with wrong keys, or a rule for a team, model or service that does not exist.
     pub fn parse(file: &str, text: &str, register: &Register) -> Result<Rules> {
         check::parse(file, text, Some(register))
     }
 
-    /// Reads rules by themselves, for want of a register: models and services are not looked up.
+    /// Parses rules when no register is at hand. Models and services are not looked up.
     ///
     /// # Errors
     ///
-    /// As [`Rules::parse`], but for models and services.
+    /// Those of [`Rules::parse`], except for undefined models and services.
     pub fn parse_without_register(file: &str, text: &str) -> Result<Rules> {
         check::parse(file, text, None)
     }
@@ -73,18 +72,19 @@
 /// A team of callers.
 #[derive(Clone, PartialEq)]
 pub struct Team {
-    /// Unique name.
+    /// Name, unique among teams.
     pub name: String,
     /// Paying or on trial.
     pub class: Class,
-    /// Weight within its class; above 0.
+    /// Weight relative to other teams of the class; above 0. Default 1.
     pub weight: u32,
-    /// SHA-256 digests, in hex, of the bearer tokens that name the team.
+    /// SHA-256 digests, in lower-case hexadecimal, of the bearer tokens that identify the team.
     pub token_sha256: Vec<String>,
 }
 
 impl fmt::Debug for Team {
-    /// Leaves out the digests, so that a logged team tells nothing of its tokens.
+    /// Prints the number of digests instead of the digests, so that a logged team reveals nothing
+    /// about its tokens.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Team")
             .field("name", &self.name)
@@ -95,14 +95,14 @@
     }
 }
 
-/// Matches requests that must run at most once.
+/// A rule that selects requests that must run at most once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NonIdempotent {
     /// Calls of a plain service by method and path prefix.
     Service {
         /// Name of the service.
         service: String,
-        /// HTTP method, upper case.
+        /// HTTP method in upper case.
         method: String,
         /// Path prefix below the service, starting with `/`.
         path: String,
--- a/crates/kelpworks/src/rules/path.rs
+++ b/crates/kelpworks/src/rules/path.rs
@@ -1,18 +1,18 @@
-//! Paths of calls, matched against the rules.
+//! Matching of request paths against the path prefixes of rules.
 //!
-//! A service may take several spellings for one path, and the HTTP client itself resolves dot
-//! segments. A rule that looked only at the spelling would let `/x/../certificates` through, and a
-//! call that may run once would be sent again.
+//! A service may accept several spellings of one path, and the HTTP client resolves dot segments.
+//! If a rule for `/certificates` were compared only with the path as sent, it would not match
+//! `/x/../certificates`, and a request that must run at most once could be retried.
 
 use percent_encoding::percent_decode_str;
 
-/// Whether a path starts with the prefix of a rule, as it stands or in its plain spelling.
+/// Returns whether a path, either as sent or normalized, starts with the prefix of a rule.
 pub(crate) fn matches_prefix(path: &str, prefix: &str) -> bool {
     path.starts_with(prefix) || normalize(path).starts_with(prefix)
 }
 
-/// A path with its characters decoded, and without empty and dot segments. It ends with a slash, so
-/// that a prefix that ends with one matches too.
+/// Percent-decodes a path, treats backslashes as slashes, and resolves empty and dot segments. The
+/// result ends with a slash, so that a prefix that ends with one matches too.
 fn normalize(path: &str) -> String {
     let decoded = percent_decode_str(path).decode_utf8_lossy();
     let mut segments = Vec::new();
