--- a/crates/kelpworks/src/settings/check.rs
+++ b/crates/kelpworks/src/settings/check.rs
@@ -23,13 +23,13 @@
 use crate::config::unique::record_undefined;
 use crate::register::Register;
 
-/// A lease is at least as long as so many order bounds: a holder renews it when three tenths have
-/// passed, and must have time for an order then even after a renewal failed.
+/// Minimum length of a lease, in order bounds. A holder renews its lease after three tenths of it,
+/// and must still have time for an order when a renewal fails.
 const MIN_ORDER_BOUNDS_PER_LEASE: u32 = 3;
 const MIN_LEASE_TEXT: &str = "3 times placement.order_bound";
 const MAX_ORDER_BOUND_TEXT: &str = "a third of placement.lease";
 
-/// Reads and checks settings; the failure domain only when there is a register.
+/// Parses and checks settings. The failure domain is looked up only if there is a register.
 pub(super) fn parse(file: &str, text: &str, register: Option<&Register>) -> Result<Settings> {
     let mut doc = Document::open(file, text)?;
     let raw: SettingsFile = doc.deserialize()?;
@@ -58,7 +58,7 @@
     })
 }
 
-/// Checks that no address is given twice; port 0 takes a free one and may repeat.
+/// Checks that no address appears twice, except with port 0, for which the system chooses a port.
 fn check_listen(doc: &mut Document<'_>, listen: &ListenTable) {
     let mut seen = HashMap::new();
     for address in [&listen.callers, &listen.operators, &listen.peers] {
@@ -81,14 +81,14 @@
     }
 }
 
-/// Checks a base URL; one with a password is refused, since URLs are logged.
+/// Checks a base URL. URLs are logged, so one with a user or password is refused.
 fn check_url(doc: &mut Document<'_>, url: &Spanned<String>) {
     if !is_base_url(url.get_ref()) {
         doc.record_error(url.span(), ConfigErrorKind::InvalidUrl);
     }
 }
 
-/// Whether a text is a base URL of HTTP without user, password, query or fragment.
+/// Returns whether a text is an HTTP or HTTPS URL without user, password, query or fragment.
 fn is_base_url(text: &str) -> bool {
     let Ok(url) = reqwest::Url::parse(text) else {
         return false;
@@ -112,7 +112,7 @@
     require_positive(doc, target, !target.get_ref().0.is_zero());
 }
 
-/// Checks that every time is above 0 and the floor not above the ceiling.
+/// Checks that every time is above 0, and that the step floor does not exceed the step ceiling.
 fn check_timing(doc: &mut Document<'_>, timing: &TimingTable) {
     let times = [
         &timing.request,
@@ -132,7 +132,7 @@
     if timing.step_floor.get_ref() <= timing.step_ceiling.get_ref() {
         return;
     }
-    // Either may stand at its default; the fault goes to the one in the file.
+    // An empty span marks a default value. The error is reported at a key that is in the file.
     match timing.step_floor.span().is_empty() {
         true => doc.record_error(
             timing.step_ceiling.span(),
@@ -145,7 +145,7 @@
     }
 }
 
-/// Checks that every time and rate is above 0, and that a lease leaves time for orders.
+/// Checks that every time and rate is above 0, and that the lease is long enough for orders.
 fn check_placement(doc: &mut Document<'_>, placement: &PlacementTable) {
     let times = [
         &placement.lease,
@@ -175,7 +175,7 @@
     }
 }
 
-/// Notes a fault where an amount is not above 0.
+/// Records an error at `at` if the amount is not above 0.
 fn require_positive<T>(doc: &mut Document<'_>, at: &Spanned<T>, is_positive: bool) {
     if !is_positive {
         doc.record_error(at.span(), ConfigErrorKind::NotPositive);
--- a/crates/kelpworks/src/settings/file.rs
+++ b/crates/kelpworks/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Settings as they stand in their file, with the defaults of what may be left out.
+//! Settings as deserialized from their file, with defaults for optional keys.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::units::Rate;
 use crate::units::Size;
 
-/// The file.
+/// Top level of the file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -48,7 +48,7 @@
     pub(super) host_list: Spanned<String>,
 }
 
-/// Log levels, named as operators write them.
+/// Log level, in lower case in the file.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -62,7 +62,7 @@
 }
 
 impl LogLevel {
-    /// The level as the logger reads it.
+    /// Returns the level in the form that the logger parses.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
@@ -168,7 +168,7 @@
     }
 }
 
-/// A default; it has no place in the file.
+/// Wraps a default value in an empty span, which marks a key that is absent from the file.
 fn without_span<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
--- a/crates/kelpworks/src/settings/mod.rs
+++ b/crates/kelpworks/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Settings of one daemon: its name, addresses and failure domain, and where the platform is.
+//! Settings of one daemon: its name, addresses and failure domain, and the platform's URLs.
 //!
-//! Each host has its own file; what the whole fleet shares is in the register
-//! and the rules instead. Tables `log`, `limits`, `timing` and `placement` may be left out.
+//! Each host has its own file. What the whole fleet shares is in the register and the rules
+//! instead. The tables `log`, `limits`, `timing` and `placement` are optional.
 //!
 //! ```
 //! use kelpworks::settings::Settings;
@@ -41,122 +41,127 @@
 pub struct Settings {
     /// Name of this daemon, unique among daemons.
     pub name: String,
-    /// Failure domain it stands in.
+    /// Name of the failure domain that contains the daemon's host.
     pub failure_domain: String,
-    /// Addresses it listens on.
+    /// Addresses on which the daemon listens.
     pub listen: Listen,
-    /// Where the platform is.
+    /// Base URLs of the platform's services.
     pub platform: Platform,
     /// Log level: `error`, `warn`, `info`, `debug` or `trace`. Default `info`.
     pub log_level: String,
-    /// Bounds on requests.
+    /// Limits on requests and on claim writes.
     pub limits: Limits,
-    /// Timeouts and intervals.
+    /// Timeouts and intervals outside placement.
     pub timing: Timing,
-    /// How this daemon takes part in placement.
+    /// Lease, timing and weight rate of placement.
     pub placement: Placement,
 }
 
 impl Settings {
-    /// Reads settings from their TOML text; `file` names it in errors.
+    /// Parses and checks settings. `file` is their name in errors.
     ///
     /// # Errors
     ///
-    /// The first fault by line: not TOML, an unknown or missing key, a wrong
-    /// unit, an address twice, a URL with a password, an amount of 0.
+    /// Text that is not TOML, an unknown or missing key, or a wrong unit. Otherwise the first error
+    /// by line, such as a malformed name, a duplicate address, a URL with a password, an amount of
+    /// 0, or a lease that is too short for the order bound.
     pub fn parse(file: &str, text: &str) -> Result<Settings> {
         check::parse(file, text, None)
     }
 
-    /// Reads settings and checks their failure domain against a register.
+    /// Parses settings and also checks that the register defines their failure domain.
     ///
     /// # Errors
     ///
-    /// As [`Settings::parse`], and when the register lacks the failure domain.
+    /// Those of [`Settings::parse`], and a failure domain that the register does not define.
     pub fn parse_with_register(file: &str, text: &str, register: &Register) -> Result<Settings> {
         check::parse(file, text, Some(register))
     }
 }
 
-/// Addresses of a daemon; port 0 takes a free one.
+/// Addresses on which a daemon listens. With port 0 the system chooses a free port.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators: metrics, health and status.
+    /// Address for operators: metrics, health and status.
     pub operators: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
 }
 
-/// Base URLs of the platform's services.
+/// Base URLs of the platform's services, `http` or `https` without user or password.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// The object API.
+    /// Base URL of the object API.
     pub object_api: String,
-    /// The host list.
+    /// Base URL of the host list.
     pub host_list: String,
 }
 
-/// Bounds on requests.
+/// Limits on requests and on claim writes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Largest request body, in bytes; key `body`, a size. Default 1 MiB.
+    /// Maximum size of a request body in bytes. The key is `body`, with a unit. Default 1 MiB.
     pub body_bytes: u64,
-    /// Most tokens that one request may generate. Default 4096.
+    /// Maximum number of tokens that one request may generate. Default 4096.
     pub max_tokens: u32,
-    /// Requests waiting for admission, at most. Default 1024.
+    /// Maximum number of requests waiting for admission. Default 1024.
     pub queue: u32,
-    /// Writes a second to the object API that the whole fleet of daemons may spend on claims.
-    /// Default 200.
+    /// Maximum rate of writes to the object API for claims, in writes per second for all daemons of
+    /// the fleet together. Default 200.
     pub claim_writes_per_second: u32,
-    /// Time between tokens that is aimed at under load: a longer one lets more requests run at
-    /// once and gives more tokens a second, a shorter one answers sooner. Default 50 ms.
+    /// Target time between the tokens of a request under load. A longer time lets more requests run
+    /// at once and gives more tokens per second, a shorter one gives faster responses. Default
+    /// 50 ms.
     pub token_target: DurationSetting,
 }
 
-/// Timeouts and intervals.
+/// Timeouts and intervals outside placement. All are above 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Longest time for a whole request. Default 120 s.
+    /// Timeout of a whole request. Default 120 s.
     pub request: DurationSetting,
-    /// Longest time to open a connection. Default 1 s.
+    /// Timeout for opening a connection. Default 1 s.
     pub connect: DurationSetting,
-    /// Least progress deadline of a step. Default 50 ms.
+    /// Minimum progress deadline of a step; at most `step_ceiling`. Default 50 ms.
     pub step_floor: DurationSetting,
-    /// Greatest progress deadline of a step. Default 5 s.
+    /// Maximum progress deadline of a step. Default 5 s.
     pub step_ceiling: DurationSetting,
-    /// How often upstreams are asked for their state. Default 500 ms.
+    /// Interval at which upstreams are polled for their state. Default 500 ms.
     pub state_poll: DurationSetting,
-    /// How often the host list is read. Default 1 s.
+    /// Interval at which the host list is polled. Default 1 s.
     pub host_list_poll: DurationSetting,
-    /// Longest wait of an object API watch before it is opened anew. Default 700 ms: a watch that was
-    /// lost hides changes for this long and a second, and they are to be in force within three.
+    /// Maximum wait of a watch on the object API before it is reopened. Default 700 ms: a lost
+    /// watch hides changes for this time plus one second, and changes must be active within three
+    /// seconds.
     pub watch: DurationSetting,
-    /// How often a heartbeat goes to peers. Default 1 s.
+    /// Interval of heartbeats to peers. Default 1 s.
     pub heartbeat: DurationSetting,
-    /// How long a planned stop still takes requests once the balancer's check fails; longer than
-    /// the balancer needs to notice. Default 2 s.
+    /// Time during which a daemon in a planned stop still accepts requests, after it has begun to
+    /// fail the load balancer's check. Must be longer than the balancer needs to notice.
+    /// Default 2 s.
     pub balancer_notice: DurationSetting,
-    /// How long a planned stop waits for requests in flight. Default 60 s.
+    /// Maximum time that a planned stop waits for requests in flight. Default 60 s.
     pub drain: DurationSetting,
 }
 
-/// How a daemon takes part in placement. The times of the lease must be the same on all daemons.
+/// Settings of placement. `lease` and `order_bound` must be the same on all daemons.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// Whether it may take the placement lease and order engines. Default true.
+    /// Whether the daemon may acquire the placement lease and send orders to engines. Default true.
     pub enabled: bool,
-    /// Length of the placement lease. Default 10 s.
+    /// Duration of the placement lease. Default 10 s.
     pub lease: DurationSetting,
-    /// Longest time from an order to its effect; at most a third of the lease. Default 2 s.
+    /// Maximum time from an order to its effect; at most a third of `lease`. Default 2 s.
     pub order_bound: DurationSetting,
-    /// Time between two looks at the fleet. Default 1 s.
+    /// Interval between the starts of two placement rounds. Default 1 s.
     pub interval: DurationSetting,
-    /// How long a host may be down before its layers are placed elsewhere. Default 10 s.
+    /// Time a host may be down before its layers are placed elsewhere. Default 10 s.
     pub lost_after: DurationSetting,
-    /// How long hosts must stay as they are before a better placement is looked for. Default 60 s.
+    /// Time that liveness and rates of all hosts must be unchanged before a better placement is
+    /// searched for. Default 60 s.
     pub improve_after: DurationSetting,
-    /// What the weight store delivers to the whole fleet. Default 1 GB/s.
+    /// Rate at which the weight store delivers weights to all hosts together. Default 1 GB/s.
     pub weight_rate: Rate,
 }
