--- a/crates/kelpworks/src/config/accept/store.rs
+++ b/crates/kelpworks/src/config/accept/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the object API for the head and the blobs.
+//! Calls to the object API that read and write the head and the texts that it names.
 
 use std::time::Duration;
 
@@ -22,68 +22,72 @@
 use kelpworks_coord::id::Digest;
 use kelpworks_coord::id::Version;
 
-/// How often and how patiently calls to the object API are repeated.
+/// Retry limits and timeouts of calls to the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Reads for one purpose, at most. Default 6.
-    pub attempts: u32,
-    /// Pause before a repetition, at least; up to twice as long. Default 200 ms.
-    pub pause: Duration,
-    /// Longest time for a whole change. Default 15 s.
-    pub timeout: Duration,
+    /// Maximum number of attempts to read an object before the read counts as failed. The swap
+    /// itself retries failed steps until `swap_timeout`. Default 6.
+    pub max_attempts: u32,
+    /// Minimum delay before a retry; jitter makes it up to twice as long. Default 200 ms.
+    pub min_delay: Duration,
+    /// Timeout of the swap, which stores the text and updates the head. It does not include the
+    /// reads and the validation before the swap, and does not interrupt a call in flight.
+    /// Default 15 s.
+    pub swap_timeout: Duration,
 }
 
 impl Default for RetryPolicy {
     fn default() -> RetryPolicy {
         RetryPolicy {
-            attempts: 6,
-            pause: Duration::from_millis(200),
-            timeout: Duration::from_secs(15),
+            max_attempts: 6,
+            min_delay: Duration::from_millis(200),
+            swap_timeout: Duration::from_secs(15),
         }
     }
 }
 
 impl RetryPolicy {
-    /// Waits before a repetition, with jitter so that rivals do not meet again.
-    pub(super) async fn pause(&self) {
+    /// Waits before a retry, with jitter so that concurrent operators do not collide again.
+    pub(super) async fn wait_with_jitter(&self) {
         let factor = rand::rng().random_range(1.0..2.0);
-        tokio::time::sleep(self.pause.mul_f64(factor)).await;
+        tokio::time::sleep(self.min_delay.mul_f64(factor)).await;
     }
 }
 
-/// The texts that a head names.
+/// Texts of the parts that a head names. A part is `None` if the head names none, or if the
+/// caller skipped its text.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Texts {
+pub(super) struct PartTexts {
     pub(super) register: Option<String>,
     pub(super) rules: Option<String>,
 }
 
-/// The object API with a retry policy, and its last error.
+/// Client for the configuration objects in the object API, with a retry policy.
 #[derive(Debug)]
-pub(super) struct Store<'a, A> {
+pub(super) struct ConfigStore<'a, A> {
     pub(super) api: &'a A,
     pub(super) retry: RetryPolicy,
-    /// What the API last failed with, for the report when time runs out.
-    pub(super) last: object_api::Error,
+    /// Last error of the API, returned to the operator after a timeout or the last attempt.
+    pub(super) last_error: object_api::Error,
 }
 
-impl<'a, A: ObjectApi> Store<'a, A> {
-    pub(super) fn new(api: &'a A, retry: RetryPolicy) -> Store<'a, A> {
-        Store {
+impl<'a, A: ObjectApi> ConfigStore<'a, A> {
+    pub(super) fn new(api: &'a A, retry: RetryPolicy) -> ConfigStore<'a, A> {
+        ConfigStore {
             api,
             retry,
-            last: object_api::Error::Unavailable,
+            last_error: object_api::Error::Unavailable,
         }
     }
 
-    /// Reads the head, patiently.
+    /// Reads the head, with retries.
     pub(super) async fn head(&mut self) -> Result<StoredHead> {
         let object = self.get(HEAD_KIND, HEAD_NAME).await?;
-        stored(object.as_ref())
+        decode_head(object.as_ref())
     }
 
-    /// Reads the texts that a head names, patiently; `skip` is at hand already.
-    pub(super) async fn texts(&mut self, head: &Head, skip: Option<Digest>) -> Result<Texts> {
+    /// Reads the texts that a head names, with retries, except the text with digest `skip`.
+    pub(super) async fn texts(&mut self, head: &Head, skip: Option<Digest>) -> Result<PartTexts> {
         let mut blobs = [None, None];
         for (blob, part) in blobs.iter_mut().zip([head.register, head.rules]) {
             let wanted = part.map(|p| p.digest).filter(|d| Some(*d) != skip);
@@ -92,10 +96,10 @@
             }
         }
         let [register, rules] = blobs;
-        Ok(Texts { register, rules })
+        Ok(PartTexts { register, rules })
     }
 
-    /// Reads a blob and checks that it is the one its name promises.
+    /// Reads a text and checks that it matches its digest.
     async fn blob(&mut self, digest: Digest) -> Result<String> {
         let object = self.get(BLOB_KIND, &digest.to_string()).await?;
         let body = object.ok_or(Error::BlobMissing { digest })?.body;
@@ -105,32 +109,32 @@
         }
     }
 
-    /// Reads an object; reading twice does no harm, so any failure is retried.
+    /// Reads an object. Reads are idempotent, so any failure is retried.
     async fn get(&mut self, kind: &str, name: &str) -> Result<Option<Object>> {
-        for _ in 0..self.retry.attempts {
+        for _ in 0..self.retry.max_attempts {
             match self.api.get(kind, name).await {
                 Ok(object) => return Ok(Some(object)),
                 Err(object_api::Error::NotFound) => return Ok(None),
-                Err(e) => self.failed(e),
+                Err(e) => self.record_error(e),
             }
-            self.retry.pause().await;
+            self.retry.wait_with_jitter().await;
         }
-        Err(Error::Unavailable(self.last.clone()))
+        Err(Error::Unavailable(self.last_error.clone()))
     }
 
-    /// Reads the head once, as an event of the swap.
+    /// Reads the head without a retry, and returns the result as an event of the swap.
     pub(super) async fn read_head(&mut self) -> Result<SwapEvent> {
         match self.api.get(HEAD_KIND, HEAD_NAME).await {
-            Ok(object) => Ok(SwapEvent::HeadRead(stored(Some(&object))?)),
-            Err(object_api::Error::NotFound) => Ok(SwapEvent::HeadRead(stored(None)?)),
+            Ok(object) => Ok(SwapEvent::HeadRead(decode_head(Some(&object))?)),
+            Err(object_api::Error::NotFound) => Ok(SwapEvent::HeadRead(decode_head(None)?)),
             Err(e) => {
-                self.failed(e);
+                self.record_error(e);
                 Ok(SwapEvent::Refused)
             }
         }
     }
 
-    /// Writes a blob once. Its name is its digest, so writing it twice does no harm.
+    /// Stores a text without a retry. Its name is its digest, so storing it twice is harmless.
     pub(super) async fn put_blob(&mut self, text: &str) -> Result<SwapEvent> {
         let name = digest_of(text).to_string();
         let put = self
@@ -142,13 +146,13 @@
                 Err(Error::Unavailable(object_api::Error::TooLarge))
             }
             Err(e) => {
-                self.failed(e);
+                self.record_error(e);
                 Ok(SwapEvent::Refused)
             }
         }
     }
 
-    /// Writes the head once, when it still has this version.
+    /// Writes the head without a retry, on condition that it still has this version.
     pub(super) async fn swap_head(
         &mut self,
         if_version: Version,
@@ -164,7 +168,7 @@
             Err(object_api::Error::Outdated) => self.conflict(None, if_version).await,
             Err(e) => {
                 let may_have_run = e.may_have_run();
-                self.failed(e);
+                self.record_error(e);
                 Ok(match may_have_run {
                     true => SwapEvent::Lost,
                     false => SwapEvent::Refused,
@@ -173,15 +177,15 @@
         }
     }
 
-    /// The head that stood in the way. An answer that is not newer than the version that just
-    /// failed is out of date and tells nothing: the write is tried again later.
+    /// Returns a conflict with the current head. A head that is not newer than the version that
+    /// just failed is stale, so the write then counts as refused and is retried later.
     async fn conflict(
         &mut self,
         current: Option<Box<Object>>,
         if_version: Version,
     ) -> Result<SwapEvent> {
         let at = match current {
-            Some(object) => stored(Some(&object))?,
+            Some(object) => decode_head(Some(&object))?,
             None => self.head().await?,
         };
         Ok(match at.version > if_version {
@@ -190,17 +194,17 @@
         })
     }
 
-    /// Notes an error, and leaves a connection behind that may be dead.
-    fn failed(&mut self, error: object_api::Error) {
+    /// Records an error. After a lost reply, drops the connections, which may be dead.
+    fn record_error(&mut self, error: object_api::Error) {
         if error == object_api::Error::Lost {
             self.api.reset_connections();
         }
-        self.last = error;
+        self.last_error = error;
     }
 }
 
-/// The head of its object; the empty one when there is none.
-fn stored(object: Option<&Object>) -> Result<StoredHead> {
+/// Decodes the head object. Returns the empty head if there is no object.
+fn decode_head(object: Option<&Object>) -> Result<StoredHead> {
     let Some(object) = object else {
         return Ok(StoredHead {
             version: Version::ABSENT,
--- a/crates/kelpworks/src/config/diff.rs
+++ b/crates/kelpworks/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What a change adds, removes and changes, for operators to look at before it is applied.
+//! Difference between two registers or two sets of rules, for operators to review before a change.
 //!
 //! ```
 //! use kelpworks::config::diff::Diff;
@@ -16,82 +16,82 @@
 use crate::rules::NonIdempotent;
 use crate::rules::Rules;
 
-/// The difference of two registers or two sets of rules.
+/// The difference between two registers or two sets of rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// Lists of named things that differ; equal ones are left out.
+    /// Lists of named items that differ; lists without a difference are left out.
     pub sections: Vec<Section>,
-    /// The trial share before and after, when it differs.
+    /// Trial share before and after the change; `None` if it does not differ.
     pub trial_share: Option<(f64, f64)>,
 }
 
-/// What differs in one list of named things, each in the order of names.
+/// Difference between two versions of one list of named items. Names are sorted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Section {
-    /// What is listed, such as `hosts`.
-    pub what: &'static str,
-    /// Names that are new.
+    /// Heading of the list, such as `hosts`.
+    pub list_name: &'static str,
+    /// Names that occur in the new list only.
     pub added: Vec<String>,
-    /// Names that are gone.
+    /// Names that occur in the old list only.
     pub removed: Vec<String>,
-    /// Names that stay with another content.
+    /// Names that occur in both lists with different content.
     pub changed: Vec<String>,
 }
 
 impl Diff {
-    /// The difference of two registers.
+    /// Compares two registers.
     pub fn of_registers(old: &Register, new: &Register) -> Diff {
-        let pair = |l: &crate::register::Link| {
+        let link_name = |l: &crate::register::Link| {
             let (a, b) = (&l.from, &l.to);
             format!("{} - {}", a.min(b), a.max(b))
         };
         let sections = vec![
-            section("accelerators", &old.accelerators, &new.accelerators, |a| {
+            compare("accelerators", &old.accelerators, &new.accelerators, |a| {
                 a.name.clone()
             }),
-            section(
+            compare(
                 "failure domains",
                 &old.failure_domains,
                 &new.failure_domains,
                 |d| d.name.clone(),
             ),
-            section("models", &old.models, &new.models, |m| m.name.clone()),
-            section("hosts", &old.hosts, &new.hosts, |h| h.name.clone()),
-            section("links", &old.links, &new.links, pair),
+            compare("models", &old.models, &new.models, |m| m.name.clone()),
+            compare("hosts", &old.hosts, &new.hosts, |h| h.name.clone()),
+            compare("links", &old.links, &new.links, link_name),
         ];
         Diff {
-            sections: kept(sections),
+            sections: non_empty(sections),
             trial_share: None,
         }
     }
 
-    /// The difference of two sets of rules.
+    /// Compares two sets of rules.
     pub fn of_rules(old: &Rules, new: &Rules) -> Diff {
         let sections = vec![
-            section("teams", &old.teams, &new.teams, |t| t.name.clone()),
-            section(
+            compare("teams", &old.teams, &new.teams, |t| t.name.clone()),
+            compare(
                 "non-idempotent",
                 &old.non_idempotent,
                 &new.non_idempotent,
-                match_name,
+                describe_match,
             ),
         ];
         let shares = (old.trial_share, new.trial_share);
         Diff {
-            sections: kept(sections),
+            sections: non_empty(sections),
             trial_share: (shares.0 != shares.1).then_some(shares),
         }
     }
 
-    /// Whether nothing differs.
+    /// Returns whether there is no difference.
     pub fn is_empty(&self) -> bool {
         self.sections.is_empty() && self.trial_share.is_none()
     }
 }
 
-/// Compares two lists of things that have unique names.
-fn section<T: PartialEq>(
-    what: &'static str,
+/// Compares two lists of items by the name that `name` returns, which is unique in each list.
+fn compare<T: PartialEq>(
+    list_name: &'static str,
     old: &[T],
     new: &[T],
     name: impl Fn(&T) -> String,
@@ -100,7 +100,7 @@
     let new: BTreeMap<String, &T> = new.iter().map(|t| (name(t), t)).collect();
     let differs = |n: &&String| old.get(*n).is_some_and(|t| *t != new[*n]);
     Section {
-        what,
+        list_name,
         added: new
             .keys()
             .filter(|n| !old.contains_key(*n))
@@ -115,14 +115,16 @@
     }
 }
 
-/// The sections that hold anything.
-fn kept(sections: Vec<Section>) -> Vec<Section> {
-    let holds = |s: &Section| !(s.added.is_empty() && s.removed.is_empty() && s.changed.is_empty());
-    sections.into_iter().filter(holds).collect()
+/// Drops the sections without a difference.
+fn non_empty(sections: Vec<Section>) -> Vec<Section> {
+    let has_changes =
+        |s: &Section| !(s.added.is_empty() && s.removed.is_empty() && s.changed.is_empty());
+    sections.into_iter().filter(has_changes).collect()
 }
 
-/// A match of non-idempotent requests in words; it has no other content.
-fn match_name(rule: &NonIdempotent) -> String {
+/// Describes a rule for non-idempotent requests. The description serves as the rule's name and
+/// covers all its fields, so such a rule is added or removed but never changed.
+fn describe_match(rule: &NonIdempotent) -> String {
     match rule {
         NonIdempotent::Service {
             service,
@@ -145,10 +147,10 @@
 impl fmt::Display for Section {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = (self.added.len(), self.removed.len(), self.changed.len());
-        let what = self.what;
+        let list_name = self.list_name;
         writeln!(
             f,
-            "{what}: {} added, {} removed, {} changed",
+            "{list_name}: {} added, {} removed, {} changed",
             counts.0, counts.1, counts.2
         )?;
         for (sign, names) in [
--- a/crates/kelpworks/src/config/file_kind.rs
+++ b/crates/kelpworks/src/config/file_kind.rs
@@ -1,22 +1,22 @@
-//! Tells settings, a register and rules apart by their keys.
+//! Detects from its keys whether a file holds settings, a register or rules.
 
+use super::document::ConfigErrorKind;
 use super::document::Document;
-use super::document::Kind;
 use super::document::Result;
 
-/// The kinds of configuration files.
+/// Kind of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FileKind {
     /// Settings of one daemon.
     Settings,
-    /// The register.
+    /// Hosts, models and failure domains of the fleet.
     Register,
-    /// The rules.
+    /// Teams, the trial share and non-idempotent requests.
     Rules,
 }
 
-/// Top keys that only one kind of file has.
-const KEYS: &[(FileKind, &[&str])] = &[
+/// Top-level keys that occur in only one kind of file.
+const TOP_LEVEL_KEYS: &[(FileKind, &[&str])] = &[
     (
         FileKind::Settings,
         &["listen", "platform", "log", "limits", "timing"],
@@ -29,22 +29,22 @@
 ];
 
 impl FileKind {
-    /// The kind of a file by its top keys; `file` names it in errors.
+    /// Detects the kind of a file from its top-level keys. `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// When the text is not TOML, or has no key of any kind.
-    pub fn of(file: &str, text: &str) -> Result<FileKind> {
+    /// When the text is too large, empty or not TOML, or has none of the keys that identify a kind.
+    pub fn detect(file: &str, text: &str) -> Result<FileKind> {
         let doc = Document::open(file, text)?;
-        let has_any = |keys: &[&str]| keys.iter().any(|k| doc.has(k));
-        let found = KEYS.iter().find(|(_, keys)| has_any(keys));
+        let has_any = |keys: &[&str]| keys.iter().any(|k| doc.has_key(k));
+        let found = TOP_LEVEL_KEYS.iter().find(|(_, keys)| has_any(keys));
         match found {
             Some((kind, _)) => Ok(*kind),
-            None => Err(doc.file_error(Kind::UnknownFile)),
+            None => Err(doc.file_error(ConfigErrorKind::UnknownFileKind)),
         }
     }
 
-    /// The kind as operators call it.
+    /// Returns the name of the kind in commands and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             FileKind::Settings => "settings",
--- a/crates/kelpworks/src/settings/file.rs
+++ b/crates/kelpworks/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Settings as they stand in their file, with the defaults of what may be left out.
+//! Settings as deserialized from their file, with defaults for optional keys.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::units::Rate;
 use crate::units::Size;
 
-/// The file.
+/// Top level of the file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -48,7 +48,7 @@
     pub(super) host_list: Spanned<String>,
 }
 
-/// Log levels, named as operators write them.
+/// Log level, in lower case in the file.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -62,7 +62,7 @@
 }
 
 impl LogLevel {
-    /// The level as the logger reads it.
+    /// Returns the level in the form that the logger parses.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
@@ -97,10 +97,10 @@
 impl Default for LimitsTable {
     fn default() -> LimitsTable {
         LimitsTable {
-            body: unplaced(Size(1 << 20)),
-            max_tokens: unplaced(4096),
-            queue: unplaced(1024),
-            claim_writes_per_second: unplaced(200),
+            body: without_span(Size(1 << 20)),
+            max_tokens: without_span(4096),
+            queue: without_span(1024),
+            claim_writes_per_second: without_span(200),
             token_target: millis(50),
         }
     }
@@ -163,16 +163,16 @@
             interval: millis(1_000),
             lost_after: millis(10_000),
             improve_after: millis(60_000),
-            weight_rate: unplaced(Rate(1_000_000_000)),
+            weight_rate: without_span(Rate(1_000_000_000)),
         }
     }
 }
 
-/// A default; it has no place in the file.
-fn unplaced<T>(value: T) -> Spanned<T> {
+/// Wraps a default value in an empty span, which marks a key that is absent from the file.
+fn without_span<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
 
 fn millis(n: u64) -> Spanned<DurationSetting> {
-    unplaced(DurationSetting(Duration::from_millis(n)))
+    without_span(DurationSetting(Duration::from_millis(n)))
 }
