--- a/crates/kelpworks/tests/overload_daemons.rs
+++ b/crates/kelpworks/tests/overload_daemons.rs
@@ -1,5 +1,5 @@
-//! Trials offered far beyond capacity, at two daemons before stand-in engines: no paying answer is
-//! lost, a refusal says that nothing ran and when to come back, and what was accepted is whole.
+//! Trial requests far beyond the capacity of two daemons with fake engines: no paying answer is
+//! lost, each refusal says that nothing ran and when to retry, and accepted requests complete.
 
 mod caller;
 mod path;
@@ -29,18 +29,19 @@
 use path::lineage::assert_exactly_once;
 
 const DAEMONS: usize = 2;
-/// Trials asked for at once, at each daemon.
-const TRIALS: usize = 150;
-/// Paying answers asked for at once, at each daemon.
-const PAYING_CALLS: usize = 40;
+/// Concurrent trial requests per daemon.
+const TRIAL_REQUESTS: usize = 150;
+/// Concurrent paying requests per daemon.
+const PAYING_REQUESTS: usize = 40;
 const MAX_TOKENS: u32 = 12;
-/// Layers of a position that an engine runs a second: all trials would take minutes.
+/// Layers, counted per position, that an engine runs per second. At this rate all trial requests
+/// together would take minutes.
 const LAYER_RATE: f64 = 2_000.0;
-/// Long deadlines: no engine is silent here.
+/// Long step deadlines, as no engine stalls here.
 const SETTINGS: &str = "step_floor = \"2 s\"\nstep_ceiling = \"10 s\"\n\n[limits]\nqueue = 16\n";
 
-/// What became of a trial.
-enum Trial {
+/// Outcome of a trial request.
+enum TrialOutcome {
     Answered(Answer, String),
     Refused(Refusal),
 }
@@ -53,37 +54,39 @@
     body: ErrorBody,
 }
 
-async fn bench() -> Bench {
+async fn start_bench() -> Bench {
     let model = Model::new(MODEL, "1", LAYERS);
     let mut cfg = FleetConfig::pipeline(&model, STAGES, REPLICAS);
     for engine in &mut cfg.engines {
         engine.layer_rate = LAYER_RATE;
     }
-    Bench::of(cfg, model, DAEMONS, SETTINGS).await
+    Bench::start_with(cfg, model, DAEMONS, SETTINGS).await
 }
 
-async fn trial(bench: &Bench, n: usize) -> Trial {
-    let caller = Caller::new(&bench.base(n % DAEMONS), TRIAL.token, MODEL);
+async fn send_trial(bench: &Bench, n: usize) -> TrialOutcome {
+    let caller = Caller::new(&bench.base_url(n % DAEMONS), TRIAL.token, MODEL);
     let prompt = format!("trial {n}");
     let body = json!({ "model": MODEL, "prompt": prompt, "max_tokens": MAX_TOKENS });
     let res = caller.post("/v1/completions").json(&body).send().await;
     let res = res.expect("an answer to each trial");
     if !res.status().is_success() {
-        return Trial::Refused(refusal(res).await);
+        return TrialOutcome::Refused(read_refusal(res).await);
     }
     let request = header(&res, "kelpworks-request-id").expect("each answer names its request");
-    let mut whole: kelpworks_wire::CompletionResponse = res.json().await.expect("an answer");
-    let choice = whole.choices.remove(0);
-    let finish = choice.finish_reason.expect("a whole answer has an end");
+    let mut completion: kelpworks_wire::CompletionResponse = res.json().await.expect("an answer");
+    let choice = completion.choices.remove(0);
+    let finish = choice
+        .finish_reason
+        .expect("a complete answer has a finish reason");
     let answer = Answer {
         request,
         text: choice.text,
         end: End::Whole(finish),
     };
-    Trial::Answered(answer, prompt)
+    TrialOutcome::Answered(answer, prompt)
 }
 
-async fn refusal(res: Response) -> Refusal {
+async fn read_refusal(res: Response) -> Refusal {
     Refusal {
         request: header(&res, "kelpworks-request-id").expect("each answer names its request"),
         retry_after: header(&res, "retry-after").and_then(|v| v.parse().ok()),
@@ -98,7 +101,7 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-async fn paying(bench: &Bench, n: usize) -> (Answer, String) {
+async fn send_paying(bench: &Bench, n: usize) -> (Answer, String) {
     let prompt = format!("paying {n}");
     let caller = bench.caller(n % DAEMONS);
     let answer = caller.complete(&prompt, MAX_TOKENS).await;
@@ -120,7 +123,7 @@
     assert_eq!(refusal.body.error.verdict, "not-run");
     assert!(
         refusal.retry_after.is_some_and(|s| s >= 1),
-        "when to come back"
+        "a refusal without a retry time"
     );
     let ran = |e: &kelpworks_fakes::Engine| e.ledger().runs_of(&refusal.request).len();
     let runs: usize = bench.fakes.engines.iter().map(ran).sum();
@@ -128,10 +131,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn trials_beyond_capacity_cost_no_paying_answer() {
-    let bench = bench().await;
-    let trials = join_all((0..DAEMONS * TRIALS).map(|n| trial(&bench, n)));
-    let paying = join_all((0..DAEMONS * PAYING_CALLS).map(|n| paying(&bench, n)));
+async fn paying_answers_complete_under_trial_overload() {
+    let bench = start_bench().await;
+    let trials = join_all((0..DAEMONS * TRIAL_REQUESTS).map(|n| send_trial(&bench, n)));
+    let paying = join_all((0..DAEMONS * PAYING_REQUESTS).map(|n| send_paying(&bench, n)));
     let (trials, paying) = tokio::join!(trials, paying);
     for (answer, prompt) in &paying {
         assert_whole(&bench, answer, prompt);
@@ -139,20 +142,20 @@
     let (mut answered, mut refused) = (0, HashSet::new());
     for trial in &trials {
         match trial {
-            Trial::Answered(answer, prompt) => {
+            TrialOutcome::Answered(answer, prompt) => {
                 answered += 1;
                 assert_whole(&bench, answer, prompt);
             }
-            Trial::Refused(refusal) => {
+            TrialOutcome::Refused(refusal) => {
                 assert_not_run(&bench, refusal);
                 refused.insert(&refusal.request);
             }
         }
     }
-    assert!(answered > 0, "trials get what is left");
+    assert!(answered > 0, "no trial was answered");
     assert!(
-        refused.len() > TRIALS,
-        "far beyond capacity: {answered} answered"
+        refused.len() > TRIAL_REQUESTS,
+        "too few trials were refused; {answered} were answered"
     );
-    bench.until_free().await;
+    bench.wait_until_kv_freed().await;
 }
--- a/crates/kelpworks/tests/path/mod.rs
+++ b/crates/kelpworks/tests/path/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins and daemons in one process, callers of them, and a checker of the engines' ledgers.
+//! A fake fleet and daemons in one process, their callers, and a checker of the ledgers in which
+//! the fake engines record the steps that they run.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -24,13 +25,12 @@
 pub(crate) const LAYERS: u32 = 12;
 pub(crate) const STAGES: u32 = 3;
 pub(crate) const REPLICAS: u32 = 2;
-/// Short deadlines, so that a silent engine is found soon.
+/// Settings with short deadlines, so that a stalled engine is detected soon.
 const TIMING: &str = "step_floor = \"60 ms\"\nstep_ceiling = \"300 ms\"\nstate_poll = \"50 ms\"\n\
                       host_list_poll = \"50 ms\"\nbalancer_notice = \"1 ms\"";
-/// Bound on a wait; never what a verdict rests on.
-const BOUND: Duration = Duration::from_secs(20);
-/// Pause between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Guards against a hang; no assertion depends on its value.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub(crate) const PAYING: ExampleTeam = ExampleTeam {
     name: "merchandisers",
@@ -45,7 +45,7 @@
     token: "path-trial",
 };
 
-/// What runs in a test.
+/// The fake fleet and the daemons of one test.
 #[derive(Debug)]
 pub(crate) struct Bench {
     pub(crate) fakes: FakeFleet,
@@ -53,7 +53,7 @@
     pub(crate) model: Model,
 }
 
-/// One recorder for all tests of a process.
+/// Returns the metrics handle, which all tests of the process share.
 fn metrics() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let make = || PrometheusBuilder::new().build_recorder().handle();
@@ -61,19 +61,26 @@
 }
 
 impl Bench {
-    /// Starts the stand-ins and `daemons` daemons, and waits until each has a path.
+    /// Starts [`STAGES`] stages of [`REPLICAS`] fake engines and `daemons` daemons, and waits until
+    /// each daemon has a path. `iteration` is the base time that an engine takes for an iteration.
     pub(crate) async fn start(daemons: usize, iteration: Duration) -> Bench {
         let model = Model::new(MODEL, "1", LAYERS);
         let mut cfg = FleetConfig::pipeline(&model, STAGES, REPLICAS);
         for engine in &mut cfg.engines {
             engine.iteration_base = iteration;
         }
-        Bench::of(cfg, model, daemons, TIMING).await
+        Bench::start_with(cfg, model, daemons, TIMING).await
     }
 
-    /// Starts a set of stand-ins and daemons with these timings.
-    pub(crate) async fn of(cfg: FleetConfig, model: Model, daemons: usize, timing: &str) -> Bench {
-        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
+    /// Starts a fake fleet and daemons with the settings text `timing`, and waits until each daemon
+    /// has a path.
+    pub(crate) async fn start_with(
+        cfg: FleetConfig,
+        model: Model,
+        daemons: usize,
+        timing: &str,
+    ) -> Bench {
+        let fakes = FakeFleet::spawn(cfg).await.expect("the fake fleet starts");
         support::put_config(&fakes, std::slice::from_ref(&model), 0.5, &[PAYING, TRIAL])
             .expect("a valid configuration");
         let daemons = support::daemons(&fakes, daemons, timing, &metrics()).await;
@@ -84,7 +91,7 @@
         };
         for n in 0..bench.daemons.len() {
             let caller = bench.caller(n);
-            until("a daemon has a path", async || {
+            wait_until("a daemon has a path", async || {
                 let answer = caller.complete("first", 1).await.expect("an answer");
                 matches!(answer.end, End::Whole(_))
             })
@@ -93,31 +100,34 @@
         bench
     }
 
-    /// Base URL for callers of the `n`th daemon.
-    pub(crate) fn base(&self, n: usize) -> String {
+    /// Base URL of the callers' API of the `n`th daemon.
+    pub(crate) fn base_url(&self, n: usize) -> String {
         format!("http://{}", self.daemons[n].bound_addresses().callers)
     }
 
-    /// A caller of the paying team at the `n`th daemon.
+    /// Returns a caller of the paying team at the `n`th daemon.
     pub(crate) fn caller(&self, n: usize) -> Caller {
-        Caller::new(&self.base(n), PAYING.token, MODEL)
+        Caller::new(&self.base_url(n), PAYING.token, MODEL)
     }
 
-    /// The replica of a stage that runs a session.
+    /// Returns the replica of a stage that has run the most steps of a session.
     pub(crate) fn engine_of(&self, session: &str, stage: usize) -> &Engine {
         let replicas = REPLICAS as usize;
-        let of_stage = &self.fakes.engines[stage * replicas..(stage + 1) * replicas];
+        let replicas_of_stage = &self.fakes.engines[stage * replicas..(stage + 1) * replicas];
         let runs = |e: &&Engine| e.ledger().runs_of(session).len();
-        let engine = of_stage.iter().max_by_key(runs).expect("a replica");
+        let engine = replicas_of_stage
+            .iter()
+            .max_by_key(runs)
+            .expect("a replica");
         assert!(runs(&engine) > 0, "stage {stage} ran nothing of {session}");
         engine
     }
 
-    /// Waits until no engine holds memory of any session.
-    pub(crate) async fn until_free(&self) {
+    /// Waits until no engine has a session or reserved KV memory.
+    pub(crate) async fn wait_until_kv_freed(&self) {
         for engine in &self.fakes.engines {
             let what = format!("{} is free", engine.name());
-            until(&what, async || {
+            wait_until(&what, async || {
                 engine.sessions() == 0 && engine.kv_free() == engine.config().kv_capacity
             })
             .await;
@@ -125,13 +135,13 @@
     }
 }
 
-/// Waits, within a bound, until something is so.
-pub(crate) async fn until(what: &str, is_so: impl AsyncFn() -> bool) {
+/// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let wait = async {
-        while !is_so().await {
-            tokio::time::sleep(LOOK).await;
+        while !condition().await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let waited = tokio::time::timeout(BOUND, wait).await;
-    assert!(waited.is_ok(), "not within the bound: {what}");
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out while waiting for: {what}");
 }
--- a/crates/kelpworks/tests/path_faults.rs
+++ b/crates/kelpworks/tests/path_faults.rs
@@ -1,5 +1,6 @@
-//! Stages that fail under streamed answers: every answer ends whole and equal to the model
-//! computed directly, no token repeated or changed, each layer run exactly once and in order.
+//! Faults of engines while answers stream: every answer completes and equals the output of the
+//! model computed directly, no token is repeated or changed, and each layer runs exactly once, in
+//! order.
 
 mod caller;
 mod path;
@@ -29,49 +30,49 @@
 const STEPS: &str = "/v1/steps";
 const ACTIVATIONS: &str = "/v1/activations";
 const CANCEL: &str = "/v1/cancel";
-/// Long enough that a stream is in the middle when it is struck.
-const ITERATION: Duration = Duration::from_millis(2);
+/// Long enough that streams are still in progress when the fault is injected.
+const ITERATION_TIME: Duration = Duration::from_millis(2);
 const MAX_TOKENS: u32 = 48;
 const STREAMS: usize = 4;
-/// More often than any test calls.
-const FOR_GOOD: u32 = 1_000_000;
+/// Fault count that exceeds the number of calls in any test.
+const EVERY_CALL: u32 = 1_000_000;
 
-/// What befalls an engine.
+/// A fault that a test injects into an engine.
 #[derive(Clone, Debug)]
-enum Blow {
-    /// So many calls to a path fail in this way.
+enum InjectedFault {
+    /// The next calls to an HTTP path fail in this way; the number is their count.
     Calls(&'static str, FaultKind, u32),
-    /// Its connections fail, until the end of the test.
+    /// Connections to the engine fail until the end of the test.
     Connections(ConnectionMode),
-    /// It crashes and comes back without its memory.
+    /// The engine crashes and restarts without its memory.
     Crash,
-    /// It says that it leaves.
+    /// The engine reports that it is draining.
     Drain,
-    /// It changes to another version of the model.
+    /// The engine unloads the model and loads version 2.
     Version,
 }
 
-impl Blow {
-    async fn strike(&self, engine: &Engine) {
+impl InjectedFault {
+    async fn inject(&self, engine: &Engine) {
         match self {
-            Blow::Calls(path, kind, count) => {
-                let fault = Fault::always(kind.clone()).on(path).times(*count);
-                engine.faults().add(fault);
+            InjectedFault::Calls(path, kind, count) => {
+                let call_fault = Fault::always(kind.clone()).on(path).times(*count);
+                engine.faults().add(call_fault);
             }
-            Blow::Connections(mode) => engine.faults().set_connection_mode(*mode),
-            Blow::Crash => engine.crash(),
-            Blow::Drain => engine.set_draining(true),
-            Blow::Version => change_version(engine).await,
+            InjectedFault::Connections(mode) => engine.faults().set_connection_mode(*mode),
+            InjectedFault::Crash => engine.crash(),
+            InjectedFault::Drain => engine.set_draining(true),
+            InjectedFault::Version => change_version(engine).await,
         }
     }
 }
 
-/// Orders an engine to drop what it holds and to load the same range of version 2.
+/// Orders an engine to unload its layers and to load the same range of version 2.
 async fn change_version(engine: &Engine) {
-    let held = engine.state().loaded.remove(0);
-    let mut next = held.clone();
+    let loaded = engine.state().loaded.remove(0);
+    let mut next = loaded.clone();
     next.version = "2".to_owned();
-    for action in [OrderAction::Unload(held), OrderAction::Load(next)] {
+    for action in [OrderAction::Unload(loaded), OrderAction::Load(next)] {
         let fence = Fence {
             lease: "placement-demo".to_owned(),
             token: 1,
@@ -79,7 +80,11 @@
         let order = EngineOrder { action, fence };
         let url = format!("{}/v1/orders", engine.url());
         let sent = reqwest::Client::new().post(url).json(&order).send().await;
-        assert!(sent.expect("the engine lives").status().is_success());
+        assert!(
+            sent.expect("the engine answers the order")
+                .status()
+                .is_success()
+        );
     }
 }
 
@@ -87,7 +92,7 @@
     format!("a red kettle, shot {n}")
 }
 
-async fn begin(bench: &Bench) -> Vec<Streamed> {
+async fn start_streams(bench: &Bench) -> Vec<Streamed> {
     let caller = bench.caller(0);
     let mut streams = Vec::new();
     for n in 0..STREAMS {
@@ -104,73 +109,73 @@
     streams
 }
 
-/// Reads the streams to their ends and checks them against the model and the ledgers.
-async fn check(bench: &Bench, streams: Vec<Streamed>) {
+/// Reads the streams to their ends and compares them with the model and the ledgers.
+async fn assert_answers_complete(bench: &Bench, streams: Vec<Streamed>) {
     let answers = join_all(streams.into_iter().map(Streamed::rest)).await;
     for (n, answer) in answers.iter().enumerate() {
         let prompt = prompt(n);
         assert_eq!(answer.text, bench.model.answer_text(&prompt, MAX_TOKENS));
         assert_eq!(answer.end, End::Whole(FinishReason::Length), "{answer:?}");
-        // The last token of an answer is not run.
+        // The last token of an answer is not fed back through the model.
         let positions = prompt.len() as u32 + MAX_TOKENS - 1;
         assert_exactly_once(&bench.fakes, &answer.request, LAYERS, positions);
     }
 }
 
-/// Asserts that what was to strike has struck.
-fn assert_struck(engine: &Engine, blow: &Blow) {
-    if let Blow::Calls(_, _, count) = blow {
+/// Asserts that a call fault has applied to at least one call; accepts faults of other kinds.
+fn assert_triggered(engine: &Engine, fault: &InjectedFault) {
+    if let InjectedFault::Calls(_, _, count) = fault {
         let left = engine.faults().list();
         assert!(
             left.iter().all(|f| f.count != Some(*count)),
-            "never struck: {left:?}"
+            "the fault never applied to a call: {left:?}"
         );
     }
 }
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failing_stage_costs_no_answer(
+async fn answers_complete_after_stage_fault(
     #[values(0, 1, 2)] stage: usize,
     #[values(
-        Blow::Calls(STEPS, FaultKind::ResetBefore, 1),
-        Blow::Calls(STEPS, FaultKind::ResetAfter, 2),
-        Blow::Calls(STEPS, FaultKind::SilentBefore, 1),
-        Blow::Calls(STEPS, FaultKind::SilentAfter, 2),
-        Blow::Calls(STEPS, FaultKind::CutBody, 2),
-        Blow::Calls(STEPS, FaultKind::Status(500), 2),
-        Blow::Calls(STEPS, FaultKind::StatusAfter(500), 2),
-        Blow::Calls(STEPS, FaultKind::DelayReply(150), 3),
-        Blow::Calls(STEPS, FaultKind::DelayReply(1500), 3),
-        Blow::Calls(STEPS, FaultKind::Delay(150), 3),
-        Blow::Calls(STEPS, FaultKind::PreviousReply, 3),
-        Blow::Calls(STEPS, FaultKind::OtherSession, 3),
-        Blow::Calls(STEPS, FaultKind::WrongRange, 3),
-        Blow::Calls(STEPS, FaultKind::Busy(20), 6),
-        Blow::Connections(ConnectionMode::Refuse),
-        Blow::Connections(ConnectionMode::SilenceExisting),
-        Blow::Connections(ConnectionMode::SilenceAll),
-        Blow::Crash,
-        Blow::Drain,
-        Blow::Version
+        InjectedFault::Calls(STEPS, FaultKind::ResetBefore, 1),
+        InjectedFault::Calls(STEPS, FaultKind::ResetAfter, 2),
+        InjectedFault::Calls(STEPS, FaultKind::SilentBefore, 1),
+        InjectedFault::Calls(STEPS, FaultKind::SilentAfter, 2),
+        InjectedFault::Calls(STEPS, FaultKind::CutBody, 2),
+        InjectedFault::Calls(STEPS, FaultKind::Status(500), 2),
+        InjectedFault::Calls(STEPS, FaultKind::StatusAfter(500), 2),
+        InjectedFault::Calls(STEPS, FaultKind::DelayReply(150), 3),
+        InjectedFault::Calls(STEPS, FaultKind::DelayReply(1500), 3),
+        InjectedFault::Calls(STEPS, FaultKind::Delay(150), 3),
+        InjectedFault::Calls(STEPS, FaultKind::PreviousReply, 3),
+        InjectedFault::Calls(STEPS, FaultKind::OtherSession, 3),
+        InjectedFault::Calls(STEPS, FaultKind::WrongRange, 3),
+        InjectedFault::Calls(STEPS, FaultKind::Busy(20), 6),
+        InjectedFault::Connections(ConnectionMode::Refuse),
+        InjectedFault::Connections(ConnectionMode::SilenceExisting),
+        InjectedFault::Connections(ConnectionMode::SilenceAll),
+        InjectedFault::Crash,
+        InjectedFault::Drain,
+        InjectedFault::Version
     )]
-    blow: Blow,
+    fault: InjectedFault,
 ) {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     let engine = bench.engine_of(&streams[0].request, stage);
-    blow.strike(engine).await;
-    check(&bench, streams).await;
-    assert_struck(engine, &blow);
-    if !matches!(blow, Blow::Connections(_)) {
-        bench.until_free().await;
+    fault.inject(engine).await;
+    assert_answers_complete(&bench, streams).await;
+    assert_triggered(engine, &fault);
+    if !matches!(fault, InjectedFault::Connections(_)) {
+        bench.wait_until_kv_freed().await;
     }
 }
 
-/// The fetch of a stage's output by the next one fails.
+/// The next stage fails to fetch the activations of this stage.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failing_fetch_costs_no_answer(
+async fn answers_complete_after_activation_fetch_fault(
     #[values(0, 1)] stage: usize,
     #[values(
         (FaultKind::ResetBefore, 2),
@@ -180,35 +185,35 @@
         (FaultKind::Status(404), 2),
         (FaultKind::Status(500), 2),
         (FaultKind::DelayReply(150), 2),
-        (FaultKind::ResetBefore, FOR_GOOD),
-        (FaultKind::SilentBefore, FOR_GOOD),
-        (FaultKind::Status(500), FOR_GOOD)
+        (FaultKind::ResetBefore, EVERY_CALL),
+        (FaultKind::SilentBefore, EVERY_CALL),
+        (FaultKind::Status(500), EVERY_CALL)
     )]
-    fault: (FaultKind, u32),
+    call_fault: (FaultKind, u32),
 ) {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     let engine = bench.engine_of(&streams[0].request, stage);
-    let blow = Blow::Calls(ACTIVATIONS, fault.0, fault.1);
-    blow.strike(engine).await;
-    check(&bench, streams).await;
-    assert_struck(engine, &blow);
-    bench.until_free().await;
+    let fault = InjectedFault::Calls(ACTIVATIONS, call_fault.0, call_fault.1);
+    fault.inject(engine).await;
+    assert_answers_complete(&bench, streams).await;
+    assert_triggered(engine, &fault);
+    bench.wait_until_kv_freed().await;
 }
 
-/// Connections that went silent while new ones work: the sessions go on where they are, as the
-/// upstream is not to blame.
+/// Existing connections stall while new ones work: the sessions stay on their upstream, as the
+/// fault is not attributed to it.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_silent_connection_moves_nobody(#[values(0, 1, 2)] stage: usize) {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+async fn stalled_connection_does_not_move_sessions(#[values(0, 1, 2)] stage: usize) {
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     let sessions: Vec<String> = streams.iter().map(|s| s.request.clone()).collect();
     let engine = bench.engine_of(&sessions[0], stage);
     engine
         .faults()
         .set_connection_mode(ConnectionMode::SilenceExisting);
-    check(&bench, streams).await;
+    assert_answers_complete(&bench, streams).await;
     for session in &sessions {
         let mut attempts: Vec<u32> = bench
             .fakes
@@ -224,53 +229,59 @@
 
 /// Two stages fail at the same time.
 #[rstest]
-#[case::crash_and_crash(Blow::Crash, Blow::Crash)]
-#[case::silence_and_crash(Blow::Connections(ConnectionMode::SilenceAll), Blow::Crash)]
+#[case::crash_and_crash(InjectedFault::Crash, InjectedFault::Crash)]
+#[case::silence_and_crash(
+    InjectedFault::Connections(ConnectionMode::SilenceAll),
+    InjectedFault::Crash
+)]
 #[case::silence_and_silence(
-    Blow::Connections(ConnectionMode::SilenceAll),
-    Blow::Connections(ConnectionMode::SilenceAll)
+    InjectedFault::Connections(ConnectionMode::SilenceAll),
+    InjectedFault::Connections(ConnectionMode::SilenceAll)
+)]
+#[case::version_and_reset(
+    InjectedFault::Version,
+    InjectedFault::Calls(STEPS, FaultKind::ResetAfter, 4)
 )]
-#[case::version_and_reset(Blow::Version, Blow::Calls(STEPS, FaultKind::ResetAfter, 4))]
-#[case::drain_and_crash(Blow::Drain, Blow::Crash)]
+#[case::drain_and_crash(InjectedFault::Drain, InjectedFault::Crash)]
 #[case::swapped_and_lost(
-    Blow::Calls(STEPS, FaultKind::PreviousReply, 8),
-    Blow::Calls(STEPS, FaultKind::SilentAfter, 2)
+    InjectedFault::Calls(STEPS, FaultKind::PreviousReply, 8),
+    InjectedFault::Calls(STEPS, FaultKind::SilentAfter, 2)
 )]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_failing_stages_cost_no_answer(
+async fn answers_complete_after_faults_in_two_stages(
     #[values((0, 1), (1, 2), (2, 0))] stages: (usize, usize),
-    #[case] first: Blow,
-    #[case] second: Blow,
+    #[case] first: InjectedFault,
+    #[case] second: InjectedFault,
 ) {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
-    let one = bench.engine_of(&streams[0].request, stages.0);
-    let other = bench.engine_of(&streams[0].request, stages.1);
-    first.strike(one).await;
-    second.strike(other).await;
-    check(&bench, streams).await;
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
+    let first_engine = bench.engine_of(&streams[0].request, stages.0);
+    let second_engine = bench.engine_of(&streams[0].request, stages.1);
+    first.inject(first_engine).await;
+    second.inject(second_engine).await;
+    assert_answers_complete(&bench, streams).await;
 }
 
-/// Both replicas of a stage crash: the sessions wait for one to come back.
+/// Both replicas of a stage crash: the sessions wait until one has restarted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_whole_stage_that_comes_back_costs_no_answer() {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+async fn answers_complete_after_all_replicas_of_stage_restart() {
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     for replica in 2..4 {
         bench.fakes.engines[replica].crash();
     }
-    check(&bench, streams).await;
-    bench.until_free().await;
+    assert_answers_complete(&bench, streams).await;
+    bench.wait_until_kv_freed().await;
 }
 
-/// All replicas of a stage leave: new requests are refused, the sessions on it finish there.
+/// All replicas of a stage leave: new requests are refused, and running sessions finish there.
 #[rstest]
 #[case::host_list(true)]
 #[case::itself(false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_whole_stage_that_leaves_finishes_its_sessions(#[case] by_host_list: bool) {
+async fn stage_with_all_replicas_leaving_finishes_its_sessions(#[case] by_host_list: bool) {
     const LONG: u32 = 300;
-    let bench = Bench::start(1, ITERATION).await;
+    let bench = Bench::start(1, ITERATION_TIME).await;
     let caller = bench.caller(0);
     let mut stream = caller.stream("a long one", LONG).await.expect("a stream");
     stream.read_tokens(2).await;
@@ -282,8 +293,8 @@
             engine.set_draining(true);
         }
     }
-    path::until("new requests are refused", async || {
-        // One that was admitted before the daemon knew waits for a path.
+    path::wait_until("new requests are refused", async || {
+        // A request admitted before the daemon has seen that the stage leaves waits for a path.
         let answer = caller.complete("a new one", 1);
         let answer = tokio::time::timeout(Duration::from_millis(100), answer).await;
         let Ok(Ok(answer)) = answer else { return false };
@@ -291,12 +302,15 @@
     })
     .await;
     let seen = stream.text.len() / 4;
-    assert!(seen < LONG as usize, "still under way");
+    assert!(
+        seen < LONG as usize,
+        "the stream ended before new requests were refused"
+    );
     let answer = stream.rest().await;
     assert_eq!(answer.text, bench.model.answer_text("a long one", LONG));
 }
 
-/// A lost call to free memory is made again.
+/// A failed cancel call, which frees KV memory, is retried.
 #[rstest]
 #[case::reset(FaultKind::ResetBefore, 1)]
 #[case::silent(FaultKind::SilentBefore, 1)]
@@ -304,28 +318,31 @@
 #[case::reset_for_longer(FaultKind::ResetBefore, 5)]
 #[case::refused_for_longer(FaultKind::Status(503), 5)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_lost_cancel_leaks_no_memory(#[case] kind: FaultKind, #[case] count: u32) {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+async fn failed_cancel_call_leaks_no_kv_memory(#[case] kind: FaultKind, #[case] count: u32) {
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     let engine = bench.engine_of(&streams[0].request, 1);
-    let blow = Blow::Calls(CANCEL, kind, count);
-    blow.strike(engine).await;
-    check(&bench, streams).await;
-    bench.until_free().await;
-    assert_struck(engine, &blow);
+    let fault = InjectedFault::Calls(CANCEL, kind, count);
+    fault.inject(engine).await;
+    assert_answers_complete(&bench, streams).await;
+    bench.wait_until_kv_freed().await;
+    assert_triggered(engine, &fault);
 }
 
-/// A caller that goes away takes its sessions with it.
+/// The sessions of a caller that disconnects are freed, streamed or not.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_vanished_caller_frees_its_stages() {
-    let bench = Bench::start(1, ITERATION).await;
-    let streams = begin(&bench).await;
+async fn caller_disconnect_frees_its_sessions() {
+    let bench = Bench::start(1, ITERATION_TIME).await;
+    let streams = start_streams(&bench).await;
     assert!(bench.fakes.engines.iter().any(|e| e.sessions() > 0));
     drop(streams);
-    bench.until_free().await;
+    bench.wait_until_kv_freed().await;
     let whole = bench.caller(0);
     let pending = whole.complete("a long one", 4000);
     let gone = tokio::time::timeout(Duration::from_millis(100), pending).await;
-    assert!(gone.is_err(), "the answer was still under way");
-    bench.until_free().await;
+    assert!(
+        gone.is_err(),
+        "the answer completed before the caller disconnected"
+    );
+    bench.wait_until_kv_freed().await;
 }
--- a/crates/kelpworks/tests/path_storm.rs
+++ b/crates/kelpworks/tests/path_storm.rs
@@ -1,5 +1,5 @@
-//! Many faults at once, drawn from a seed, under many streamed answers at two daemons: every
-//! answer ends whole and equal to the model, and no engine keeps memory.
+//! Many seeded random faults while two daemons stream many answers: every answer completes and
+//! equals the output of the model, and no engine keeps KV memory.
 
 mod caller;
 mod path;
@@ -26,15 +26,15 @@
 use path::lineage::assert_exactly_once;
 
 const DAEMONS: usize = 2;
-/// Streams at each daemon.
+/// Streams per daemon.
 const STREAMS: usize = 8;
 const MAX_TOKENS: u32 = 40;
-/// Faults drawn in a run.
+/// Random faults per run.
 const FAULTS: usize = 24;
-const PAUSE: Duration = Duration::from_millis(25);
+const FAULT_INTERVAL: Duration = Duration::from_millis(25);
 const PATHS: [&str; 3] = ["/v1/steps", "/v1/activations", "/v1/cancel"];
 
-fn strike(engine: &Engine, rng: &mut StdRng) {
+fn inject_random_fault(engine: &Engine, rng: &mut StdRng) {
     let kind = match rng.random_range(0..20) {
         0 => return engine.crash(),
         1 => {
@@ -70,12 +70,12 @@
         .add(Fault::always(kind).on(path).times(count));
 }
 
-async fn storm(bench: &Bench, seed: u64) {
+async fn inject_random_faults(bench: &Bench, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     for _ in 0..FAULTS {
         let engines = &bench.fakes.engines;
-        strike(&engines[rng.random_range(0..engines.len())], &mut rng);
-        tokio::time::sleep(PAUSE).await;
+        inject_random_fault(&engines[rng.random_range(0..engines.len())], &mut rng);
+        tokio::time::sleep(FAULT_INTERVAL).await;
     }
     for engine in &bench.fakes.engines {
         engine.faults().clear();
@@ -83,7 +83,7 @@
     }
 }
 
-async fn ask(bench: &Bench, n: usize) -> Answer {
+async fn request_answer(bench: &Bench, n: usize) -> Answer {
     let caller = bench.caller(n % DAEMONS);
     let stream = caller.stream(&prompt(n), MAX_TOKENS).await;
     stream.expect("a stream").rest().await
@@ -95,10 +95,10 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_storm_costs_no_answer(#[values(1, 2, 3, 4, 5, 6, 40, 224)] seed: u64) {
+async fn answers_complete_under_random_faults(#[values(1, 2, 3, 4, 5, 6, 40, 224)] seed: u64) {
     let bench = Bench::start(DAEMONS, Duration::from_millis(2)).await;
-    let asked = join_all((0..DAEMONS * STREAMS).map(|n| ask(&bench, n)));
-    let (answers, ()) = tokio::join!(asked, storm(&bench, seed));
+    let answers = join_all((0..DAEMONS * STREAMS).map(|n| request_answer(&bench, n)));
+    let (answers, ()) = tokio::join!(answers, inject_random_faults(&bench, seed));
     for (n, answer) in answers.iter().enumerate() {
         let prompt = prompt(n);
         assert_eq!(answer.end, End::Whole(FinishReason::Length), "{answer:?}");
@@ -106,5 +106,5 @@
         let positions = prompt.len() as u32 + MAX_TOKENS - 1;
         assert_exactly_once(&bench.fakes, &answer.request, LAYERS, positions);
     }
-    bench.until_free().await;
+    bench.wait_until_kv_freed().await;
 }
--- a/crates/kelpworks/tests/poison/mod.rs
+++ b/crates/kelpworks/tests/poison/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons beside stand-ins in this process, and callers that check answers against the model.
+//! Daemons and a fake fleet in one process, and callers that compare answers with the model.
 
 #![allow(dead_code, reason = "each test binary uses a part")]
 
@@ -33,19 +33,19 @@
     token: "token-of-studio",
 };
 const DAEMONS: usize = 2;
-/// Much longer than an answer takes; reached only by a fault.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Much longer than an answer takes, so that only a fault reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const TIMING: &str = "step_floor = \"500ms\"\n";
 
-/// Long enough for facts to arrive also on a machine with much else to do.
-fn patient() -> quarantine::Config {
+/// Isolation delay that lets facts of other daemons arrive in time also on a loaded machine.
+fn quarantine_config() -> quarantine::Config {
     quarantine::Config {
         isolation_delay: Duration::from_millis(500),
         ..quarantine::Config::default()
     }
 }
 
-/// A model's pipeline of 2 stages, and two daemons.
+/// Daemons and a fake fleet that serves one model in a pipeline of 2 stages.
 pub(crate) struct Bench {
     pub(crate) model: Model,
     pub(crate) fakes: FakeFleet,
@@ -53,7 +53,7 @@
     client: reqwest::Client,
 }
 
-/// What a caller got.
+/// A response of a daemon to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
@@ -70,16 +70,18 @@
 }
 
 impl Bench {
-    /// Engines restart this long after a crash.
+    /// Starts two daemons and `replicas` engines per stage; an engine restarts `restart` after a
+    /// crash.
     pub(crate) async fn start(replicas: u32, restart: Duration) -> Bench {
-        Bench::start_with(DAEMONS, replicas, restart, patient()).await
+        Bench::start_with(DAEMONS, replicas, restart, quarantine_config()).await
     }
 
-    /// The same, with so many daemons; only a word from a daemon ends the wait for it.
+    /// Like [`Bench::start`] with `count` daemons. The time limit on a test at a peer is beyond any
+    /// wait here, so that only a report from the peer ends the wait for its verdict.
     pub(crate) async fn start_daemons(count: usize, replicas: u32, restart: Duration) -> Bench {
         let cfg = quarantine::Config {
-            peer_test_timeout: PATIENCE * 2,
-            ..patient()
+            peer_test_timeout: WAIT_TIMEOUT * 2,
+            ..quarantine_config()
         };
         Bench::start_with(count, replicas, restart, cfg).await
     }
@@ -96,7 +98,7 @@
             engine.iteration_base = Duration::from_millis(10);
             engine.restart_after = Some(restart);
         }
-        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
+        let fakes = FakeFleet::spawn(cfg).await.expect("the fake fleet starts");
         put_config(&fakes, std::slice::from_ref(&model), 0.5, &[TEAM]).expect("a configuration");
         let metrics = PrometheusBuilder::new().build_recorder().handle();
         let mut daemons = Vec::new();
@@ -117,12 +119,13 @@
                 .build()
                 .expect("a client"),
         };
-        bench.every_stage_seen().await;
+        bench.wait_until_all_have_paths().await;
         bench
     }
 
-    /// Waits until each daemon has a path: it is ready as soon as it has seen any upstream.
-    async fn every_stage_seen(&self) {
+    /// Waits until each daemon has a complete path, as a daemon is ready as soon as it has seen any
+    /// upstream.
+    async fn wait_until_all_have_paths(&self) {
         for n in 0..self.daemons.len() {
             while self.ask(n, "the first mug", 1).await.status != 200 {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -130,8 +133,8 @@
         }
     }
 
-    /// Waits until each daemon knows all others as live.
-    pub(crate) async fn all_met(&self) {
+    /// Waits until each daemon lists all others as live.
+    pub(crate) async fn wait_until_all_peers_live(&self) {
         for daemon in &self.daemons {
             while live_peers(daemon).await + 1 < self.daemons.len() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Carries facts between all daemons, at once.
-    pub(crate) fn join_daemons(&self) {
+    /// Delivers the facts of each daemon to all daemons, in place of gossip and without its delay.
+    pub(crate) fn forward_facts(&self) {
         for from in &self.daemons {
             let from = from.quarantine();
             let to: Vec<Arc<Quarantine>> = self.daemons.iter().map(Daemon::quarantine).collect();
@@ -166,9 +169,9 @@
         )
     }
 
-    /// Sends a request until it is no longer under test by another daemon.
-    pub(crate) async fn ask_judged(&self, n: usize, prompt: &str, max_tokens: u32) -> Reply {
-        let asking = async {
+    /// Repeats a request until no daemon has it under test any longer, and returns that reply.
+    pub(crate) async fn ask_until_judged(&self, n: usize, prompt: &str, max_tokens: u32) -> Reply {
+        let judged_reply = async {
             loop {
                 let reply = self.ask(n, prompt, max_tokens).await;
                 if reply.body["error"]["type"] != "under_test" {
@@ -178,17 +181,21 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let reply = tokio::time::timeout(PATIENCE, asking).await;
-        reply.expect("a judgement")
+        let reply = tokio::time::timeout(WAIT_TIMEOUT, judged_reply).await;
+        reply.expect("the test at the other daemon ends")
     }
 
-    /// Starts callers that share the daemons evenly; each sends one request.
-    pub(crate) fn innocents(&self, count: usize, max_tokens: u32) -> JoinSet<(String, Reply)> {
+    /// Starts `count` callers, spread evenly over the daemons, that send one harmless request each.
+    pub(crate) fn spawn_harmless_callers(
+        &self,
+        count: usize,
+        max_tokens: u32,
+    ) -> JoinSet<(String, Reply)> {
         let mut callers = JoinSet::new();
         for n in 0..count {
             let url = self.url(n % self.daemons.len());
             let client = self.client.clone();
-            let prompt = innocent(n);
+            let prompt = harmless_prompt(n);
             callers.spawn(async move {
                 let reply = ask(&client, &url, &prompt, max_tokens).await;
                 (prompt, reply)
@@ -197,8 +204,8 @@
         callers
     }
 
-    /// Waits until engines have run so many steps in all.
-    pub(crate) async fn steps_run(&self, at_least: u64) {
+    /// Waits until the engines together have run at least this many steps.
+    pub(crate) async fn wait_for_steps(&self, at_least: u64) {
         while self.total(|t| t.runs) < at_least {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -213,8 +220,12 @@
         engines.map(|e| of(e.ledger().totals())).sum()
     }
 
-    /// Checks that every caller has the model's answer.
-    pub(crate) async fn all_answered(&self, callers: JoinSet<(String, Reply)>, max_tokens: u32) {
+    /// Asserts that every caller received the model's answer.
+    pub(crate) async fn assert_all_answered(
+        &self,
+        callers: JoinSet<(String, Reply)>,
+        max_tokens: u32,
+    ) {
         for (prompt, reply) in callers.join_all().await {
             assert_eq!(reply.status, 200, "{prompt}: {reply:?}");
             let expected = self.model.answer_text(&prompt, max_tokens);
@@ -223,13 +234,13 @@
     }
 }
 
-/// Prompt of the `n`th of [`Bench::innocents`].
-pub(crate) fn innocent(n: usize) -> String {
+/// Prompt of the `n`th of [`Bench::spawn_harmless_callers`].
+pub(crate) fn harmless_prompt(n: usize) -> String {
     format!("mug number {n}")
 }
 
 async fn live_peers(daemon: &Daemon) -> usize {
-    let status = fetch(daemon.bound_addresses().operators, PATIENCE).await;
+    let status = fetch(daemon.bound_addresses().operators, WAIT_TIMEOUT).await;
     let members = status.expect("a status").members;
     let live = members.iter().filter(|m| m.state == MemberState::Live);
     live.count()
@@ -256,16 +267,16 @@
     }
 }
 
-/// Requests that facts so far say are refused.
-pub(crate) fn refused(facts: &mut broadcast::Receiver<Fact>) -> usize {
+/// Counts the refusals among the facts received so far.
+pub(crate) fn count_refused(facts: &mut broadcast::Receiver<Fact>) -> usize {
     let facts = std::iter::from_fn(|| facts.try_recv().ok());
     facts
         .filter(|f| matches!(f.statement, Statement::Refused { .. }))
         .count()
 }
 
-/// Waits until every request that became a suspect is cleared; none may be refused.
-pub(crate) async fn all_cleared(facts: &mut broadcast::Receiver<Fact>) {
+/// Waits until every request under suspicion is cleared; panics if one is refused.
+pub(crate) async fn wait_until_suspects_cleared(facts: &mut broadcast::Receiver<Fact>) {
     let mut suspects = HashSet::new();
     loop {
         while let Ok(fact) = facts.try_recv() {
--- a/crates/kelpworks/tests/poison_requests.rs
+++ b/crates/kelpworks/tests/poison_requests.rs
@@ -1,4 +1,5 @@
-//! A request that crashes each upstream that runs it, between innocent ones and over its repeats.
+//! A poison request, which crashes each upstream that runs it, sent repeatedly among harmless
+//! requests.
 
 mod poison;
 #[path = "../examples/support/mod.rs"]
@@ -14,34 +15,39 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_coord::id::UpstreamId;
 use poison::Bench;
-use poison::all_cleared;
-use poison::refused;
+use poison::count_refused;
+use poison::wait_until_suspects_cleared;
 
-const POISON: &str = "a poison mug";
-const TOKENS: u32 = 24;
-const INNOCENTS: usize = 24;
-/// Steps after which the load is well under way.
-const UNDER_WAY: u64 = 100;
+const POISON_PROMPT: &str = "a poison mug";
+const MAX_TOKENS: u32 = 24;
+const HARMLESS_CALLERS: usize = 24;
+/// Steps after which the harmless requests load all engines.
+const WARM_UP_STEPS: u64 = 100;
 
-/// Time from a crash to the restart.
-const RESTART: Duration = Duration::from_millis(500);
+/// Time from a crash of an engine to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// Daemons that the caller of the poison request sends it to, one after another.
+/// The poison request is sent to the daemons of `sent_to`, one after another.
 #[rstest]
-#[case::same_daemon(&[0, 0, 0, 0], RESTART)]
-#[case::other_daemon(&[0, 1, 1, 0], RESTART)]
+#[case::same_daemon(&[0, 0, 0, 0], RESTART_DELAY)]
+#[case::other_daemon(&[0, 1, 1, 0], RESTART_DELAY)]
 #[case::engines_back_at_once(&[0, 1, 1, 0], Duration::ZERO)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn poison_costs_two_upstreams(#[case] sent_to: &[usize], #[case] restart: Duration) {
+async fn poison_request_crashes_two_upstreams(
+    #[case] sent_to: &[usize],
+    #[case] restart: Duration,
+) {
     let bench = Bench::start(4, restart).await;
-    bench.join_daemons();
-    let innocents = bench.innocents(INNOCENTS, TOKENS);
-    bench.steps_run(UNDER_WAY).await;
+    bench.forward_facts();
+    let harmless_callers = bench.spawn_harmless_callers(HARMLESS_CALLERS, MAX_TOKENS);
+    bench.wait_for_steps(WARM_UP_STEPS).await;
     let mut replies = Vec::new();
     for &daemon in sent_to {
-        replies.push(bench.ask(daemon, POISON, TOKENS).await);
+        replies.push(bench.ask(daemon, POISON_PROMPT, MAX_TOKENS).await);
     }
-    bench.all_answered(innocents, TOKENS).await;
+    bench
+        .assert_all_answered(harmless_callers, MAX_TOKENS)
+        .await;
     assert_eq!(bench.crashes(), 2);
     for (n, reply) in replies.iter().enumerate() {
         let verdict = if n == 0 { "may-have-run" } else { "not-run" };
@@ -52,52 +58,61 @@
     }
 }
 
-/// Copies sent at once: each may be in flight before the first crash is known, and one turn follows.
+/// Two concurrent copies may both be in flight before the first crash is known, and one isolated
+/// run follows: at most three upstreams crash.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn copies_at_once_cost_one_more() {
-    let bench = Bench::start(4, RESTART).await;
-    bench.join_daemons();
-    let innocents = bench.innocents(INNOCENTS, TOKENS);
-    bench.steps_run(UNDER_WAY).await;
-    let one = bench.ask(0, POISON, TOKENS);
-    let other = bench.ask(1, POISON, TOKENS);
+async fn concurrent_poison_copies_crash_at_most_three_upstreams() {
+    let bench = Bench::start(4, RESTART_DELAY).await;
+    bench.forward_facts();
+    let harmless_callers = bench.spawn_harmless_callers(HARMLESS_CALLERS, MAX_TOKENS);
+    bench.wait_for_steps(WARM_UP_STEPS).await;
+    let one = bench.ask(0, POISON_PROMPT, MAX_TOKENS);
+    let other = bench.ask(1, POISON_PROMPT, MAX_TOKENS);
     let (one, other) = tokio::join!(one, other);
-    bench.all_answered(innocents, TOKENS).await;
+    bench
+        .assert_all_answered(harmless_callers, MAX_TOKENS)
+        .await;
     assert!((2..=3).contains(&bench.crashes()), "{}", bench.crashes());
     for reply in [one, other] {
         let kind = reply.body["error"]["type"].as_str().expect("an error");
-        // The second is under test where it came after the news of the first's crash.
+        // The second copy is under test if it arrived after the report of the first one's crash.
         assert!(["quarantined", "under_test"].contains(&kind), "{reply:?}");
     }
-    let again = bench.ask(1, POISON, TOKENS).await;
+    let again = bench.ask(1, POISON_PROMPT, MAX_TOKENS).await;
     assert_eq!(again.body["error"]["type"], "quarantined");
 }
 
-/// Hosts that crash for reasons of their own: every caller gets its answer, nobody is refused.
+/// Hosts crash for reasons unrelated to any request: every caller gets its answer, and no request
+/// is refused.
 #[rstest]
 #[case::first_stage(&["engine-0-0"])]
 #[case::last_stage(&["engine-1-1"])]
 #[case::two_in_turn(&["engine-0-0", "engine-0-1"])]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_host_crash_quarantines_nobody(#[case] hosts: &[&str]) {
-    let bench = Bench::start(3, RESTART).await;
-    bench.join_daemons();
+async fn host_crash_quarantines_no_request(#[case] hosts: &[&str]) {
+    let bench = Bench::start(3, RESTART_DELAY).await;
+    bench.forward_facts();
     let mut facts = bench.daemons.iter().map(|d| d.quarantine().subscribe());
     let mut facts: Vec<_> = facts.by_ref().collect();
-    let innocents = bench.innocents(INNOCENTS, TOKENS);
+    let harmless_callers = bench.spawn_harmless_callers(HARMLESS_CALLERS, MAX_TOKENS);
     for (n, host) in hosts.iter().enumerate() {
-        bench.steps_run(UNDER_WAY * 3 * (n as u64 + 1)).await;
-        // A crash in a suspect's turn is held against it, so the next host waits for the turns.
+        bench
+            .wait_for_steps(WARM_UP_STEPS * 3 * (n as u64 + 1))
+            .await;
+        // A crash during the isolated run of a suspect is attributed to the suspect, so the next
+        // host crashes only after all suspects are cleared.
         for facts in &mut facts {
-            all_cleared(facts).await;
+            wait_until_suspects_cleared(facts).await;
         }
         bench.fakes.engine(host).expect("a host").crash();
     }
-    bench.all_answered(innocents, TOKENS).await;
+    bench
+        .assert_all_answered(harmless_callers, MAX_TOKENS)
+        .await;
     assert_eq!(bench.crashes(), hosts.len() as u64);
-    assert_eq!(facts.iter_mut().map(refused).sum::<usize>(), 0);
-    let again = bench.innocents(INNOCENTS, TOKENS);
-    bench.all_answered(again, TOKENS).await;
+    assert_eq!(facts.iter_mut().map(count_refused).sum::<usize>(), 0);
+    let again = bench.spawn_harmless_callers(HARMLESS_CALLERS, MAX_TOKENS);
+    bench.assert_all_answered(again, MAX_TOKENS).await;
 }
 
 const SUSPECT: Statement = Statement::Suspect {
@@ -108,19 +123,19 @@
     remaining: Duration::from_secs(300),
 };
 
-/// What a caller gets at once after facts of another daemon, and when it is to come back.
+/// Status and `retry-after` of a request right after facts of another daemon about it.
 #[rstest]
 #[case::nothing_known(&[], 200, None)]
 #[case::under_test(&[SUSPECT], 503, Some(1))]
 #[case::cleared(&[SUSPECT, Statement::Cleared], 200, None)]
 #[case::refused(&[SUSPECT, REFUSED], 422, Some(300))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn facts_of_others_count(
+async fn facts_from_peer_decide_admission(
     #[case] statements: &[Statement],
     #[case] status: u16,
     #[case] retry_after: Option<u64>,
 ) {
-    let bench = Bench::start(1, RESTART).await;
+    let bench = Bench::start(1, RESTART_DELAY).await;
     for &statement in statements {
         bench.daemons[0].quarantine().apply_fact(Fact {
             by: NodeId(1),
@@ -128,11 +143,11 @@
             statement,
         });
     }
-    let reply = bench.ask(0, "a mug", TOKENS).await;
+    let reply = bench.ask(0, "a mug", MAX_TOKENS).await;
     assert_eq!(reply.status, status, "{reply:?}");
     assert_eq!(reply.retry_after, retry_after);
     let refused = retry_after.map(|_| "not-run");
     assert_eq!(reply.verdict.as_deref(), refused);
-    let other = bench.ask(0, "another mug", TOKENS).await;
+    let other = bench.ask(0, "another mug", MAX_TOKENS).await;
     assert_eq!(other.status, 200);
 }
