--- a/crates/kelpworks/tests/peers/mod.rs
+++ b/crates/kelpworks/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons in one process, for the tests of peers.
+//! A fake platform and daemons in one process, for the tests of peers.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -26,23 +26,23 @@
 use kelpworks_fakes::config_files::DaemonAddresses;
 use kelpworks_fakes::config_files::Team;
 
-/// Much longer than anything here takes; reached only by a fault.
-const PATIENCE: Duration = Duration::from_secs(60);
-const FREE: &str = "127.0.0.1:0";
+/// Much longer than any wait here takes, so that only a fault reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const ANY_PORT: &str = "127.0.0.1:0";
 const TIMING: &str = "heartbeat = \"200ms\"\nwatch = \"2s\"\nhost_list_poll = \"200ms\"";
 
-/// Waits until a condition holds.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Polls until a check succeeds; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let wait = async {
-        while !holds().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "never came true: {what}");
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out while waiting for: {what}");
 }
 
-/// Stand-ins with a register and rules to put in force.
+/// A fake fleet whose object API stores generations of the register and the rules.
 pub(crate) struct Platform {
     pub(crate) fakes: FakeFleet,
     model: Model,
@@ -56,16 +56,16 @@
         Platform { fakes, model }
     }
 
-    /// Swaps the head to a generation; each has rules of its own.
-    pub(crate) fn swap(&self, generation: u64) {
-        let head = self.store(generation);
+    /// Stores a generation, whose rules differ from all others, and swaps the head to it.
+    pub(crate) fn swap_head(&self, generation: u64) {
+        let head = self.store_generation(generation);
         let api = &self.fakes.object_api;
         let body = to_body(&head).expect("a body");
         api.put(HEAD_KIND, HEAD_NAME, &body);
     }
 
-    /// Stores the texts of a generation, without swapping to it.
-    pub(crate) fn store(&self, generation: u64) -> Head {
+    /// Stores the register and the rules of a generation without swapping the head to it.
+    pub(crate) fn store_generation(&self, generation: u64) -> Head {
         let register =
             config_files::register(&self.fakes.view(), std::slice::from_ref(&self.model));
         let token_sha256 = digest_of("token").to_string();
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Starts a daemon in failure domain `domain-0`; the object API may lie behind another URL.
+    /// Starts a daemon in failure domain `domain-0`; `object_api` overrides the URL of the object
+    /// API, to place a link in between.
     pub(crate) async fn daemon(&self, name: &str, object_api: Option<&str>) -> Daemon {
         let mut view = self.fakes.view();
         if let Some(url) = object_api {
@@ -102,9 +103,9 @@
         let addresses = DaemonAddresses {
             name,
             failure_domain: "domain-0",
-            callers: FREE,
-            operators: FREE,
-            peers: FREE,
+            callers: ANY_PORT,
+            operators: ANY_PORT,
+            peers: ANY_PORT,
         };
         let text = config_files::settings(&view, addresses, TIMING);
         let settings = Settings::parse("settings", &text).expect("settings");
@@ -112,7 +113,7 @@
         Daemon::start(&settings, metrics).await.expect("a daemon")
     }
 
-    /// Starts daemons that all see the object API.
+    /// Starts daemons that reach the object API directly.
     pub(crate) async fn daemons(&self, names: &[&str]) -> Vec<Daemon> {
         let mut daemons = Vec::new();
         for name in names {
@@ -122,23 +123,24 @@
     }
 }
 
-/// What a daemon tells operators.
-pub(crate) async fn status(daemon: &Daemon) -> Status {
+/// Returns the status that a daemon serves to operators.
+pub(crate) async fn fetch_status(daemon: &Daemon) -> Status {
     let address = daemon.bound_addresses().operators;
-    fetch(address, PATIENCE).await.expect("a status")
+    fetch(address, WAIT_TIMEOUT).await.expect("a status")
 }
 
-/// State of a member as a daemon shows it; `None` when it does not.
-pub(crate) async fn state_of(daemon: &Daemon, name: &str) -> Option<MemberState> {
-    let members = status(daemon).await.members;
+/// Returns the state of a member in the status of a daemon; `None` when it is not listed.
+pub(crate) async fn member_state(daemon: &Daemon, name: &str) -> Option<MemberState> {
+    let members = fetch_status(daemon).await.members;
     members.iter().find(|m| m.name == name).map(|m| m.state)
 }
 
-/// Waits until each daemon shows all others live and at a generation, as well as itself.
-pub(crate) async fn all_at(daemons: &[Daemon], generation: u64) {
+/// Waits until each daemon is at `generation` or later and lists all others as live and at
+/// `generation` or later.
+pub(crate) async fn wait_until_all_at_generation(daemons: &[Daemon], generation: u64) {
     for daemon in daemons {
-        until(&format!("all at generation {generation}"), async || {
-            let status = status(daemon).await;
+        wait_until(&format!("all at generation {generation}"), async || {
+            let status = fetch_status(daemon).await;
             let up = |m: &&kelpworks::status::Member| {
                 m.state == MemberState::Live && m.generation >= generation
             };
--- a/crates/kelpworks/tests/peers_facts.rs
+++ b/crates/kelpworks/tests/peers_facts.rs
@@ -1,4 +1,4 @@
-//! What other daemons state of an upstream, and what this daemon makes of it.
+//! Effect of the reports of other daemons about an upstream on its health at this daemon.
 
 mod peers;
 
@@ -26,11 +26,12 @@
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
 use kelpworks_fakes::config_files;
-use peers::until;
+use peers::wait_until;
 
 const ENGINE: &str = "engine-0-0";
 
-struct Kept {
+/// A fake fleet of one engine and the upstream monitor that polls it.
+struct MonitoredFleet {
     fakes: FakeFleet,
     fleet: Arc<ArcSwap<Fleet>>,
     reports: mpsc::UnboundedSender<Report>,
@@ -39,8 +40,8 @@
     stop: CancellationToken,
 }
 
-impl Kept {
-    async fn start(state_poll: Duration) -> Kept {
+impl MonitoredFleet {
+    async fn start(state_poll: Duration) -> MonitoredFleet {
         let model = Model::new("caption", "1", 4);
         let fakes = FakeFleet::spawn(FleetConfig::pipeline(&model, 1, 1))
             .await
@@ -54,11 +55,11 @@
             poll_deadline: Duration::from_secs(5),
         };
         let engine = Arc::new(HttpEngine::new(Duration::from_secs(5)));
-        let keeper = UpstreamMonitor::new(cfg, engine, register, Arc::clone(&fleet));
-        let (reports, observed) = (keeper.reports(), keeper.observed());
+        let monitor = UpstreamMonitor::new(cfg, engine, register, Arc::clone(&fleet));
+        let (reports, observed) = (monitor.reports(), monitor.observed());
         let stop = CancellationToken::new();
-        tokio::spawn(keeper.run(stop.clone()));
-        let kept = Kept {
+        tokio::spawn(monitor.run(stop.clone()));
+        let monitored = MonitoredFleet {
             fakes,
             fleet,
             reports,
@@ -66,8 +67,8 @@
             _register: register_tx,
             stop,
         };
-        kept.engine_is(Health::Live).await;
-        kept
+        monitored.wait_for_health(Health::Live).await;
+        monitored
     }
 
     fn health(&self) -> Option<Health> {
@@ -76,78 +77,80 @@
         upstreams.find(|u| &*u.name == ENGINE).map(|u| u.health)
     }
 
-    async fn engine_is(&self, health: Health) {
+    async fn wait_for_health(&self, health: Health) {
         let what = format!("the engine is {health:?}");
-        until(&what, async || self.health() == Some(health)).await;
+        wait_until(&what, async || self.health() == Some(health)).await;
     }
 
-    fn peers_say(&self, leaving: bool, down: u32) {
+    fn send_peer_report(&self, leaving: bool, down: u32) {
         let upstream = UpstreamId::of(ENGINE);
-        let word = PeerReport {
+        let report = PeerReport {
             upstream,
             leaving,
             down,
         };
-        let words = if leaving || down > 0 {
-            vec![word]
+        let reports = if leaving || down > 0 {
+            vec![report]
         } else {
             Vec::new()
         };
-        self.reports.send(Report::Peers(words)).expect("a keeper");
+        self.reports
+            .send(Report::Peers(reports))
+            .expect("the monitor runs");
     }
 }
 
-impl Drop for Kept {
+impl Drop for MonitoredFleet {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
 #[tokio::test]
-async fn a_peers_word_of_leaving_holds_until_it_is_taken_back() {
-    let kept = Kept::start(Duration::from_millis(50)).await;
-    kept.peers_say(true, 0);
-    kept.engine_is(Health::Leaving).await;
-    kept.peers_say(false, 0);
-    kept.engine_is(Health::Live).await;
+async fn peer_report_of_leaving_applies_until_withdrawn() {
+    let monitored = MonitoredFleet::start(Duration::from_millis(50)).await;
+    monitored.send_peer_report(true, 0);
+    monitored.wait_for_health(Health::Leaving).await;
+    monitored.send_peer_report(false, 0);
+    monitored.wait_for_health(Health::Live).await;
     assert!(
-        kept.observed.borrow().is_empty(),
-        "a peer's word is not passed on as one's own"
+        monitored.observed.borrow().is_empty(),
+        "a report of a peer is passed on as an own observation"
     );
 }
 
 #[tokio::test]
-async fn an_own_answer_counts_for_more_than_peers_word_of_down() {
-    // Polls but for the one that the word causes are hours apart.
-    let kept = Kept::start(Duration::from_secs(36_000)).await;
-    let polls = || kept.fakes.engines[0].faults().clone();
-    polls().set_connection_mode(ConnectionMode::Pass);
-    kept.peers_say(false, 2);
-    kept.engine_is(Health::Live).await;
+async fn answered_poll_outweighs_peer_reports_of_down() {
+    // Polls are hours apart, except the one that the report triggers.
+    let monitored = MonitoredFleet::start(Duration::from_secs(36_000)).await;
+    let engine_faults = || monitored.fakes.engines[0].faults().clone();
+    engine_faults().set_connection_mode(ConnectionMode::Pass);
+    monitored.send_peer_report(false, 2);
+    monitored.wait_for_health(Health::Live).await;
 }
 
 #[tokio::test]
-async fn peers_word_of_down_makes_one_missed_poll_enough() {
-    let kept = Kept::start(Duration::from_secs(36_000)).await;
-    kept.fakes.engines[0]
+async fn one_missed_poll_marks_down_after_peer_reports() {
+    let monitored = MonitoredFleet::start(Duration::from_secs(36_000)).await;
+    monitored.fakes.engines[0]
         .faults()
         .set_connection_mode(ConnectionMode::Refuse);
-    kept.peers_say(false, 2);
-    kept.engine_is(Health::Down).await;
+    monitored.send_peer_report(false, 2);
+    monitored.wait_for_health(Health::Down).await;
 }
 
 #[tokio::test]
-async fn silence_of_an_upstream_is_observed_for_others() {
-    let mut kept = Kept::start(Duration::from_millis(50)).await;
-    kept.fakes.engines[0]
+async fn unreachable_upstream_is_observed_for_peers() {
+    let mut monitored = MonitoredFleet::start(Duration::from_millis(50)).await;
+    monitored.fakes.engines[0]
         .faults()
         .set_connection_mode(ConnectionMode::Refuse);
-    kept.engine_is(Health::Down).await;
-    let seen = kept
+    monitored.wait_for_health(Health::Down).await;
+    let seen = monitored
         .observed
         .wait_for(|o| !o.is_empty())
         .await
-        .expect("a keeper");
+        .expect("the monitor runs");
     let kinds: Vec<(&str, ObservationKind)> = seen.iter().map(|o| (&*o.upstream, o.kind)).collect();
     assert_eq!(kinds, [(ENGINE, ObservationKind::Down)]);
 }
--- a/crates/kelpworks/tests/peers_links.rs
+++ b/crates/kelpworks/tests/peers_links.rs
@@ -15,28 +15,28 @@
 use kelpworks_coord::facts::Kind;
 use kelpworks_fakes::Link;
 use kelpworks_fakes::LinkState;
-use peers::until;
+use peers::wait_until;
 
-/// Addresses that were given out in this process.
-static GIVEN: AtomicU8 = AtomicU8::new(1);
+/// Last byte of the next loopback address to hand out in this process.
+static NEXT_HOST_BYTE: AtomicU8 = AtomicU8::new(1);
 
-fn own_address() -> SocketAddr {
+fn unique_loopback_address() -> SocketAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let host = GIVEN.fetch_add(1, Ordering::Relaxed);
+    let host = NEXT_HOST_BYTE.fetch_add(1, Ordering::Relaxed);
     SocketAddr::from(([127, 1 + high % 250, low, host], 7_070))
 }
 
-/// Three daemons; the others reach the last one through a link.
-struct Three {
+/// Three daemons, of which the first two reach the last one through a link.
+struct ThreeDaemons {
     all: Vec<Peers>,
     link: Link,
 }
 
-impl Three {
-    async fn start() -> Three {
-        // An address of its own in the loopback range: a free port of 127.0.0.1 could go to another
-        // test before the daemon listens on it.
-        let listen = own_address();
+impl ThreeDaemons {
+    async fn start() -> ThreeDaemons {
+        // A unique loopback address, as another test could take a free port of 127.0.0.1 before the
+        // daemon listens on it.
+        let listen = unique_loopback_address();
         let link = Link::spawn(listen).await.expect("a free port");
         let mut all = Vec::new();
         for name in ["a", "b", "c"] {
@@ -59,14 +59,14 @@
         for peers in &all {
             peers.set_member_list(&contacts);
         }
-        let three = Three { all, link };
-        three.c_is(MemberState::Live).await;
-        three
+        let daemons = ThreeDaemons { all, link };
+        daemons.wait_for_state_of_c(MemberState::Live).await;
+        daemons
     }
 
-    async fn c_is(&self, wanted: MemberState) {
+    async fn wait_for_state_of_c(&self, wanted: MemberState) {
         for peers in &self.all[..2] {
-            until(&format!("c is {wanted}"), async || {
+            wait_until(&format!("c is {wanted}"), async || {
                 let members = peers.members();
                 members.iter().any(|m| m.name == "c" && m.state == wanted)
             })
@@ -76,40 +76,43 @@
 }
 
 #[tokio::test]
-async fn a_dead_connection_is_replaced_and_its_daemon_stays() {
-    let three = Three::start().await;
-    until("both are connected", async || three.link.accepted() >= 2).await;
-    let before = three.link.accepted();
-    three.link.set(LinkState::SilenceExisting);
-    until("both have new connections", async || {
-        let states = three.all[..2].iter().flat_map(Peers::members);
+async fn stalled_connection_is_replaced_and_peer_stays_live() {
+    let daemons = ThreeDaemons::start().await;
+    wait_until("both are connected", async || daemons.link.accepted() >= 2).await;
+    let before = daemons.link.accepted();
+    daemons.link.set(LinkState::SilenceExisting);
+    wait_until("both have new connections", async || {
+        let states = daemons.all[..2].iter().flat_map(Peers::members);
         let down = states.into_iter().any(|m| m.state == MemberState::Down);
-        assert!(!down, "a daemon was held for dead over a dead connection");
-        three.link.accepted() >= before + 2
+        assert!(
+            !down,
+            "a daemon was marked down because of a stalled connection"
+        );
+        daemons.link.accepted() >= before + 2
     })
     .await;
-    three.c_is(MemberState::Live).await;
+    daemons.wait_for_state_of_c(MemberState::Live).await;
 }
 
 #[rstest::rstest]
 #[case::cut(LinkState::Cut)]
 #[case::silent(LinkState::SilenceAll)]
 #[tokio::test]
-async fn a_daemon_that_none_reaches_is_down_until_it_is_reached(#[case] state: LinkState) {
-    let three = Three::start().await;
-    // It still reaches the others, and would refute its death at once.
-    three.all[2].close();
-    three.link.set(state);
-    three.c_is(MemberState::Down).await;
+async fn unreachable_daemon_is_marked_down(#[case] state: LinkState) {
+    let daemons = ThreeDaemons::start().await;
+    // While open, it still reaches the others and would refute its death at once.
+    daemons.all[2].close();
+    daemons.link.set(state);
+    daemons.wait_for_state_of_c(MemberState::Down).await;
 }
 
 #[tokio::test]
-async fn a_fact_reaches_all_and_its_clearing_too() {
-    let three = Three::start().await;
+async fn fact_and_its_clearing_reach_all_peers() {
+    let daemons = ThreeDaemons::start().await;
     let (kind, subject) = (Kind::Leaving, 77);
-    three.all[0].set_fact(kind, subject, 0, Duration::from_secs(600));
-    for peers in &three.all {
-        until("the fact is known", async || {
+    daemons.all[0].set_fact(kind, subject, 0, Duration::from_secs(600));
+    for peers in &daemons.all {
+        wait_until("the fact has arrived", async || {
             peers
                 .active_facts(kind)
                 .iter()
@@ -117,9 +120,9 @@
         })
         .await;
     }
-    three.all[0].clear_fact(kind, subject);
-    for peers in &three.all {
-        until("the fact is cleared", async || {
+    daemons.all[0].clear_fact(kind, subject);
+    for peers in &daemons.all {
+        wait_until("the fact is cleared", async || {
             peers.active_facts(kind).is_empty()
         })
         .await;
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -1,4 +1,5 @@
-//! Daemons' state machines on a virtual clock: membership, spreading, facts and trial shares.
+//! The peer state machines of daemons on a virtual clock: membership, dissemination, facts and
+//! trial shares.
 
 #[path = "../examples/measure/net.rs"]
 mod net;
@@ -31,21 +32,21 @@
     net
 }
 
-/// Number of daemons that `at` shows in a state.
-fn shown(net: &Net, at: usize, state: MemberState) -> usize {
+/// Returns how many members the daemon `at` lists in a state.
+fn count_in_state(net: &Net, at: usize, state: MemberState) -> usize {
     let members = net.node(at).map_or(Vec::new(), |n| n.members());
     members.iter().filter(|m| m.state == state).count()
 }
 
-/// Whether every daemon that is up shows exactly so many others live.
+/// Whether every daemon that is up lists exactly `live` others as live.
 fn all_show_live(net: &Net, daemons: usize, live: usize) -> bool {
     let up = (0..daemons).filter(|&at| net.node(at).is_some());
     up.into_iter()
-        .all(|at| shown(net, at, MemberState::Live) == live)
+        .all(|at| count_in_state(net, at, MemberState::Live) == live)
 }
 
 #[rstest]
-fn a_crash_is_known_to_all_and_a_restart_too(
+fn crash_and_restart_are_detected_by_all_daemons(
     #[values(3, 7, 40)] daemons: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -53,14 +54,14 @@
     assert!(all_show_live(&net, daemons, daemons - 1));
     net.crash(1);
     let known = net.run_until(20 * SECOND, |net| all_show_live(net, daemons, daemons - 2));
-    assert!(known, "a crash was not known to all within 20 s");
+    assert!(known, "not every daemon detected the crash within 20 s");
     net.restart(1);
     let back = net.run_until(20 * SECOND, |net| all_show_live(net, daemons, daemons - 1));
-    assert!(back, "a restart was not known to all within 20 s");
+    assert!(back, "not every daemon saw the restart within 20 s");
 }
 
 #[rstest]
-fn a_single_bad_link_buries_no_one(
+fn single_cut_link_marks_no_daemon_down(
     #[values(false, true)] both_ways: bool,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -70,34 +71,34 @@
     for _ in 0..600 {
         net.run_for(SECOND);
         let down = (0..7)
-            .map(|at| shown(&net, at, MemberState::Down))
+            .map(|at| count_in_state(&net, at, MemberState::Down))
             .sum::<usize>();
         assert_eq!(down, 0, "at {} ms", net.now_ms());
     }
 }
 
 #[rstest]
-fn regions_that_lose_each_other_for_an_hour_find_together(#[values(1, 2, 3)] seed: u64) {
+fn partitioned_regions_reconnect_after_an_hour(#[values(1, 2, 3)] seed: u64) {
     const DAEMONS: usize = 12;
     let mut net = net(DAEMONS, 2, seed);
-    let across = |net: &Net| -> Vec<(usize, usize)> {
+    let cross_region_pairs = |net: &Net| -> Vec<(usize, usize)> {
         let all = (0..DAEMONS).flat_map(|a| (0..DAEMONS).map(move |b| (a, b)));
         all.filter(|&(a, b)| net.region(a) != net.region(b))
             .collect()
     };
-    for (a, b) in across(&net) {
+    for (a, b) in cross_region_pairs(&net) {
         net.set_cut(a, b, true);
     }
     net.run_for(HOUR);
     assert!(
         all_show_live(&net, DAEMONS, DAEMONS / 2 - 1),
-        "each side goes on by itself"
+        "a region does not list exactly its own daemons as live"
     );
-    for (a, b) in across(&net) {
+    for (a, b) in cross_region_pairs(&net) {
         net.set_cut(a, b, false);
     }
     let together = net.run_until(120 * SECOND, |net| all_show_live(net, DAEMONS, DAEMONS - 1));
-    assert!(together, "not together again within 2 min");
+    assert!(together, "the regions did not rejoin within 2 min");
 }
 
 #[rstest]
@@ -106,7 +107,7 @@
 #[case::outage_after_one_reader(Some(1), 0.0, false)]
 #[case::a_fifth_of_the_links_cut(None, 0.2, false)]
 #[case::all_at_once(Some(1), 0.2, false)]
-fn a_generation_is_in_force_everywhere_within_three_seconds(
+fn generation_is_active_everywhere_within_three_seconds(
     #[case] readers: Option<u64>,
     #[case] links_cut: f64,
     #[case] watcher_dies: bool,
@@ -121,11 +122,16 @@
         net.crash(watcher);
     }
     let done = net.run_until(3 * SECOND, |net| net.in_force() == net.up());
-    assert!(done, "{} of {} have it", net.in_force(), net.up());
+    assert!(
+        done,
+        "{} of {} daemons have activated it",
+        net.in_force(),
+        net.up()
+    );
 }
 
 #[rstest]
-fn few_watch_the_object_api_and_never_none(#[values(7, 40)] daemons: usize) {
+fn few_daemons_watch_the_object_api_and_never_none(#[values(7, 40)] daemons: usize) {
     let mut net = net(daemons, 1, 1);
     assert_eq!(
         net.watchers().len(),
@@ -136,12 +142,12 @@
         net.crash(at);
     }
     net.run_for(30 * SECOND);
-    let least = if daemons == 7 { 2 } else { 6 };
-    assert_eq!(net.watchers().len(), least);
+    let expected_watchers = if daemons == 7 { 2 } else { 6 };
+    assert_eq!(net.watchers().len(), expected_watchers);
 }
 
 #[rstest]
-fn a_fact_reaches_all_and_so_does_its_clearing(
+fn fact_and_its_clearing_reach_all_daemons(
     #[values(7, 40)] daemons: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -167,7 +173,7 @@
 
 proptest! {
     #[test]
-    fn parts_add_up_to_the_whole(demands in prop::collection::vec(0..100_000_u32, 1..20)) {
+    fn fair_shares_add_up_to_the_total(demands in prop::collection::vec(0..100_000_u32, 1..20)) {
         let parts = (0..demands.len()).map(|at| {
             let mut others = demands.clone();
             let own = others.remove(at);
@@ -179,14 +185,14 @@
 }
 
 #[test]
-fn a_steady_demand_is_told_once() {
+fn steady_demand_is_reported_once() {
     let mut demand = Demand::default();
-    let told: Vec<u32> = (0..40)
+    let reported: Vec<u32> = (0..40)
         .map(|n| demand.observe(1_000 + n % 3 * 20))
         .collect();
-    let last = told[39];
-    assert!((900..=1_100).contains(&last), "{told:?}");
-    assert!(told[10..].iter().all(|&t| t == last), "{told:?}");
+    let last = reported[39];
+    assert!((900..=1_100).contains(&last), "{reported:?}");
+    assert!(reported[10..].iter().all(|&t| t == last), "{reported:?}");
     let silent: Vec<u32> = (0..20).map(|_| demand.observe(0)).collect();
     assert_eq!(silent[19], 0, "{silent:?}");
 }
