--- a/crates/kelpworks/tests/executor_support/mod.rs
+++ b/crates/kelpworks/tests/executor_support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins with daemons in one process, and a register that changes under them.
+//! A fake fleet and daemons in one process, and functions to change the active register.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -33,36 +33,37 @@
 use kelpworks_fakes::config_files::Team;
 use kelpworks_wire::LoadedRange;
 
-const FREE: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 const TOKEN: &str = "token-of-a-test";
-/// Far above what anything here takes; only a fault lets a wait run into it.
-const BOUND: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(20);
-/// Short times, so that the tests end soon; what they assert does not hang on them.
-const TIMES: &str = "state_poll = \"50 ms\"\nhost_list_poll = \"100 ms\"\nrequest = \"10 s\"\n";
-const PLACEMENT: &str = "lease = \"1200 ms\"\norder_bound = \"200 ms\"\ninterval = \"50 ms\"\n\
+/// Far longer than any wait here takes, so that only a fault reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Short times, so that the tests end soon; no assertion depends on them.
+const TIMING_TOML: &str =
+    "state_poll = \"50 ms\"\nhost_list_poll = \"100 ms\"\nrequest = \"10 s\"\n";
+const PLACEMENT_TOML: &str = "lease = \"1200 ms\"\norder_bound = \"200 ms\"\ninterval = \"50 ms\"\n\
                          improve_after = \"1 h\"\n";
 
 static METRICS: LazyLock<PrometheusHandle> =
     LazyLock::new(|| install_metrics().expect("the first recorder of this process"));
 
-/// Length of the placement lease in these settings.
-pub(crate) const LEASE: Duration = Duration::from_millis(1200);
-/// Longest time to the effect of an order in these settings.
+/// Duration of the placement lease in the settings of the tests.
+pub(crate) const LEASE_DURATION: Duration = Duration::from_millis(1200);
+/// Maximum time until an order takes effect, in the settings of the tests.
 pub(crate) const ORDER_BOUND: Duration = Duration::from_millis(200);
-/// Time between two rounds in these settings.
-pub(crate) const INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two placement rounds in the settings of the tests.
+pub(crate) const PLACEMENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Layers of the model; no engine may hold all of them.
+/// Layers of the model. With the memory of [`register`], no engine has capacity for all of them.
 pub(crate) const LAYERS: u32 = 12;
 
-/// The model of the tests, in this version.
+/// Returns a version of the model of the tests.
 pub(crate) fn model(version: &str) -> Model {
     Model::new("caption", version, LAYERS)
 }
 
-/// Engines that hold nothing, in three failure domains.
-pub(crate) fn empty(count: usize) -> FleetConfig {
+/// Configures `count` engines without loaded layers, spread over three failure domains.
+pub(crate) fn empty_engines(count: usize) -> FleetConfig {
     let engine = |n: usize| {
         let mut cfg = EngineConfig::new(&format!("engine-{n}"), vec![model("1")]);
         cfg.failure_domain = format!("domain-{}", n % 3);
@@ -74,18 +75,18 @@
     }
 }
 
-/// The register of these stand-ins; weights of 8 layers fit on an engine.
+/// Returns the register of the fake fleet; the weights of 8 layers fit on an engine.
 pub(crate) fn register(fakes: &FakeFleet, version: &str) -> String {
     register_with(fakes, version, "10 GB")
 }
 
-/// The register of these stand-ins, with so much memory on each host; a layer takes 1 GB.
+/// Returns the register of the fake fleet with `memory` on each host; a layer takes 1 GB.
 pub(crate) fn register_with(fakes: &FakeFleet, version: &str, memory: &str) -> String {
     let text = config_files::register(&fakes.view(), &[model(version)]);
     text.replace("memory = \"80 GB\"", &format!("memory = \"{memory}\""))
 }
 
-/// The rules of the tests.
+/// Returns rules with one paying team, whose token is [`TOKEN`].
 pub(crate) fn rules() -> String {
     let digest = digest_of(TOKEN).to_string();
     let team = Team {
@@ -97,8 +98,8 @@
     config_files::rules(0.2, &[team], &[])
 }
 
-/// Puts a register in force.
-pub(crate) fn accept(fakes: &FakeFleet, generation: u64, register: &str) {
+/// Stores a register and the rules in the object API and makes them the head.
+pub(crate) fn activate_register(fakes: &FakeFleet, generation: u64, register: &str) {
     let rules = rules();
     let part = |text: &str| Part {
         digest: digest_of(text),
@@ -118,21 +119,22 @@
     fakes.object_api.put(HEAD_KIND, HEAD_NAME, &body);
 }
 
-/// Starts a daemon beside the stand-ins.
-pub(crate) async fn daemon(fakes: &FakeFleet, name: &str) -> Daemon {
-    daemon_with(fakes, name, "600 ms").await
+/// Starts a daemon that treats a host as lost after 600 ms.
+pub(crate) async fn start_daemon(fakes: &FakeFleet, name: &str) -> Daemon {
+    start_daemon_with(fakes, name, "600 ms").await
 }
 
-/// Starts a daemon to which a host is lost after so long.
-pub(crate) async fn daemon_with(fakes: &FakeFleet, name: &str, lost_after: &str) -> Daemon {
+/// Starts a daemon that treats a host as lost after `lost_after`.
+pub(crate) async fn start_daemon_with(fakes: &FakeFleet, name: &str, lost_after: &str) -> Daemon {
     let addresses = DaemonAddresses {
         name,
         failure_domain: "domain-0",
-        callers: FREE,
-        operators: FREE,
-        peers: FREE,
+        callers: ANY_PORT,
+        operators: ANY_PORT,
+        peers: ANY_PORT,
     };
-    let tables = format!("{TIMES}[placement]\nlost_after = \"{lost_after}\"\n{PLACEMENT}");
+    let tables =
+        format!("{TIMING_TOML}[placement]\nlost_after = \"{lost_after}\"\n{PLACEMENT_TOML}");
     let text = config_files::settings(&fakes.view(), addresses, &tables);
     let settings = Settings::parse("settings", &text).expect("settings");
     Daemon::start(&settings, METRICS.clone())
@@ -140,24 +142,32 @@
         .expect("a daemon")
 }
 
-/// Waits until something holds.
-pub(crate) async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
+/// Polls until a check succeeds; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until<F: Future<Output = bool>>(
+    what: &str,
+    mut condition: impl FnMut() -> F,
+) {
     let wait = async {
-        while !holds().await {
-            tokio::time::sleep(PAUSE).await;
+        while !condition().await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let waited = tokio::time::timeout(BOUND, wait).await;
-    assert!(waited.is_ok(), "never came: {what}");
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out while waiting for: {what}");
 }
 
-/// Waits until what an engine set shows holds.
-pub(crate) async fn until_now(what: &str, holds: impl Fn() -> bool) {
-    until(what, || std::future::ready(holds())).await;
+/// Like [`wait_until`], for a check that needs no await.
+pub(crate) async fn wait_until_sync(what: &str, condition: impl Fn() -> bool) {
+    wait_until(what, || std::future::ready(condition())).await;
 }
 
-/// The text that a daemon answers; `None` when it gives none.
-pub(crate) async fn ask(daemon: &Daemon, prompt: &str, max_tokens: u32) -> Option<String> {
+/// Returns the text of a completion; `None` on a connection error, an error status or a body that
+/// is not a completion.
+pub(crate) async fn request_completion(
+    daemon: &Daemon,
+    prompt: &str,
+    max_tokens: u32,
+) -> Option<String> {
     let body = serde_json::json!({
         "model": "caption", "prompt": prompt, "max_tokens": max_tokens,
     });
@@ -171,11 +181,11 @@
     Some(answer.choices[0].text.clone())
 }
 
-/// Waits until a daemon answers, and checks the answer against the model.
-pub(crate) async fn answers(daemon: &Daemon, version: &str) {
+/// Waits until a daemon answers, and asserts that the answer is that of the model.
+pub(crate) async fn wait_for_correct_answer(daemon: &Daemon, version: &str) {
     let expected = model(version).answer_text("valve", 8);
-    until("a right answer", || async {
-        match ask(daemon, "valve", 8).await {
+    wait_until("a correct answer", || async {
+        match request_completion(daemon, "valve", 8).await {
             None => false,
             Some(text) => {
                 assert_eq!(text, expected);
@@ -186,14 +196,15 @@
     .await;
 }
 
-/// The lease as it stands.
-pub(crate) fn lease(fakes: &FakeFleet) -> Option<Record> {
+/// Reads the current lease record from the object API; `None` when there is none.
+pub(crate) fn lease_record(fakes: &FakeFleet) -> Option<Record> {
     let object = fakes.object_api.get(LEASE_KIND, LEASE_NAME)?;
     Some(serde_json::from_str(&object.body).expect("a lease record"))
 }
 
-/// Whether engines that are up hold each layer of a version in two failure domains.
-pub(crate) fn stands(engines: &[&Engine], version: &str) -> bool {
+/// Whether engines that are up have each layer of a version loaded in at least two failure
+/// domains.
+pub(crate) fn is_redundantly_placed(engines: &[&Engine], version: &str) -> bool {
     (0..LAYERS).all(|layer| {
         let holds = |r: &LoadedRange| {
             r.version == version && r.layers.first <= layer && layer < r.layers.end
@@ -210,13 +221,12 @@
     })
 }
 
-/// All engines of a set of stand-ins.
-pub(crate) fn all(fakes: &FakeFleet) -> Vec<&Engine> {
+pub(crate) fn all_engines(fakes: &FakeFleet) -> Vec<&Engine> {
     fakes.engines.iter().collect()
 }
 
-/// How many orders engines got so far.
-pub(crate) fn orders(fakes: &FakeFleet) -> usize {
+/// Returns how many orders the engines have received so far.
+pub(crate) fn order_count(fakes: &FakeFleet) -> usize {
     fakes
         .engines
         .iter()
@@ -224,13 +234,13 @@
         .sum()
 }
 
-/// Whether none of these engines holds anything of a version.
-pub(crate) fn is_gone(engines: &[&Engine], version: &str) -> bool {
+/// Whether none of these engines has any layer of a version loaded.
+pub(crate) fn is_unloaded(engines: &[&Engine], version: &str) -> bool {
     let holds = |e: &Engine| e.state().loaded.iter().any(|r| r.version == version);
     !engines.iter().any(|e| holds(e))
 }
 
-/// Waits for a number of rounds.
-pub(crate) async fn rounds(count: u32) {
-    tokio::time::sleep(INTERVAL * count).await;
+/// Waits for the time of `count` placement rounds.
+pub(crate) async fn wait_rounds(count: u32) {
+    tokio::time::sleep(PLACEMENT_INTERVAL * count).await;
 }
--- a/crates/kelpworks/tests/retry_driver.rs
+++ b/crates/kelpworks/tests/retry_driver.rs
@@ -1,4 +1,5 @@
-//! The driver's retries: bounded over all sessions, and not at the cost of an answer begun.
+//! Retries of the pipeline driver: a budget over all sessions bounds them, and an answer that has
+//! already sent tokens is completed even when the budget is spent.
 //!
 //! The engine here runs in memory, on a paused clock, so that the counts are the same on any
 //! machine.
@@ -61,14 +62,14 @@
 use kelpworks_wire::StepReply;
 
 const LAYERS: u32 = 4;
-/// First layer of the last stage, the one that fails.
-const LAST_STAGE: u32 = 2;
+/// First layer of the last stage, in which the failures occur.
+const LAST_STAGE_FIRST_LAYER: u32 = 2;
 const REPLICAS: u32 = 3;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const TOKENS: u32 = 6;
 const REQUESTS: u64 = 100;
-/// Recoveries of a request that the budget only slows.
-const SURE_RECOVERIES: u64 = 2;
+/// Recoveries per request that a spent budget delays but does not refuse.
+const GUARANTEED_RECOVERIES: u64 = 2;
 const LOAD: EngineLoad = EngineLoad {
     draining: false,
     kv_free: 1_000,
@@ -77,24 +78,24 @@
     running: 0,
 };
 
-/// What the last stage does with its steps; the other one runs all.
+/// An engine client whose first stage runs all steps and whose last stage follows a script.
 #[derive(Debug, Default)]
-struct Script {
-    /// Steps of the last stage sent so far.
-    sent: AtomicU64,
-    /// Steps that it still runs before it fails.
-    good: AtomicI64,
-    /// Steps that it then fails.
-    bad: AtomicI64,
-    /// Steps that it answers busy before all else.
+struct ScriptedEngine {
+    /// Steps sent to the last stage so far.
+    last_stage_steps: AtomicU64,
+    /// Steps that the last stage still runs before it fails.
+    successes: AtomicI64,
+    /// Steps that the last stage fails after that; it runs all further ones.
+    failures: AtomicI64,
+    /// Steps that the last stage answers busy first of all.
     busy: AtomicI64,
 }
 
-fn take(count: &AtomicI64) -> bool {
+fn consume_one(count: &AtomicI64) -> bool {
     count.fetch_sub(1, Ordering::Relaxed) > 0
 }
 
-impl Engine for Script {
+impl Engine for ScriptedEngine {
     async fn steps(
         &self,
         _url: &Arc<str>,
@@ -104,19 +105,19 @@
         tokio::time::sleep(STEP_TIME).await;
         let step = &batch.steps[0];
         let first = step.layers.first;
-        if first != LAST_STAGE {
+        if first != LAST_STAGE_FIRST_LAYER {
             let handle = format!(
                 "{}/{}/{first}/{}",
                 step.session, step.attempt, step.position
             );
             return Ok(reply(step, StepOutcome::Handle(handle)));
         }
-        self.sent.fetch_add(1, Ordering::Relaxed);
-        if take(&self.busy) {
+        self.last_stage_steps.fetch_add(1, Ordering::Relaxed);
+        if consume_one(&self.busy) {
             let busy = BusyReply { retry_after_ms: 10 };
             return Ok(reply(step, StepOutcome::Busy(busy)));
         }
-        if !take(&self.good) && take(&self.bad) {
+        if !consume_one(&self.successes) && consume_one(&self.failures) {
             return Err(engine::Error::Lost("reset".to_owned()));
         }
         Ok(reply(step, StepOutcome::Token(7)))
@@ -196,7 +197,10 @@
         ..Fleet::default()
     };
     let mut keys = Vec::new();
-    for (first, end) in [(0, LAST_STAGE), (LAST_STAGE, LAYERS)] {
+    for (first, end) in [
+        (0, LAST_STAGE_FIRST_LAYER),
+        (LAST_STAGE_FIRST_LAYER, LAYERS),
+    ] {
         for replica in 0..REPLICAS {
             let name: Arc<str> = format!("engine-{first}-{replica}").into();
             keys.push(fleet.upstreams.insert(Upstream {
@@ -220,7 +224,7 @@
     fleet.indexed()
 }
 
-fn driver(script: Script, retries: RetryConfig) -> Driver<Script> {
+fn driver(script: ScriptedEngine, retries: RetryConfig) -> Driver<ScriptedEngine> {
     let (reports, _) = mpsc::unbounded_channel();
     Driver {
         engine: Arc::new(script),
@@ -241,16 +245,19 @@
     }
 }
 
-/// Runs one session to its end; its tokens are read at once.
-async fn run(driver: &Driver<Script>, name: &str) -> (Outcome, u32) {
+/// Runs one session to its end and returns its outcome and the number of tokens it sent.
+async fn run(driver: &Driver<ScriptedEngine>, name: &str) -> (Outcome, u32) {
     let admission = Admission::new(kelpworks::admission::Config::default());
-    let ask = AdmissionRequest {
+    let request = AdmissionRequest {
         team: "studio",
         class: Class::Paying,
         weight: 1,
         cost: 10,
     };
-    let permit = admission.admit(ask).await.expect("room");
+    let permit = admission
+        .admit(request)
+        .await
+        .expect("the request is admitted");
     let job = Job {
         session: name.to_owned(),
         team: "studio".to_owned(),
@@ -271,7 +278,7 @@
     (outcome, tokens)
 }
 
-fn unbounded() -> RetryConfig {
+fn unlimited_retries() -> RetryConfig {
     RetryConfig {
         burst: f64::INFINITY,
         min_per_second: f64::INFINITY,
@@ -280,38 +287,45 @@
     }
 }
 
-/// Steps sent to a stage that fails each of them, for 100 requests one after another: at most the
-/// requests themselves, two slow recoveries of each and what the budget allows, against the same without a budget. Each try
-/// sends a step twice, as a broken connection is not yet a failure of the engine.
+/// Bounds the steps sent to a stage that fails all of them, for 100 sequential requests: at most
+/// the requests themselves, two delayed recoveries of each, and the retries that the budget allows.
+/// Without a budget, every request uses all its attempts. Each attempt sends a step twice, as a
+/// broken connection does not yet count as a failure of the engine.
 #[rstest]
 #[case::budget(50.0, 2.0)]
 #[case::larger_burst(100.0, 0.0)]
 #[case::none(0.0, 2.0)]
 #[tokio::test(start_paused = true)]
-async fn a_failing_stage_is_not_flooded(#[case] burst: f64, #[case] floor: f64) {
+async fn retry_budget_limits_steps_to_failing_stage(
+    #[case] burst: f64,
+    #[case] min_retries_per_second: f64,
+) {
     let retries = RetryConfig {
         burst,
-        min_per_second: floor,
+        min_per_second: min_retries_per_second,
         ..RetryConfig::default()
     };
-    let (sent, took) = flood(retries).await;
-    let (baseline, _) = flood(unbounded()).await;
-    // What is earned as time passes is kept up to the burst only.
+    let (sent, took) = fail_all_requests(retries).await;
+    let (baseline, _) = fail_all_requests(unlimited_retries()).await;
+    // Retries earned over time accumulate up to the burst only.
     let earned = if burst > 0.0 {
-        burst + floor * took.as_secs_f64()
+        burst + min_retries_per_second * took.as_secs_f64()
     } else {
         0.0
     };
-    let bound = 2 * (REQUESTS * (1 + SURE_RECOVERIES) + earned.ceil() as u64);
+    let bound = 2 * (REQUESTS * (1 + GUARANTEED_RECOVERIES) + earned.ceil() as u64);
     println!("steps sent: {sent}, bound {bound}, without a budget {baseline}");
     assert!(sent <= bound, "{sent} steps, bound {bound}");
-    assert_eq!(baseline, 2 * REQUESTS * u64::from(unbounded().max_attempts));
+    assert_eq!(
+        baseline,
+        2 * REQUESTS * u64::from(unlimited_retries().max_attempts)
+    );
 }
 
-async fn flood(retries: RetryConfig) -> (u64, Duration) {
-    let script = Script {
-        bad: AtomicI64::new(i64::MAX),
-        ..Script::default()
+async fn fail_all_requests(retries: RetryConfig) -> (u64, Duration) {
+    let script = ScriptedEngine {
+        failures: AtomicI64::new(i64::MAX),
+        ..ScriptedEngine::default()
     };
     let driver = driver(script, retries);
     for n in 0..REQUESTS {
@@ -319,107 +333,113 @@
         assert!(matches!(outcome.result, Err(SessionError::Retries { .. })));
         assert_eq!((outcome.verdict, tokens), (Verdict::MayHaveRun, 0));
     }
-    let sent = driver.engine.sent.load(Ordering::Relaxed);
+    let sent = driver.engine.last_stage_steps.load(Ordering::Relaxed);
     (sent, driver.start.elapsed())
 }
 
-/// With the budget spent: one that has sent nothing ends at its third failure, one that has sent
-/// tokens is completed.
+/// With a spent budget, a request that has sent no token ends at its third failure, and one that
+/// has sent tokens is completed.
 #[rstest]
 #[case::nothing_sent(0, 10, Err(AbandonReason::Budget), 0, 3)]
 #[case::nothing_sent_and_two_failures(0, 4, Ok(()), TOKENS, 2)]
 #[case::tokens_sent(2, 10, Ok(()), TOKENS, 5)]
 #[tokio::test(start_paused = true)]
-async fn an_answer_begun_is_completed(
-    #[case] good: i64,
-    #[case] bad: i64,
+async fn spent_retry_budget_ends_only_unstarted_answers(
+    #[case] successes: i64,
+    #[case] failures: i64,
     #[case] expected: Result<(), AbandonReason>,
     #[case] tokens: u32,
     #[case] recoveries: u32,
 ) {
-    let script = Script {
-        good: AtomicI64::new(good),
-        bad: AtomicI64::new(bad),
-        ..Script::default()
+    let script = ScriptedEngine {
+        successes: AtomicI64::new(successes),
+        failures: AtomicI64::new(failures),
+        ..ScriptedEngine::default()
     };
-    let spent = RetryConfig {
+    let no_budget = RetryConfig {
         burst: 0.0,
         ..RetryConfig::default()
     };
-    let driver = driver(script, spent);
-    let (outcome, got) = run(&driver, "a").await;
+    let driver = driver(script, no_budget);
+    let (outcome, tokens_read) = run(&driver, "a").await;
     let result = match outcome.result {
         Ok(_) => Ok(()),
         Err(SessionError::Retries { reason, .. }) => Err(reason),
         Err(other) => panic!("{other}"),
     };
-    assert_eq!((result, got), (expected, tokens));
+    assert_eq!((result, tokens_read), (expected, tokens));
     assert_eq!(outcome.recoveries, recoveries);
 }
 
-/// A fleet whose last stage is lost.
+/// Returns the fleet with all upstreams of the last stage down.
 fn fleet_without_last_stage() -> Fleet {
     let mut fleet = fleet();
     for upstream in fleet.upstreams.values_mut() {
-        if upstream.layer_assignments[0].layers.first == LAST_STAGE {
+        if upstream.layer_assignments[0].layers.first == LAST_STAGE_FIRST_LAYER {
             upstream.health = Health::Down;
         }
     }
     fleet.indexed()
 }
 
-/// All replicas of a stage are lost under a request, for 20 s: one that has sent nothing is told
-/// after 5 s, one that has sent tokens is completed.
+/// All replicas of a stage are down for 20 s during a request: one that has sent no token ends
+/// with an error after 5 s, and one that has sent tokens is completed.
 #[rstest]
 #[case::nothing_sent(0, false, 0, 5..6)]
 #[case::tokens_sent(2, true, TOKENS, 20..22)]
 #[tokio::test(start_paused = true)]
-async fn a_stage_is_lost_for_a_while(
-    #[case] good: i64,
-    #[case] whole: bool,
+async fn stage_outage_ends_only_unstarted_answers(
+    #[case] successes: i64,
+    #[case] completes: bool,
     #[case] tokens: u32,
     #[case] seconds: std::ops::Range<u64>,
 ) {
-    let script = Script {
-        good: AtomicI64::new(good),
-        bad: AtomicI64::new(2),
-        ..Script::default()
+    let script = ScriptedEngine {
+        successes: AtomicI64::new(successes),
+        failures: AtomicI64::new(2),
+        ..ScriptedEngine::default()
     };
     let driver = driver(script, RetryConfig::default());
     let shared = Arc::clone(&driver.fleet);
     tokio::spawn(async move {
-        // A step of each stage has begun by then, or the third token's.
-        tokio::time::sleep(STEP_TIME * (2 * good as u32 + 1)).await;
+        // By then a step of each stage has begun: for the first token, or after two successes for
+        // the third one.
+        tokio::time::sleep(STEP_TIME * (2 * successes as u32 + 1)).await;
         shared.store(Arc::new(fleet_without_last_stage()));
         tokio::time::sleep(Duration::from_secs(20)).await;
         shared.store(Arc::new(fleet()));
     });
-    let (outcome, got) = run(&driver, "a").await;
-    let told = matches!(outcome.result, Err(SessionError::NoPath(_)));
-    assert_eq!((outcome.result.is_ok(), told, got), (whole, !whole, tokens));
+    let (outcome, tokens_read) = run(&driver, "a").await;
+    let no_path = matches!(outcome.result, Err(SessionError::NoPath(_)));
+    assert_eq!(
+        (outcome.result.is_ok(), no_path, tokens_read),
+        (completes, !completes, tokens)
+    );
     assert!(seconds.contains(&driver.start.elapsed().as_secs()));
 }
 
-/// Busy answers cost no retries, cool their upstream, and end with the first step that it serves.
+/// Busy replies cost no retries and put their upstream in a cooldown, which ends with the first
+/// step that the upstream serves.
 #[rstest]
 #[case::once(1)]
 #[case::often(40)]
 #[tokio::test(start_paused = true)]
-async fn busy_is_an_answer(#[case] busy: i64) {
-    let script = Script {
-        good: AtomicI64::new(i64::MAX),
+async fn busy_replies_cost_no_retries(#[case] busy: i64) {
+    let script = ScriptedEngine {
+        successes: AtomicI64::new(i64::MAX),
         busy: AtomicI64::new(busy),
-        ..Script::default()
+        ..ScriptedEngine::default()
     };
-    let spent = RetryConfig {
+    let no_budget = RetryConfig {
         burst: 0.0,
         ..RetryConfig::default()
     };
-    let driver = driver(script, spent);
+    let driver = driver(script, no_budget);
     let (outcome, tokens) = run(&driver, "a").await;
     assert!(outcome.result.is_ok(), "{outcome:?}");
     assert_eq!((tokens, outcome.recoveries), (TOKENS, 0));
-    // The replica that served last no longer cools; the others do until they are tried.
+    // The replica that served last has left its cooldown; the others stay in it until they are
+    // tried.
     let fleet = driver.fleet.load();
     let until = fleet
         .upstreams
