--- a/crates/kelpworks/src/clients/engine.rs
+++ b/crates/kelpworks/src/clients/engine.rs
@@ -34,7 +34,7 @@
 /// Largest reply of an upstream that is read, in bytes; one beyond it is given up in the middle, so
 /// that an upstream gone wrong can't take the daemon's memory. A batch of rows for the longest
 /// prompt, the largest reply of use of an engine, stays far below.
-const MAX_REPLY: usize = 16 << 20;
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
 /// Why a call of an engine gave no usable reply.
 #[derive(Debug)]
@@ -150,7 +150,7 @@
     /// # Panics
     ///
     /// When the HTTP library can't be set up at all.
-    pub(crate) fn fresh(&self) -> Client {
+    pub(crate) fn new_client(&self) -> Client {
         Client::builder()
             .connect_timeout(self.connect_timeout)
             .tcp_nodelay(true)
@@ -168,7 +168,7 @@
         let mut clients = self.clients.write().expect("not poisoned");
         clients
             .entry(Arc::clone(url))
-            .or_insert_with(|| self.fresh())
+            .or_insert_with(|| self.new_client())
             .clone()
     }
 
@@ -199,10 +199,10 @@
 }
 
 /// The body of a reply, as long as it is within bounds.
-pub(crate) async fn bounded(mut res: Response) -> Result<Bytes> {
+pub(crate) async fn read_bounded_body(mut res: Response) -> Result<Bytes> {
     let mut body = BytesMut::new();
     while let Some(piece) = res.chunk().await.map_err(Error::from_reqwest)? {
-        if body.len() + piece.len() > MAX_REPLY {
+        if body.len() + piece.len() > MAX_REPLY_BYTES {
             return Err(Error::TooLarge);
         }
         body.extend_from_slice(&piece);
@@ -215,7 +215,7 @@
     if !res.status().is_success() {
         return Err(Error::Status(res.status()));
     }
-    let body = bounded(res).await?;
+    let body = read_bounded_body(res).await?;
     serde_json::from_slice(&body).map_err(|e| Error::Decode(e.to_string()))
 }
 
@@ -270,7 +270,7 @@
     }
 
     async fn probe(&self, url: &Arc<str>, deadline: Duration) -> Result<EngineState> {
-        let client = self.fresh();
+        let client = self.new_client();
         let state = get_state(&client, url, deadline).await?;
         self.replace(url, client);
         Ok(state)
--- a/crates/kelpworks/src/clients/era.rs
+++ b/crates/kelpworks/src/clients/era.rs
@@ -61,14 +61,14 @@
 pub struct Eras {
     latest: Arc<watch::Sender<Era>>,
     /// The last era told that skips others; 0 once an answer told another.
-    skipping: Arc<AtomicU64>,
+    unconfirmed_skip: Arc<AtomicU64>,
 }
 
 impl Default for Eras {
     fn default() -> Eras {
         Eras {
             latest: Arc::new(watch::Sender::new(Era::FIRST)),
-            skipping: Arc::default(),
+            unconfirmed_skip: Arc::default(),
         }
     }
 }
@@ -109,10 +109,10 @@
     fn is_credible(&self, era: Era, latest: Era, source: EraSource) -> bool {
         let skips = latest > Era::FIRST && era.0 > latest.0 + 1;
         if skips {
-            return self.skipping.swap(era.0, Ordering::Relaxed) == era.0;
+            return self.unconfirmed_skip.swap(era.0, Ordering::Relaxed) == era.0;
         }
         if source == EraSource::Answer {
-            self.skipping.store(0, Ordering::Relaxed);
+            self.unconfirmed_skip.store(0, Ordering::Relaxed);
         }
         true
     }
@@ -130,8 +130,8 @@
     ///
     /// [`Error::Lost`] when the answer is of an earlier era than the latest, can't be told from one,
     /// or tells an era that is not believed yet.
-    pub fn check_response_era(&self, told: Option<Era>) -> Result<Era> {
-        let era = told.unwrap_or(Era::FIRST);
+    pub fn check_response_era(&self, reported: Option<Era>) -> Result<Era> {
+        let era = reported.unwrap_or(Era::FIRST);
         self.observe(era, EraSource::Answer);
         match era == self.latest() {
             true => Ok(era),
--- a/crates/kelpworks/src/clients/object_api.rs
+++ b/crates/kelpworks/src/clients/object_api.rs
@@ -388,8 +388,8 @@
         }
         let status = reply.status();
         let error = match reply.json::<ApiError>().await {
-            Ok(error) => refused(error, era.clone().unwrap_or_default()),
-            Err(_) => unexplained(status),
+            Ok(error) => stated_error(error, era.clone().unwrap_or_default()),
+            Err(_) => status_error(status),
         };
         match error {
             // These tell something about an object.
@@ -467,7 +467,7 @@
 }
 
 /// The error that the API states itself.
-fn refused(error: ApiError, era: Era) -> Error {
+fn stated_error(error: ApiError, era: Era) -> Error {
     match error.code {
         ApiErrorCode::NotFound => Error::NotFound,
         ApiErrorCode::Conflict => Error::Conflict {
@@ -482,7 +482,7 @@
 
 /// The error of a status without the API's own words. Something between may
 /// have answered in its place, so only a client's error says that nothing ran.
-fn unexplained(status: StatusCode) -> Error {
+fn status_error(status: StatusCode) -> Error {
     match status {
         StatusCode::NOT_FOUND => Error::NotFound,
         StatusCode::PAYLOAD_TOO_LARGE => Error::TooLarge,
--- a/crates/kelpworks/src/clients/plain_service.rs
+++ b/crates/kelpworks/src/clients/plain_service.rs
@@ -14,7 +14,7 @@
 
 use crate::clients::engine::Error;
 use crate::clients::engine::HttpEngine;
-use crate::clients::engine::bounded;
+use crate::clients::engine::read_bounded_body;
 
 /// The result of this module. An error says whether the call may have been executed.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -72,7 +72,11 @@
     ) -> impl Future<Output = Result<bool>> + Send;
 }
 
-async fn ask(client: &reqwest::Client, url: &Arc<str>, deadline: Duration) -> Result<bool> {
+async fn check_health(
+    client: &reqwest::Client,
+    url: &Arc<str>,
+    deadline: Duration,
+) -> Result<bool> {
     let req = client.get(format!("{url}{HEALTH}")).timeout(deadline);
     let res = req.send().await.map_err(Error::from_reqwest)?;
     Ok(res.status().is_success())
@@ -95,17 +99,17 @@
         Ok(ServiceAnswer {
             status: res.status().as_u16(),
             headers: res.headers().clone(),
-            body: bounded(res).await?,
+            body: read_bounded_body(res).await?,
         })
     }
 
     async fn health(&self, url: &Arc<str>, deadline: Duration) -> Result<bool> {
-        ask(&self.client(url), url, deadline).await
+        check_health(&self.client(url), url, deadline).await
     }
 
     async fn probe_health(&self, url: &Arc<str>, deadline: Duration) -> Result<bool> {
-        let client = self.fresh();
-        let takes_work = ask(&client, url, deadline).await?;
+        let client = self.new_client();
+        let takes_work = check_health(&client, url, deadline).await?;
         self.replace(url, client);
         Ok(takes_work)
     }
--- a/crates/kelpworks/src/clients/resettable.rs
+++ b/crates/kelpworks/src/clients/resettable.rs
@@ -10,10 +10,10 @@
 use reqwest::Client;
 
 /// Longest idle time of a pooled connection, well under what middleboxes forget.
-const POOL_IDLE: Duration = Duration::from_secs(20);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Idle time after which the system probes a connection, and the time between its probes.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Probes without an answer after which the system gives a connection up: a long wait for a change
 /// then ends about three seconds after its connection went silent.
 const KEEPALIVE_RETRIES: u32 = 2;
@@ -74,9 +74,9 @@
 fn build(connect_timeout: Duration) -> reqwest::Result<Client> {
     Client::builder()
         .connect_timeout(connect_timeout)
-        .pool_idle_timeout(POOL_IDLE)
-        .tcp_keepalive(KEEPALIVE)
-        .tcp_keepalive_interval(KEEPALIVE)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+        .tcp_keepalive(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
         .tcp_keepalive_retries(KEEPALIVE_RETRIES)
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -232,7 +232,7 @@
         });
         let operators = Operators {
             name: settings.name.clone(),
-            served: Arc::default(),
+            was_ready: Arc::default(),
             entry: Arc::clone(&entry),
             peers: control.peers.clone(),
             object_api: control.object_api(),
--- a/crates/kelpworks/src/operators/mod.rs
+++ b/crates/kelpworks/src/operators/mod.rs
@@ -36,7 +36,7 @@
     /// Name of this daemon.
     pub name: String,
     /// Whether the daemon was ready before.
-    pub served: Arc<AtomicBool>,
+    pub was_ready: Arc<AtomicBool>,
     /// The callers' side.
     pub entry: Arc<Entry>,
     /// The other daemons.
@@ -78,14 +78,14 @@
     Status,
 }
 
-struct Show {
+struct PageHandler {
     operators: Operators,
     page: Page,
 }
 
 /// Routes of the operators' address.
 pub fn router(operators: &Operators) -> Router {
-    let show = |page| Show {
+    let show = |page| PageHandler {
         operators: operators.clone(),
         page,
     };
@@ -96,7 +96,7 @@
         .push(Router::with_path("status").get(show(Page::Status)))
 }
 
-impl Show {
+impl PageHandler {
     fn status(&self) -> Status {
         Status {
             daemon: self.operators.name.clone(),
@@ -107,7 +107,7 @@
     }
 
     /// Why the daemon is not ready; `None` when it is.
-    fn unready(&self) -> Option<&'static str> {
+    fn unready_reason(&self) -> Option<&'static str> {
         let entry = &self.operators.entry;
         if entry.draining.load(Ordering::Relaxed) {
             return Some("stopping");
@@ -117,13 +117,13 @@
         }
         // Once a daemon has served it stays ready: where all upstreams are lost, callers get a
         // verdict from any daemon, and nothing from a balancer without one.
-        if self.operators.served.load(Ordering::Relaxed) {
+        if self.operators.was_ready.load(Ordering::Relaxed) {
             return None;
         }
         if !can_serve(&entry.fleet.load()) {
             return Some("no model is held whole yet");
         }
-        self.operators.served.store(true, Ordering::Relaxed);
+        self.operators.was_ready.store(true, Ordering::Relaxed);
         None
     }
 }
@@ -139,7 +139,7 @@
 }
 
 #[async_trait]
-impl Handler for Show {
+impl Handler for PageHandler {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -154,7 +154,7 @@
             }
             Page::Status => res.render(Json(self.status())),
             Page::Health => res.render("ok\n"),
-            Page::Ready => match self.unready() {
+            Page::Ready => match self.unready_reason() {
                 None => res.render("ready\n"),
                 Some(why) => {
                     res.status_code(StatusCode::SERVICE_UNAVAILABLE);
