--- a/crates/kelpworks/src/clients/engine.rs
+++ b/crates/kelpworks/src/clients/engine.rs
@@ -1,8 +1,8 @@
 //! Client of the model engines.
 //!
-//! The daemon sends steps, cancels and probes; it reads what an engine says of
-//! itself. Assumed of the other side: a reply echoes what ran, and a step whose
-//! positions have run already is refused instead of run again.
+//! The daemon sends steps, cancellations, orders and probes, and reads the state that an engine
+//! reports. Engines must meet two requirements: a reply echoes what was executed, and a step whose
+//! positions have been executed already is refused instead of executed again.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -28,15 +28,14 @@
 use kelpworks_wire::StepBatch;
 use kelpworks_wire::StepBatchReply;
 
-/// The result of this module.
+/// Result of an engine call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Largest reply of an upstream that is read, in bytes; one beyond it is given up in the middle, so
-/// that an upstream gone wrong can't take the daemon's memory. A batch of rows for the longest
-/// prompt, the largest reply of use of an engine, stays far below.
+/// Reading a larger reply is aborted, so that a faulty upstream can't exhaust the daemon's memory.
+/// The largest legitimate reply, a batch of rows for the longest prompt, is far smaller.
 const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// Why a call of an engine gave no usable reply.
+/// Why a call to an upstream gave no usable reply.
 #[derive(Debug)]
 #[derive(Error)]
 #[non_exhaustive]
@@ -53,7 +52,7 @@
     /// An HTTP status other than success.
     #[error("status {0}")]
     Status(StatusCode),
-    /// A reply that could not be read as its type.
+    /// The reply could not be decoded as its type.
     #[error("reply: {0}")]
     Decode(String),
     /// A reply larger than 16 MiB.
@@ -62,7 +61,7 @@
 }
 
 impl Error {
-    /// Whether the call may have been executed.
+    /// Returns whether the call may have been executed.
     pub fn verdict(&self) -> Verdict {
         match self {
             Error::Connect(_) => Verdict::NotRun,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Leaves the URL out: the text may reach a caller, who learns no address of an upstream.
+    /// Strips the URL: the text may reach a caller, and callers must not see upstream addresses.
     pub(crate) fn from_reqwest(e: reqwest::Error) -> Error {
         let e = e.without_url();
         if e.is_connect() {
@@ -86,9 +85,9 @@
     }
 }
 
-/// What the daemon asks of an engine. `url` is the engine's base URL.
+/// Calls that the daemon makes to an engine. `url` is the engine's base URL.
 pub trait Engine: Send + Sync + 'static {
-    /// Runs steps.
+    /// Executes a batch of steps.
     fn steps(
         &self,
         url: &Arc<str>,
@@ -96,7 +95,7 @@
         deadline: Duration,
     ) -> impl Future<Output = Result<StepBatchReply>> + Send;
 
-    /// Ends a session and frees its memory.
+    /// Ends a session and frees its memory on the engine.
     fn cancel(
         &self,
         url: &Arc<str>,
@@ -104,14 +103,14 @@
         deadline: Duration,
     ) -> impl Future<Output = Result<()>> + Send;
 
-    /// Reads what the engine says of itself.
+    /// Reads the state that the engine reports.
     fn state(
         &self,
         url: &Arc<str>,
         deadline: Duration,
     ) -> impl Future<Output = Result<EngineState>> + Send;
 
-    /// Gives an order.
+    /// Sends an order of the placement executor, guarded by its fencing token.
     fn order(
         &self,
         url: &Arc<str>,
@@ -119,8 +118,8 @@
         deadline: Duration,
     ) -> impl Future<Output = Result<OrderReply>> + Send;
 
-    /// Reads the engine's state over a connection opened just for this; on success the kept
-    /// connections to it are dropped, as they may have gone silent.
+    /// Reads the engine's state over a new connection. On success the pooled connections to the
+    /// engine are replaced, because they may be stalled.
     fn probe(
         &self,
         url: &Arc<str>,
@@ -132,12 +131,12 @@
 #[derive(Debug)]
 pub struct HttpEngine {
     connect_timeout: Duration,
-    /// One client an upstream, so that dropping it drops that upstream's connections only.
+    /// One client per upstream, so that replacing it drops only that upstream's connections.
     clients: RwLock<HashMap<Arc<str>, Client>>,
 }
 
 impl HttpEngine {
-    /// A client whose connections are opened within `connect_timeout`.
+    /// Returns an engine client that waits at most `connect_timeout` for a connection to open.
     pub fn new(connect_timeout: Duration) -> HttpEngine {
         HttpEngine {
             connect_timeout,
@@ -145,17 +144,17 @@
         }
     }
 
-    /// A client with connections of its own.
+    /// Returns an HTTP client with a connection pool of its own.
     ///
     /// # Panics
     ///
-    /// When the HTTP library can't be set up at all.
+    /// When the HTTP client can't be built.
     pub(crate) fn new_client(&self) -> Client {
         Client::builder()
             .connect_timeout(self.connect_timeout)
             .tcp_nodelay(true)
             .no_proxy()
-            // An upstream's redirect is the caller's to follow: here it would send a call twice.
+            // Following a redirect here would send a call twice; the caller may follow it.
             .redirect(Policy::none())
             .build()
             .expect("an HTTP client without TLS needs no outside resource")
@@ -172,7 +171,7 @@
             .clone()
     }
 
-    /// Leaves the connections to an upstream behind for those of `client`.
+    /// Replaces the client of an upstream, and with it the pooled connections, by `client`.
     pub(crate) fn replace(&self, url: &Arc<str>, client: Client) {
         self.clients
             .write()
@@ -198,7 +197,7 @@
     }
 }
 
-/// The body of a reply, as long as it is within bounds.
+/// Reads the body of a reply, up to [`MAX_REPLY_BYTES`].
 pub(crate) async fn read_bounded_body(mut res: Response) -> Result<Bytes> {
     let mut body = BytesMut::new();
     while let Some(piece) = res.chunk().await.map_err(Error::from_reqwest)? {
--- a/crates/kelpworks/src/clients/era.rs
+++ b/crates/kelpworks/src/clients/era.rs
@@ -1,10 +1,10 @@
-//! The era of the object API: how often it came back from an older copy of itself.
+//! The era of the object API: the number of times it was restored from a backup.
 //!
-//! Such an API has lost what it acknowledged since the copy, and gives the revisions after it out
-//! again. So what was read before says nothing about what is written now: watches under way would
-//! miss changes, and conditions would hold for other objects. Every answer tells its era, and all
-//! clients of one daemon share an [`Eras`], so that a later era ends these at once, whoever hears
-//! of it first.
+//! A restored API has lost the writes acknowledged since the backup, and assigns their revisions
+//! again. State read before the restore is therefore invalid: watches in progress would miss
+//! changes, and conditions would match other objects. Every response carries its era, and all
+//! clients of one daemon share an [`Eras`], so that a later era ends such watches and conditions at
+//! once, whichever client observes it first.
 //!
 //! ```
 //! use kelpworks::clients::era::Eras;
@@ -18,11 +18,11 @@
 //! assert!(!eras.observe(Era(70), EraSource::Answer), "not on one word");
 //! ```
 //!
-//! Eras rise by one, and nothing leads back from one that was told by mistake. So one that skips
-//! others has to be told twice in a row.
+//! Eras increase by one per restore, and an era accepted by mistake can't be undone. An era that
+//! skips others is therefore accepted only when it is reported twice in a row.
 //!
-//! Limits: an API that tells no era is taken to be in the first for ever. The first era that is told
-//! at all is believed, whatever it is.
+//! Limits: an API that reports no era is always taken to be in the first one. The first era that is
+//! reported is accepted, whatever its value.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -38,12 +38,12 @@
 use kelpworks_coord::id::Era;
 use kelpworks_coord::id::Version;
 
-/// How an era was heard of.
+/// Where an observed era came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraSource {
-    /// An answer of the object API.
+    /// A response of the object API.
     Answer,
-    /// A peer.
+    /// Gossip from another daemon.
     Peer,
 }
 
@@ -56,11 +56,12 @@
     }
 }
 
-/// The latest era that a daemon has heard of; shared by its clones.
+/// The latest era that a daemon has observed; clones share it.
 #[derive(Clone, Debug)]
 pub struct Eras {
     latest: Arc<watch::Sender<Era>>,
-    /// The last era told that skips others; 0 once an answer told another.
+    /// The last reported era that skips others and is not accepted yet; 0 once a response reports
+    /// an era that skips none.
     unconfirmed_skip: Arc<AtomicU64>,
 }
 
@@ -79,7 +80,7 @@
         *self.latest.borrow()
     }
 
-    /// Takes note of an era; whether it is later than all before, and believed.
+    /// Records a reported era. Returns whether it was accepted and is later than all before.
     pub fn observe(&self, era: Era, source: EraSource) -> bool {
         let before = self.latest();
         if !self.is_credible(era, before, source) {
@@ -96,7 +97,7 @@
                 era = era.0,
                 before = before.0,
                 source:% = source.as_str();
-                "object API in a later era, what was read before is dropped"
+                "object API in a later era, state read in earlier eras is discarded"
             );
             metrics::counter!("kelpworks_store_restores_total").increment(1);
             metrics::gauge!("kelpworks_store_era").set(era.0 as f64);
@@ -104,8 +105,9 @@
         is_later
     }
 
-    /// Whether an era follows the latest, is the first to be told, or was told before without an answer
-    /// of another in between. Peers may be behind, so their word takes nothing back.
+    /// Whether an era is accepted: it skips none after the latest, is the first to be reported, or
+    /// is reported for the second time with no response of another era in between. Peers may be
+    /// behind, so an era that a peer reports does not interrupt such a pair.
     fn is_credible(&self, era: Era, latest: Era, source: EraSource) -> bool {
         let skips = latest > Era::FIRST && era.0 > latest.0 + 1;
         if skips {
@@ -117,19 +119,20 @@
         true
     }
 
-    /// Waits for an era later than this one.
+    /// Waits until an era later than `era` is observed.
     pub async fn wait_for_later(&self, era: Era) {
         let mut latest = self.latest.subscribe();
         // The sender lives as long as `self`.
         let _ = latest.wait_for(|latest| *latest > era).await;
     }
 
-    /// The era of an answer that tells something about objects, given what it says of its era.
+    /// Records the era that a response with object data reports, and returns it if it is the
+    /// latest. A response without an era counts as one of the first era.
     ///
     /// # Errors
     ///
-    /// [`Error::Lost`] when the answer is of an earlier era than the latest, can't be told from one,
-    /// or tells an era that is not believed yet.
+    /// [`Error::Lost`] when the response is of an earlier era than the latest, reports none while
+    /// the latest is not the first, or reports an era that is not accepted yet.
     pub fn check_response_era(&self, reported: Option<Era>) -> Result<Era> {
         let era = reported.unwrap_or(Era::FIRST);
         self.observe(era, EraSource::Answer);
@@ -139,7 +142,7 @@
         }
     }
 
-    /// The revision that stands for a version in a condition.
+    /// Returns the revision to send for a version in a condition.
     ///
     /// # Errors
     ///
@@ -151,12 +154,12 @@
         }
     }
 
-    /// The outcome of a watch from a version, which a later era ends: its changes are those of another
-    /// history.
+    /// Runs a watch from a version and cancels it when a later era is observed, because the
+    /// changes after a restore belong to another history.
     ///
     /// # Errors
     ///
-    /// [`Error::Expired`] once there is a later era.
+    /// [`Error::Expired`] when there is a later era.
     pub async fn watch_from(
         &self,
         from: Version,
--- a/crates/kelpworks/src/clients/host_list.rs
+++ b/crates/kelpworks/src/clients/host_list.rs
@@ -1,4 +1,5 @@
-//! The platform's host list: which hosts are live and which are leaving. It lags.
+//! Client of the platform's host list, which names the live hosts and those that are leaving.
+//! The list lags behind the actual state of the hosts.
 //!
 //! ```no_run
 //! use kelpworks::clients::host_list::HostListApi;
@@ -12,7 +13,7 @@
 //! # }
 //! ```
 //!
-//! Limits: the list is read whole at each call; it has no watch.
+//! Limits: each call reads the whole list; there is no watch.
 
 use std::future::Future;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 use super::resettable::send_stage;
 use kelpworks_wire::HostList;
 
-/// The result of this module.
+/// Result of a host list call.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Why the host list could not be read.
@@ -33,14 +34,14 @@
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// No connection.
+    /// No connection could be opened; nothing was sent.
     #[error("no connection to the host list")]
     NotSent,
-    /// Connected, but no whole reply within the deadline. The connection may
-    /// be dead: ask again after [`HostListApi::reset_connections`].
+    /// Connected, but no complete reply within the deadline. The connection may be dead: call
+    /// [`HostListApi::reset_connections`] before the next attempt.
     #[error("the host list does not answer")]
     Silent,
-    /// It answered with an error or with something else than a list.
+    /// The reply was an error status or could not be decoded as a list.
     #[error("the host list is unavailable")]
     Unavailable,
     /// The base URL cannot be used.
@@ -50,18 +51,18 @@
 
 /// The platform's host list.
 pub trait HostListApi: Send + Sync {
-    /// Reads the list.
+    /// Reads the whole list.
     ///
     /// # Errors
     ///
-    /// When no list came; what was read before remains the best knowledge.
+    /// When no list was received; the list read before remains the best available.
     fn hosts(&self) -> impl Future<Output = Result<HostList>> + Send;
 
-    /// Leaves all present connections behind, so that the next call opens a new one.
+    /// Drops the pool of connections, so that the next call opens a new one.
     fn reset_connections(&self);
 }
 
-/// Longest times of the calls of [`HttpHostList`].
+/// Timeouts of [`HttpHostList`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadlines {
     /// To open a connection. Default 1 s.
@@ -88,7 +89,7 @@
 }
 
 impl HttpHostList {
-    /// A client of the host list at a base URL.
+    /// Returns a client of the host list at a base URL.
     ///
     /// # Errors
     ///
--- a/crates/kelpworks/src/clients/object_api.rs
+++ b/crates/kelpworks/src/clients/object_api.rs
@@ -1,7 +1,7 @@
-//! The platform's object API: versioned objects, conditional updates and watches.
+//! Client of the platform's object API: versioned objects, conditional updates and watches.
 //!
-//! [`ObjectApi`] is the interface; another format of the API is another
-//! implementation. [`HttpObjectApi`] speaks the wire types of `kelpworks-wire`.
+//! [`ObjectApi`] is the interface. [`HttpObjectApi`] implements it over HTTP with the wire types of
+//! `kelpworks-wire`; another wire format would be another implementation.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -19,9 +19,9 @@
 //! # }
 //! ```
 //!
-//! Limits: a body holds up to a megabyte, and each call, a waiting watch too,
-//! counts against the API's rate. Nothing is retried here, since only the
-//! caller knows what a repeated write would mean.
+//! Limits: a body holds up to a megabyte, and each call, including a watch, counts against the
+//! API's rate limit. Nothing is retried here, since only the caller knows whether a write may be
+//! repeated.
 
 use std::future::Future;
 use std::time::Duration;
@@ -45,27 +45,27 @@
 
 pub use kelpworks_wire::WatchEventKind;
 
-/// The result of this module.
+/// Result of an object API call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Header field that tells the era of an answer, as a decimal number.
+/// Header of a response that holds its era, as a decimal number.
 const ERA_FIELD: &str = "store-era";
 
-/// An object.
+/// An object of the API, with the version at which it was read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Object {
-    /// Its kind.
+    /// Kind, such as `kelpworks.lease`.
     pub kind: String,
-    /// Its name, unique among those of its kind.
+    /// Name, unique within the kind.
     pub name: String,
     /// Version of its last change.
     pub version: Version,
-    /// What it holds.
+    /// Content, up to a megabyte.
     pub body: String,
 }
 
 impl Object {
-    /// An object of the wire, as answered in an era.
+    /// Converts an object of a response of `era`.
     fn new(wire: kelpworks_wire::Object, era: Era) -> Object {
         Object {
             kind: wire.kind,
@@ -79,32 +79,32 @@
 /// The objects of a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectList {
-    /// The objects.
+    /// All objects of the kind.
     pub items: Vec<Object>,
-    /// Version to watch on from.
+    /// Version from which to watch for later changes.
     pub version: Version,
 }
 
-/// A change of an object.
+/// One change of one object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
-    /// What became of it.
+    /// Whether the object was written or deleted.
     pub kind: WatchEventKind,
-    /// The object after the change; before it where it was deleted.
+    /// The object after the change, or before it if it was deleted.
     pub object: Object,
 }
 
-/// Changes of a kind.
+/// Changes to the objects of a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchReply {
     /// The changes, in order.
     pub events: Vec<WatchEvent>,
-    /// Version to watch on from.
+    /// Version from which to watch for later changes.
     pub version: Version,
 }
 
 impl WatchReply {
-    /// A reply of the wire, as answered in an era.
+    /// Converts the reply of a watch that was answered in `era`.
     fn new(wire: kelpworks_wire::WatchReply, era: Era) -> WatchReply {
         let event = |e: kelpworks_wire::WatchEvent| WatchEvent {
             kind: e.kind,
@@ -128,32 +128,32 @@
     /// The condition did not hold; nothing was written.
     #[error("the object has changed")]
     Conflict {
-        /// The object as it stands; `None` when it does not exist.
+        /// The current object; `None` when it does not exist.
         current: Option<Box<Object>>,
     },
     /// The condition names a version of an earlier era; nothing was sent.
     #[error("the object API has come back from an older copy")]
     Outdated,
-    /// The body is larger than the API takes; nothing was written.
+    /// The body is larger than the API accepts; nothing was written.
     #[error("the body is too large for the object API")]
     TooLarge,
-    /// Over the API's rate; nothing was done.
+    /// The API's rate limit was exceeded; nothing was done.
     #[error("over the object API's rate")]
     OverRate,
-    /// The API says that it is out; nothing was done.
+    /// The API reports that it is unavailable; nothing was done.
     #[error("the object API is unavailable")]
     Unavailable,
-    /// A watch from a version so old that the changes since are forgotten: list anew.
+    /// The API no longer has the changes since the version to watch from: list the objects again.
     #[error("the version to watch from is too old")]
     Expired,
-    /// No connection: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[error("no connection to the object API")]
     NotSent,
-    /// The call was sent and its reply lost: a write may have taken effect.
+    /// The call was sent but no usable reply was received: a write may have taken effect.
     #[error("the object API's reply was lost")]
     Lost,
-    /// A watch brought neither an event nor a bookmark within its bound. The
-    /// connection may be dead: reopen it after [`ObjectApi::reset_connections`].
+    /// A watch returned neither an event nor a bookmark within its timeout. The connection may be
+    /// dead: call [`ObjectApi::reset_connections`] before the next watch.
     #[error("the watch of the object API is silent")]
     Silent,
     /// The base URL cannot be used.
@@ -162,16 +162,16 @@
 }
 
 impl Error {
-    /// Whether the call, a write, may have taken effect all the same.
+    /// Returns whether a write that failed with this error may have taken effect.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Error::Lost)
     }
 }
 
-/// What must hold for a write to take place.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing.
+    /// The write is unconditional.
     Always,
     /// The object does not exist.
     Absent,
@@ -180,7 +180,7 @@
 }
 
 impl Condition {
-    /// That an object has this version, or does not exist where the version says so.
+    /// Requires this version, or that the object does not exist if the version says it is absent.
     pub fn at(version: Version) -> Condition {
         match version.is_absent() {
             true => Condition::Absent,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The value of `if_version`, where 0 stands for an object that does not exist.
+    /// Returns the value of the `if_version` parameter; 0 means that the object does not exist.
     fn if_version(self, eras: &Eras) -> Result<Option<u64>> {
         match self {
             Condition::Always => Ok(None),
@@ -197,12 +197,12 @@
         }
     }
 
-    /// Checks the era of the answer to a write. A later one may have carried the write out on a
-    /// revision that it gave out again.
+    /// Checks the era of the response to a conditional write. In a later era the revision of the
+    /// condition may have been assigned to another object, on which the write took effect.
     ///
     /// # Errors
     ///
-    /// [`Error::Lost`] in that case.
+    /// [`Error::Lost`] when the response is of a later era than the condition.
     pub fn check_write_era(self, era: Era) -> Result<()> {
         match self {
             Condition::Version(v) if v.era < era => Err(Error::Lost),
@@ -250,25 +250,25 @@
     ///
     /// # Errors
     ///
-    /// When no list came.
+    /// When no list was received.
     fn list(&self, kind: &str) -> impl Future<Output = Result<ObjectList>> + Send;
 
-    /// Lists the objects of a kind as they stood up to some seconds ago, where the API has a cheaper
-    /// call for that; its version is that of what it holds.
+    /// Lists the objects of a kind with a staleness of up to some seconds, if the API has a cheaper
+    /// call for that. The version of the list is that of the stale data.
     ///
     /// # Errors
     ///
-    /// When no list came.
+    /// When no list was received.
     fn list_relaxed(&self, kind: &str) -> impl Future<Output = Result<ObjectList>> + Send {
         self.list(kind)
     }
 
-    /// Waits up to `wait` for changes of a kind after version `from`; a reply without any
-    /// is a bookmark.
+    /// Waits up to `wait` for changes of a kind after version `from`; a reply without events is a
+    /// bookmark.
     ///
     /// # Errors
     ///
-    /// [`Error::Silent`] when nothing came within `wait` and a margin;
+    /// [`Error::Silent`] when no reply was received within `wait` and a margin;
     /// [`Error::Expired`] when `from` is too old, or of an earlier era.
     fn watch(
         &self,
@@ -277,21 +277,21 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchReply>> + Send;
 
-    /// The eras of the API, as far as any client that shares them has heard.
+    /// Returns the eras that this client and all clients sharing them have observed.
     fn eras(&self) -> &Eras;
 
-    /// Leaves all present connections behind, so that the next call opens a new one.
+    /// Drops the pool of connections, so that the next call opens a new one.
     fn reset_connections(&self);
 }
 
-/// Longest times of the calls of [`HttpObjectApi`].
+/// Timeouts of [`HttpObjectApi`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadlines {
     /// To open a connection. Default 1 s.
     pub connect: Duration,
     /// For a whole call other than a watch. Default 3 s.
     pub call: Duration,
-    /// For a watch, beyond the time it was asked to wait. Default 1 s.
+    /// For a watch, added to the time that the API is requested to wait. Default 1 s.
     pub watch_margin: Duration,
 }
 
@@ -315,7 +315,7 @@
 }
 
 impl HttpObjectApi {
-    /// A client of the object API at a base URL.
+    /// Returns a client of the object API at a base URL, with eras of its own.
     ///
     /// # Errors
     ///
@@ -324,7 +324,7 @@
         HttpObjectApi::with_eras(base, deadlines, Eras::default())
     }
 
-    /// The same, for one of several clients of a daemon.
+    /// As [`HttpObjectApi::new`], with eras shared by several clients of a daemon.
     ///
     /// # Errors
     ///
@@ -343,7 +343,7 @@
         })
     }
 
-    /// The URL of a path below the base; each segment is escaped.
+    /// Returns the URL of a path below the base; each segment is escaped.
     fn url(&self, segments: &[&str]) -> Url {
         let mut url = self.base.clone();
         if let Ok(mut path) = url.path_segments_mut() {
@@ -352,7 +352,7 @@
         url
     }
 
-    /// A request on an object, with its condition.
+    /// Builds a request for one object, with its condition.
     fn on_object(
         &self,
         method: Method,
@@ -369,14 +369,14 @@
         Ok(req.timeout(self.deadlines.call))
     }
 
-    /// Sends a request and reads its reply. A reply that cannot be read counts as lost.
+    /// Sends a request and decodes its reply. A reply that can't be decoded counts as lost.
     async fn read_json<T: DeserializeOwned>(&self, req: RequestBuilder) -> Result<(T, Era)> {
         let (reply, era) = self.send(req).await?;
         let reply = reply.json().await.map_err(|_| Error::Lost)?;
         Ok((reply, era))
     }
 
-    /// Sends a request; any status but success is an error.
+    /// Sends a request; any status other than success is an error.
     async fn send(&self, req: RequestBuilder) -> Result<(reqwest::Response, Era)> {
         let reply = req.send().await.map_err(|e| match send_stage(&e) {
             SendStage::NotSent => Error::NotSent,
@@ -392,7 +392,7 @@
             Err(_) => status_error(status),
         };
         match error {
-            // These tell something about an object.
+            // These errors state facts about an object, which hold only in the latest era.
             Error::NotFound | Error::Conflict { .. } => Err(era.err().unwrap_or(error)),
             error => Err(error),
         }
@@ -460,13 +460,13 @@
     }
 }
 
-/// The era that an answer tells; `None` where it tells none that can be read.
+/// Returns the era in the header of a response; `None` if it is absent or malformed.
 fn era_of(reply: &reqwest::Response) -> Option<Era> {
     let field = reply.headers().get(ERA_FIELD)?.to_str().ok()?;
     field.trim().parse().ok().map(Era)
 }
 
-/// The error that the API states itself.
+/// Converts the error that the API states in the body of a response.
 fn stated_error(error: ApiError, era: Era) -> Error {
     match error.code {
         ApiErrorCode::NotFound => Error::NotFound,
@@ -480,8 +480,8 @@
     }
 }
 
-/// The error of a status without the API's own words. Something between may
-/// have answered in its place, so only a client's error says that nothing ran.
+/// Converts a status whose body is not an error of the API. A proxy may have answered in place of
+/// the API, so only a client error (4xx) implies that nothing was executed.
 fn status_error(status: StatusCode) -> Error {
     match status {
         StatusCode::NOT_FOUND => Error::NotFound,
--- a/crates/kelpworks/src/clients/plain_service.rs
+++ b/crates/kelpworks/src/clients/plain_service.rs
@@ -1,8 +1,7 @@
-//! Client of the plain services.
+//! Client of plain services: HTTP services that are not model engines.
 //!
-//! Assumed of the other side: HTTP, and `GET /healthz` that answers 200 while the service takes
-//! new work and 503 while it is leaving. Whether a call may be sent again is not for this client
-//! to say.
+//! A service must answer `GET /healthz` with 200 while it accepts new work and with 503 while it is
+//! leaving. This client retries nothing; its caller decides whether a call may be sent again.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -16,39 +15,38 @@
 use crate::clients::engine::HttpEngine;
 use crate::clients::engine::read_bounded_body;
 
-/// The result of this module. An error says whether the call may have been executed.
+/// Result of a service call. [`Error::verdict`] says whether the call may have been executed.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Path of the health check.
 const HEALTH: &str = "/healthz";
 
-/// A call of a service.
+/// A call to send to a service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceCall<'a> {
-    /// Method.
+    /// HTTP method of the caller's request.
     pub method: &'a Method,
-    /// Path and query below the service, starting with `/`.
+    /// Path and query relative to the service, starting with `/`.
     pub path: &'a str,
-    /// Headers that go on to the service.
+    /// Headers to forward to the service.
     pub headers: &'a HeaderMap,
-    /// Body.
+    /// Body of the caller's request, unchanged.
     pub body: &'a Bytes,
 }
 
-/// What a service answered, whatever its status.
+/// Response of a service, of any status.
 #[derive(Clone, Debug)]
 pub struct ServiceAnswer {
     /// HTTP status.
     pub status: u16,
-    /// All headers.
+    /// All headers of the response; not all are returned to the caller.
     pub headers: HeaderMap,
-    /// The whole body, bounded in size.
+    /// The whole body, at most 16 MiB.
     pub body: Bytes,
 }
 
-/// What the daemon asks of a plain service. `url` is the base URL of one of its upstreams.
+/// Calls that the daemon makes to a plain service. `url` is the base URL of one of its upstreams.
 pub trait PlainService: Send + Sync + 'static {
-    /// Sends a call once.
+    /// Sends a call once, without retries.
     fn call(
         &self,
         url: &Arc<str>,
@@ -56,15 +54,15 @@
         deadline: Duration,
     ) -> impl Future<Output = Result<ServiceAnswer>> + Send;
 
-    /// Asks whether the upstream takes new work.
+    /// Returns whether the upstream accepts new work.
     fn health(
         &self,
         url: &Arc<str>,
         deadline: Duration,
     ) -> impl Future<Output = Result<bool>> + Send;
 
-    /// As [`PlainService::health`], over a connection opened just for this; on an answer the kept
-    /// connections are left behind, as they may have gone silent.
+    /// As [`PlainService::health`], over a new connection. If the upstream responds, the pooled
+    /// connections to it are replaced, because they may be stalled.
     fn probe_health(
         &self,
         url: &Arc<str>,
--- a/crates/kelpworks/src/clients/resettable.rs
+++ b/crates/kelpworks/src/clients/resettable.rs
@@ -1,41 +1,41 @@
-//! An HTTP client whose connections can be given up all at once.
+//! An HTTP client whose connection pool can be dropped.
 //!
-//! A connection may go silent for good while new ones work. A caller that
-//! suspects this calls [`ResettableClient::reset_connections`] and asks again: the next request
-//! opens a new connection, since the pool of the old client is left behind.
+//! A connection may stall permanently while new ones work. A caller that suspects this calls
+//! [`ResettableClient::reset_connections`] and retries: the next request opens a new connection,
+//! since it uses a new pool.
 
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use reqwest::Client;
 
-/// Longest idle time of a pooled connection, well under what middleboxes forget.
+/// Kept well under the time after which middleboxes drop the state of an idle connection.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Idle time after which the system probes a connection, and the time between its probes.
+/// Idle time before the first TCP keepalive probe of a connection, and between further probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Probes without an answer after which the system gives a connection up: a long wait for a change
-/// then ends about three seconds after its connection went silent.
+/// Unanswered keepalive probes after which the kernel closes a connection. With
+/// [`KEEPALIVE_INTERVAL`], a long watch ends about three seconds after its connection stalls.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// A client with a replaceable pool of connections.
+/// An HTTP client with a replaceable connection pool.
 #[derive(Debug)]
 pub struct ResettableClient {
     client: ArcSwap<Client>,
     connect_timeout: Duration,
 }
 
-/// Where a request got to before it failed.
+/// How far a request got before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendStage {
-    /// It could not be built or no connection could be opened: nothing was sent.
+    /// The request could not be built or no connection could be opened: nothing was sent.
     NotSent,
-    /// It was sent, in part or whole, and no whole reply came.
+    /// The request was sent, in part or whole, and no complete reply was received.
     Lost,
 }
 
 impl ResettableClient {
-    /// A client that waits at most `connect_timeout` for a connection.
+    /// Returns a client that waits at most `connect_timeout` for a connection to open.
     ///
     /// # Errors
     ///
@@ -48,21 +48,21 @@
         })
     }
 
-    /// The client to use for the next request.
+    /// Returns the client to use for the next request; not to be kept across a reset.
     pub fn get(&self) -> Client {
         Client::clone(&self.client.load())
     }
 
-    /// Leaves all present connections behind; requests under way keep theirs.
+    /// Drops the pool of connections; requests in flight keep theirs.
     pub fn reset_connections(&self) {
         match build(self.connect_timeout) {
             Ok(client) => self.client.store(client.into()),
-            Err(e) => log::warn!("connections kept: no new client: {e}"),
+            Err(e) => log::warn!("connections not reset, HTTP client can't be built: {e}"),
         }
     }
 }
 
-/// The stage at which an error of the client struck.
+/// Returns the stage at which a request failed.
 pub fn send_stage(error: &reqwest::Error) -> SendStage {
     match error.is_connect() || error.is_builder() {
         true => SendStage::NotSent,
@@ -70,7 +70,8 @@
     }
 }
 
-/// The platform is reached directly by address, so no proxy of the environment applies.
+/// Builds a client. Proxies set in the environment are ignored, as the platform is reached directly
+/// by address.
 fn build(connect_timeout: Duration) -> reqwest::Result<Client> {
     Client::builder()
         .connect_timeout(connect_timeout)
--- a/crates/kelpworks/src/operators/mod.rs
+++ b/crates/kelpworks/src/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' address: `/metrics`, `/healthz`, `/readyz` and `/status`.
+//! HTTP endpoints for operators: `/metrics`, `/healthz`, `/readyz` and `/status`.
 //!
-//! `/readyz` is what the platform's balancer asks; it fails first on a planned
-//! stop, and until the daemon has a configuration and a fleet.
+//! The platform's load balancer polls `/readyz`. It fails until the daemon has a configuration and
+//! can serve a model or service, and from the start of a planned stop.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -30,29 +30,29 @@
 use crate::status::Status;
 use kelpworks_coord::id::Version;
 
-/// What the operators' side shows.
+/// Sources of the data on the operators' endpoints.
 #[derive(Clone, Debug)]
 pub struct Operators {
-    /// Name of this daemon.
+    /// Name of this daemon, unique in the fleet.
     pub name: String,
-    /// Whether the daemon was ready before.
+    /// Whether the daemon has been ready since it started.
     pub was_ready: Arc<AtomicBool>,
-    /// The callers' side.
+    /// State of the callers' endpoints, with the configuration and the fleet.
     pub entry: Arc<Entry>,
-    /// The other daemons.
+    /// Membership view of the other daemons.
     pub peers: Peers,
-    /// The object API.
+    /// Last observed state of the object API.
     pub object_api: ObjectApiView,
-    /// Recorder of the metrics.
+    /// Handle that renders the recorded metrics.
     pub metrics: PrometheusHandle,
 }
 
-/// What the daemon knows of the object API, always the latest.
+/// Live view of the state of the object API as this daemon last observed it.
 #[derive(Clone, Debug)]
 pub struct ObjectApiView {
-    /// Eras that it has heard of.
+    /// Eras that the daemon has observed.
     pub eras: Eras,
-    /// Version of the configuration heads that it last read.
+    /// Version of the last list or watch of configuration heads; `None` before the first.
     pub read: watch::Receiver<Option<Version>>,
 }
 
@@ -69,7 +69,6 @@
     }
 }
 
-/// A page of the operators' address.
 #[derive(Clone, Copy, Debug)]
 enum Page {
     Metrics,
@@ -83,7 +82,7 @@
     page: Page,
 }
 
-/// Routes of the operators' address.
+/// Returns the routes of the operators' endpoints.
 pub fn router(operators: &Operators) -> Router {
     let show = |page| PageHandler {
         operators: operators.clone(),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Why the daemon is not ready; `None` when it is.
+    /// Returns why the daemon is not ready; `None` when it is ready.
     fn unready_reason(&self) -> Option<&'static str> {
         let entry = &self.operators.entry;
         if entry.draining.load(Ordering::Relaxed) {
@@ -115,8 +114,8 @@
         if entry.config.load().generation == 0 {
             return Some("no configuration yet");
         }
-        // Once a daemon has served it stays ready: where all upstreams are lost, callers get a
-        // verdict from any daemon, and nothing from a balancer without one.
+        // A daemon that has been ready stays so when all upstreams are lost: its callers then get
+        // an error with a verdict, which a load balancer without any ready daemon can't give.
         if self.operators.was_ready.load(Ordering::Relaxed) {
             return None;
         }
@@ -128,7 +127,7 @@
     }
 }
 
-/// Whether some model, or where the register has none some plain service, can be served.
+/// Whether some model can be served or, if the register has no models, some plain service.
 fn can_serve(fleet: &Fleet) -> bool {
     if fleet.models.is_empty() {
         return fleet.upstreams.values().any(|u| u.health == Health::Live);
