--- a/crates/kelpworks/src/entry/once.rs
+++ b/crates/kelpworks/src/entry/at_most_once.rs
@@ -18,10 +18,10 @@
 use crate::claims::Reply;
 use crate::claims::RunError;
 use crate::entry::Entry;
-use crate::entry::completions::Running;
+use crate::entry::completions::RunningSession;
 use crate::entry::reply::Failure;
-use crate::entry::shape::Asked;
-use crate::entry::shape::Frame;
+use crate::entry::shape::ModelRequest;
+use crate::entry::shape::ResponseMetadata;
 use crate::entry::shape::Shape;
 use crate::pipeline::Job;
 use crate::pipeline::Outcome;
@@ -40,7 +40,7 @@
 pub(super) fn key(headers: &HeaderMap) -> Result<Option<String>, Failure> {
     claims::key_of(headers).map_err(|e| {
         let status = StatusCode::BAD_REQUEST;
-        Failure::bad(status, "invalid_key", e.to_string())
+        Failure::rejected(status, "invalid_key", e.to_string())
     })
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// The call's task is gone without a word: it was stopped with the daemon.
-pub(super) fn stopped() -> Failure {
+pub(super) fn daemon_stopped() -> Failure {
     let status = StatusCode::BAD_GATEWAY;
     let message = "the daemon stopped under the call";
     Failure::failed(status, "stopped", message, Verdict::MayHaveRun)
@@ -66,7 +66,7 @@
 }
 
 /// What a caller is told when its keyed call has no answer.
-pub(super) fn failure(error: Error<Failure>) -> Failure {
+pub(super) fn claim_failure(error: Error<Failure>) -> Failure {
     match error {
         Error::Failed(e) => e.cause,
         other => refusal(&other),
@@ -107,23 +107,28 @@
 
 /// The claim of a keyed model request. Whether the answer is streamed is left out: a repeat may
 /// ask for it in either form.
-pub(super) fn model_claim(team: &str, shape: Shape, asked: &Asked, key: &str) -> ClaimKey {
-    let target = format!("model {} {shape:?}", asked.model);
-    let request = format!("{} {}", asked.max_tokens, asked.prompt);
+pub(super) fn model_claim(
+    team: &str,
+    shape: Shape,
+    model_request: &ModelRequest,
+    key: &str,
+) -> ClaimKey {
+    let target = format!("model {} {shape:?}", model_request.model);
+    let request = format!("{} {}", model_request.max_tokens, model_request.prompt);
     ClaimKey::new(team, &target, key, request.as_bytes())
 }
 
 /// A whole answer of a model, as claims record it.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
-struct Told {
+struct RecordedAnswer {
     id: String,
     created: u64,
     tokens: Vec<u32>,
     end: FinishReason,
 }
 
-impl Told {
+impl RecordedAnswer {
     fn to_reply(&self) -> Reply {
         Reply {
             status: StatusCode::OK.as_u16(),
@@ -135,9 +140,9 @@
 
 /// A keyed session under way, or one that ended before.
 pub(super) struct Started {
-    /// The frame of the submission that ran.
-    pub(super) frame: Frame,
-    pub(super) running: Running,
+    /// The metadata of the submission that ran.
+    pub(super) metadata: ResponseMetadata,
+    pub(super) running: RunningSession,
     /// Whether an earlier submission ran.
     pub(super) replayed: bool,
 }
@@ -151,40 +156,40 @@
 pub(super) async fn start(
     entry: &Arc<Entry>,
     claim: ClaimKey,
-    frame: Frame,
+    metadata: ResponseMetadata,
     job: Job,
     permit: Permit,
 ) -> Result<Started, Failure> {
     let deadline = job.deadline;
-    let (live_tx, live) = oneshot::channel();
-    let (kept_tx, mut kept) = oneshot::channel();
+    let (tokens_tx, tokens_rx) = oneshot::channel();
+    let (result_tx, mut result_rx) = oneshot::channel();
     let (end_tx, outcome) = oneshot::channel();
     let run = {
         let entry = Arc::clone(entry);
-        let frame = frame.clone();
-        async move || session(&entry, job, permit, frame, live_tx).await
+        let metadata = metadata.clone();
+        async move || session(&entry, job, permit, metadata, tokens_tx).await
     };
     let claims = Arc::clone(&entry.claims);
     entry.tasks.spawn(async move {
         let result = claims.run_once(claim, deadline, run).await;
         let _ = end_tx.send(outcome_of(&result));
-        let _ = kept_tx.send(result);
+        let _ = result_tx.send(result);
     });
     tokio::select! {
         biased;
-        Ok(tokens) = live => Ok(Started {
-            frame,
-            running: Running { tokens, outcome },
+        Ok(tokens) = tokens_rx => Ok(Started {
+            metadata,
+            running: RunningSession { tokens, outcome },
             replayed: false,
         }),
-        result = &mut kept => match result {
-            Ok(Ok(kept)) => replay(frame, &kept.reply),
+        result = &mut result_rx => match result {
+            Ok(Ok(keyed)) => replay(metadata, &keyed.reply),
             Ok(Err(Error::Failed(e))) => {
-                let ending = e.cause.result.err().unwrap_or(SessionError::CallerGone);
-                Err(Failure::ended(&ending, e.verdict))
+                let error = e.cause.result.err().unwrap_or(SessionError::CallerGone);
+                Err(Failure::session_failed(&error, e.verdict))
             }
             Ok(Err(e)) => Err(refusal(&e)),
-            Err(_) => Err(stopped()),
+            Err(_) => Err(daemon_stopped()),
         },
     }
 }
@@ -194,32 +199,32 @@
     entry: &Entry,
     job: Job,
     permit: Permit,
-    frame: Frame,
-    live: oneshot::Sender<mpsc::Receiver<u32>>,
+    metadata: ResponseMetadata,
+    receiver_tx: oneshot::Sender<mpsc::Receiver<u32>>,
 ) -> Result<Reply, RunError<Outcome>> {
-    let most = job.max_tokens as usize;
-    let (tx, mut rx) = mpsc::channel(most);
+    let capacity = job.max_tokens as usize;
+    let (tx, mut rx) = mpsc::channel(capacity);
     // Room for the whole answer, so that a slow caller does not hold the session up.
-    let (caller, tokens) = mpsc::channel(most);
-    let _ = live.send(tokens);
-    let mut told = Vec::new();
+    let (caller, tokens) = mpsc::channel(capacity);
+    let _ = receiver_tx.send(tokens);
+    let mut recorded = Vec::new();
     let collect = async {
         while let Some(token) = rx.recv().await {
-            told.push(token);
+            recorded.push(token);
             let _ = caller.try_send(token);
         }
     };
-    let drive = async {
+    let run_session = async {
         let ended = entry.driver.run(job, &permit, &tx).await;
         drop(tx);
         ended
     };
-    let (ended, ()) = tokio::join!(drive, collect);
+    let (ended, ()) = tokio::join!(run_session, collect);
     match ended.result {
-        Ok(end) => Ok(Told {
-            id: frame.id,
-            created: frame.created,
-            tokens: told,
+        Ok(end) => Ok(RecordedAnswer {
+            id: metadata.id,
+            created: metadata.created,
+            tokens: recorded,
             end,
         }
         .to_reply()),
@@ -238,8 +243,8 @@
         recoveries: 0,
     };
     match result {
-        Ok(kept) => match serde_json::from_slice::<Told>(&kept.reply.body) {
-            Ok(told) => end(Ok(told.end), Verdict::MayHaveRun),
+        Ok(keyed) => match serde_json::from_slice::<RecordedAnswer>(&keyed.reply.body) {
+            Ok(recorded) => end(Ok(recorded.end), Verdict::MayHaveRun),
             Err(_) => end(Err(SessionError::CallerGone), Verdict::MayHaveRun),
         },
         Err(Error::Failed(e)) => e.cause.clone(),
@@ -248,25 +253,26 @@
 }
 
 /// A recorded answer as a session whose tokens are all there.
-fn replay(frame: Frame, reply: &Reply) -> Result<Started, Failure> {
-    let told: Told = serde_json::from_slice(&reply.body).map_err(|_| stopped())?;
-    let (tx, tokens) = mpsc::channel(told.tokens.len().max(1));
-    for token in told.tokens {
+fn replay(metadata: ResponseMetadata, reply: &Reply) -> Result<Started, Failure> {
+    let recorded: RecordedAnswer =
+        serde_json::from_slice(&reply.body).map_err(|_| daemon_stopped())?;
+    let (tx, tokens) = mpsc::channel(recorded.tokens.len().max(1));
+    for token in recorded.tokens {
         let _ = tx.try_send(token);
     }
     let (end_tx, outcome) = oneshot::channel();
     let _ = end_tx.send(Outcome {
-        result: Ok(told.end),
+        result: Ok(recorded.end),
         verdict: Verdict::MayHaveRun,
         recoveries: 0,
     });
     Ok(Started {
-        frame: Frame {
-            id: told.id,
-            created: told.created,
-            ..frame
+        metadata: ResponseMetadata {
+            id: recorded.id,
+            created: recorded.created,
+            ..metadata
         },
-        running: Running { tokens, outcome },
+        running: RunningSession { tokens, outcome },
         replayed: true,
     })
 }
--- a/crates/kelpworks/src/entry/auth.rs
+++ b/crates/kelpworks/src/entry/auth.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// A 401 when the token is absent or unknown; which of the two is not told.
-pub(crate) fn caller(config: &ActiveConfig, headers: &HeaderMap) -> Result<Caller, Failure> {
+pub(crate) fn authenticate(config: &ActiveConfig, headers: &HeaderMap) -> Result<Caller, Failure> {
     let value = headers.get(AUTHORIZATION).map(|v| v.as_bytes());
     let parts = value.and_then(|v| v.split_at_checked(SCHEME.len()));
     let token = parts.filter(|(scheme, _)| scheme.eq_ignore_ascii_case(SCHEME));
--- a/crates/kelpworks/src/entry/completions.rs
+++ b/crates/kelpworks/src/entry/completions.rs
@@ -30,12 +30,12 @@
 use crate::admission::Permit;
 use crate::claims::ClaimKey;
 use crate::entry::Entry;
+use crate::entry::at_most_once;
 use crate::entry::auth;
-use crate::entry::once;
 use crate::entry::reply::Failure;
 use crate::entry::reply::REQUEST_ID;
-use crate::entry::shape::Asked;
-use crate::entry::shape::Frame;
+use crate::entry::shape::ModelRequest;
+use crate::entry::shape::ResponseMetadata;
 use crate::entry::shape::Shape;
 use crate::pipeline::Job;
 use crate::pipeline::Outcome;
@@ -50,9 +50,9 @@
 type Result<T> = std::result::Result<T, Failure>;
 
 /// Tokens that may wait for a slow caller; then its session waits.
-const TOKENS_AHEAD: usize = 32;
+const MAX_BUFFERED_TOKENS: usize = 32;
 /// Wait for the whole body of a request; a caller that stops halfway holds nothing for longer.
-const BODY_DEADLINE: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Last event of a stream, by custom of this interface.
 const DONE: &str = "[DONE]";
 
@@ -63,7 +63,7 @@
 }
 
 /// A session under way.
-pub(super) struct Running {
+pub(super) struct RunningSession {
     pub(super) tokens: mpsc::Receiver<u32>,
     pub(super) outcome: oneshot::Receiver<Outcome>,
 }
@@ -77,19 +77,19 @@
         if self.entry.is_closed() {
             return Err(Failure::draining());
         }
-        let caller = auth::caller(&self.entry.config.load(), req.headers())?;
-        let body = body(req, self.entry.limits.body_bytes).await?;
-        let asked = self.shape.read(body)?;
-        let job = self.job(id, &caller, &asked)?;
-        let claim = self.claim(req, &caller, &asked)?;
+        let caller = auth::authenticate(&self.entry.config.load(), req.headers())?;
+        let body = read_body(req, self.entry.limits.body_bytes).await?;
+        let model_request = self.shape.read(body)?;
+        let job = self.job(id, &caller, &model_request)?;
+        let claim = self.claim(req, &caller, &model_request)?;
         if claim.is_none() {
             // A claimed call may have run under its key before; its claim knows, and its session
             // is refused at its first step.
             self.entry.driver.quarantine.check(job.fingerprint)?;
         }
-        let mut frame = Frame {
+        let mut metadata = ResponseMetadata {
             id: id.to_owned(),
-            model: asked.model.clone(),
+            model: model_request.model.clone(),
             created: unix_now(),
         };
         let prompt_tokens = job.prompt.len() as u32;
@@ -97,46 +97,48 @@
             None => self.start(&caller, job).await?,
             Some(claim) => {
                 let permit = self.admit(&caller, &job).await?;
-                let started = once::start(&self.entry, claim, frame, job, permit).await?;
+                let started =
+                    at_most_once::start(&self.entry, claim, metadata, job, permit).await?;
                 if started.replayed {
-                    once::mark_replayed(res);
+                    at_most_once::mark_replayed(res);
                 }
-                frame = started.frame;
+                metadata = started.metadata;
                 started.running
             }
         };
         if let Ok(value) = HeaderValue::from_str(id) {
             res.headers_mut().insert(REQUEST_ID, value);
         }
-        if asked.stream {
-            self.stream(frame, running, res).await
+        if model_request.stream {
+            self.stream(metadata, running, res).await
         } else {
-            self.whole(&frame, prompt_tokens, running, res).await
+            self.respond_whole(&metadata, prompt_tokens, running, res)
+                .await
         }
     }
 
-    fn job(&self, id: &str, caller: &Caller, asked: &Asked) -> Result<Job> {
+    fn job(&self, id: &str, caller: &Caller, model_request: &ModelRequest) -> Result<Job> {
         let fleet = self.entry.fleet.load();
-        let Some(model) = fleet.model(&asked.model) else {
-            let message = format!("there is no model {:?}", asked.model);
-            return Err(Failure::bad(
+        let Some(model) = fleet.model(&model_request.model) else {
+            let message = format!("there is no model {:?}", model_request.model);
+            return Err(Failure::rejected(
                 StatusCode::NOT_FOUND,
                 "unknown_model",
                 message,
             ));
         };
-        let most = self.entry.limits.max_tokens;
-        if asked.max_tokens == 0 || asked.max_tokens > most {
-            let message = format!("max_tokens must be from 1 to {most}");
-            return Err(Failure::bad(
+        let limit = self.entry.limits.max_tokens;
+        if model_request.max_tokens == 0 || model_request.max_tokens > limit {
+            let message = format!("max_tokens must be from 1 to {limit}");
+            return Err(Failure::rejected(
                 StatusCode::BAD_REQUEST,
                 "invalid_request",
                 message,
             ));
         }
-        if asked.prompt.is_empty() {
+        if model_request.prompt.is_empty() {
             let message = "the prompt is empty";
-            return Err(Failure::bad(
+            return Err(Failure::rejected(
                 StatusCode::BAD_REQUEST,
                 "invalid_request",
                 message,
@@ -146,42 +148,47 @@
             session: id.to_owned(),
             team: caller.team.clone(),
             class: caller.class,
-            fingerprint: fingerprint(&caller.team, &asked.model, &asked.prompt),
+            fingerprint: fingerprint(&caller.team, &model_request.model, &model_request.prompt),
             model,
-            prompt: tokens::encode(&asked.prompt),
-            max_tokens: asked.max_tokens,
+            prompt: tokens::encode(&model_request.prompt),
+            max_tokens: model_request.max_tokens,
             deadline: Instant::now() + self.entry.request_timeout,
         })
     }
 
     /// The claim of a keyed request that must run at most once.
-    fn claim(&self, req: &Request, caller: &Caller, asked: &Asked) -> Result<Option<ClaimKey>> {
+    fn claim(
+        &self,
+        req: &Request,
+        caller: &Caller,
+        model_request: &ModelRequest,
+    ) -> Result<Option<ClaimKey>> {
         let config = self.entry.config.load();
-        if !config.model_is_non_idempotent(&asked.model, &caller.team) {
+        if !config.model_is_non_idempotent(&model_request.model, &caller.team) {
             return Ok(None);
         }
-        let key = once::key(req.headers())?;
-        Ok(key.map(|k| once::model_claim(&caller.team, self.shape, asked, &k)))
+        let key = at_most_once::key(req.headers())?;
+        Ok(key.map(|k| at_most_once::model_claim(&caller.team, self.shape, model_request, &k)))
     }
 
     async fn admit(&self, caller: &Caller, job: &Job) -> Result<Permit> {
-        let ask = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             team: &caller.team,
             class: caller.class,
             weight: caller.weight,
             cost: job.prompt.len() as u32 + job.max_tokens,
         };
         tokio::select! {
-            permit = self.entry.admission.admit(ask) => Ok(permit?),
+            permit = self.entry.admission.admit(admission_request) => Ok(permit?),
             () = self.entry.driver.abort.cancelled() => Err(Failure::draining()),
         }
     }
 
     /// Waits for admission and starts the session in a task of its own, which frees its memory on
     /// the engines also when the caller goes.
-    async fn start(&self, caller: &Caller, job: Job) -> Result<Running> {
+    async fn start(&self, caller: &Caller, job: Job) -> Result<RunningSession> {
         let permit = self.admit(caller, &job).await?;
-        let (tx, tokens) = mpsc::channel(TOKENS_AHEAD);
+        let (tx, tokens) = mpsc::channel(MAX_BUFFERED_TOKENS);
         let (done, outcome) = oneshot::channel();
         let entry = Arc::clone(&self.entry);
         self.entry.tasks.spawn(async move {
@@ -195,14 +202,14 @@
             );
             let _ = done.send(ended);
         });
-        Ok(Running { tokens, outcome })
+        Ok(RunningSession { tokens, outcome })
     }
 
-    async fn whole(
+    async fn respond_whole(
         &self,
-        frame: &Frame,
+        metadata: &ResponseMetadata,
         prompt_tokens: u32,
-        mut running: Running,
+        mut running: RunningSession,
         res: &mut Response,
     ) -> Result<()> {
         let mut text = String::new();
@@ -211,7 +218,7 @@
             text.push_str(&tokens::decode(token));
             count += 1;
         }
-        let end = finish(running.outcome).await?;
+        let end = session_result(running.outcome).await?;
         let usage = Usage {
             completion_tokens: count,
             prompt_tokens,
@@ -219,16 +226,21 @@
         };
         res.headers_mut()
             .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        res.body(self.shape.whole(frame, text, end, usage));
+        res.body(self.shape.response(metadata, text, end, usage));
         Ok(())
     }
 
     /// Streams the answer. Until the first token is there a failure still gets a status.
-    async fn stream(&self, frame: Frame, mut running: Running, res: &mut Response) -> Result<()> {
+    async fn stream(
+        &self,
+        metadata: ResponseMetadata,
+        mut running: RunningSession,
+        res: &mut Response,
+    ) -> Result<()> {
         let Some(first) = running.tokens.recv().await else {
-            let end = finish(running.outcome).await?;
+            let end = session_result(running.outcome).await?;
             let last = [
-                self.shape.piece(&frame, String::new(), Some(end)),
+                self.shape.chunk(&metadata, String::new(), Some(end)),
                 DONE.into(),
             ];
             sse::stream(
@@ -237,13 +249,13 @@
             );
             return Ok(());
         };
-        sse::stream(res, events(self.shape, frame, first, running));
+        sse::stream(res, events(self.shape, metadata, first, running));
         Ok(())
     }
 }
 
 /// Where a stream of events stands.
-enum Next {
+enum Phase {
     Token(u32),
     Tokens,
     Done,
@@ -252,35 +264,35 @@
 
 fn events(
     shape: Shape,
-    frame: Frame,
+    metadata: ResponseMetadata,
     first: u32,
-    running: Running,
+    running: RunningSession,
 ) -> impl Stream<Item = std::result::Result<SseEvent, Infallible>> {
-    let start = (Next::Token(first), running);
+    let start = (Phase::Token(first), running);
     stream::unfold(start, move |(next, mut running)| {
-        let frame = frame.clone();
+        let metadata = metadata.clone();
         async move {
             let token = match next {
-                Next::Token(token) => Some(token),
-                Next::Tokens => running.tokens.recv().await,
-                Next::Done => return Some((Ok(event(DONE.as_bytes())), (Next::Ended, running))),
-                Next::Ended => return None,
+                Phase::Token(token) => Some(token),
+                Phase::Tokens => running.tokens.recv().await,
+                Phase::Done => return Some((Ok(event(DONE.as_bytes())), (Phase::Ended, running))),
+                Phase::Ended => return None,
             };
             if let Some(token) = token {
-                let data = shape.piece(&frame, tokens::decode(token), None);
-                return Some((Ok(event(&data)), (Next::Tokens, running)));
+                let data = shape.chunk(&metadata, tokens::decode(token), None);
+                return Some((Ok(event(&data)), (Phase::Tokens, running)));
             }
             let (tx, spent) = oneshot::channel();
             drop(tx);
             let outcome = std::mem::replace(&mut running.outcome, spent);
-            match finish(outcome).await {
+            match session_result(outcome).await {
                 Ok(end) => {
-                    let data = shape.piece(&frame, String::new(), Some(end));
-                    Some((Ok(event(&data)), (Next::Done, running)))
+                    let data = shape.chunk(&metadata, String::new(), Some(end));
+                    Some((Ok(event(&data)), (Phase::Done, running)))
                 }
                 Err(failure) => {
-                    let data = serde_json::to_vec(&failure.body(&frame.id)).unwrap_or_default();
-                    Some((Ok(event(&data).name("error")), (Next::Ended, running)))
+                    let data = serde_json::to_vec(&failure.body(&metadata.id)).unwrap_or_default();
+                    Some((Ok(event(&data).name("error")), (Phase::Ended, running)))
                 }
             }
         }
@@ -291,18 +303,18 @@
     SseEvent::default().text(String::from_utf8_lossy(data))
 }
 
-async fn finish(outcome: oneshot::Receiver<Outcome>) -> Result<FinishReason> {
+async fn session_result(outcome: oneshot::Receiver<Outcome>) -> Result<FinishReason> {
     match outcome.await {
         Ok(Outcome {
             result: Ok(end), ..
         }) => Ok(end),
         Ok(Outcome {
-            result: Err(ending),
+            result: Err(error),
             verdict,
             ..
-        }) => Err(Failure::ended(&ending, verdict)),
+        }) => Err(Failure::session_failed(&error, verdict)),
         // The task is gone without a word: it was stopped with the daemon.
-        Err(_) => Err(Failure::ended(
+        Err(_) => Err(Failure::session_failed(
             &SessionError::CallerGone,
             Verdict::MayHaveRun,
         )),
@@ -310,10 +322,10 @@
 }
 
 /// Reads a request's body, up to `most` bytes.
-pub(crate) async fn body(req: &mut Request, most: u64) -> Result<&[u8]> {
-    let reading = req.payload_with_max_size(most as usize);
-    let Ok(payload) = tokio::time::timeout(BODY_DEADLINE, reading).await else {
-        return Err(Failure::bad(
+pub(crate) async fn read_body(req: &mut Request, max_bytes: u64) -> Result<&[u8]> {
+    let reading = req.payload_with_max_size(max_bytes as usize);
+    let Ok(payload) = tokio::time::timeout(BODY_TIMEOUT, reading).await else {
+        return Err(Failure::rejected(
             StatusCode::REQUEST_TIMEOUT,
             "body_timeout",
             "the body did not come in time",
@@ -321,10 +333,10 @@
     };
     payload.map(|b| &b[..]).map_err(|e| match e {
         ParseError::PayloadTooLarge => {
-            let message = format!("the body is larger than {most} bytes");
-            Failure::bad(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message)
+            let message = format!("the body is larger than {max_bytes} bytes");
+            Failure::rejected(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message)
         }
-        e => Failure::bad(StatusCode::BAD_REQUEST, "invalid_request", e.to_string()),
+        e => Failure::rejected(StatusCode::BAD_REQUEST, "invalid_request", e.to_string()),
     })
 }
 
--- a/crates/kelpworks/src/entry/mod.rs
+++ b/crates/kelpworks/src/entry/mod.rs
@@ -1,12 +1,12 @@
 //! The callers' side: HTTP requests in, answers or refusals with a verdict out.
 
+mod at_most_once;
 mod auth;
 mod completions;
-mod once;
 mod reply;
+mod route_error;
 mod services;
 mod shape;
-mod unserved;
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -21,7 +21,7 @@
 use crate::active_config::ActiveConfig;
 use crate::admission::Admission;
 use crate::clients::engine::HttpEngine;
-use crate::entry::unserved::Unserved;
+use crate::entry::route_error::RouteError;
 use crate::fleet::Fleet;
 use crate::membership::PeerClaims;
 use crate::pipeline::Driver;
@@ -72,11 +72,11 @@
         .push(post_only("v1/completions", completions))
         .push(post_only("v1/chat/completions", chat))
         .push(Router::with_path("services/{name}/{**rest}").goal(services))
-        .push(Router::with_path("{**rest}").goal(Unserved::Path))
+        .push(Router::with_path("{**rest}").goal(RouteError::UnknownPath))
 }
 
 fn post_only(path: &str, handler: completions::Completions) -> Router {
     Router::with_path(path)
         .push(Router::new().post(handler))
-        .push(Router::new().goal(Unserved::Method))
+        .push(Router::new().goal(RouteError::MethodNotAllowed))
 }
--- a/crates/kelpworks/src/entry/reply.rs
+++ b/crates/kelpworks/src/entry/reply.rs
@@ -19,7 +19,7 @@
 pub(crate) const REQUEST_ID: &str = "kelpworks-request-id";
 
 /// When to come back after a failure whose end is not known.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// An answer that is not a success.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +43,11 @@
     };
 
     /// A request that can't be run as it is.
-    pub(crate) fn bad(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
+    pub(crate) fn rejected(
+        status: StatusCode,
+        kind: &'static str,
+        message: impl Into<String>,
+    ) -> Self {
         let message = message.into();
         Failure {
             status,
@@ -61,7 +65,7 @@
         message: impl Into<String>,
         verdict: Verdict,
     ) -> Self {
-        let retry_after = Some(DEFAULT_RETRY);
+        let retry_after = Some(DEFAULT_RETRY_AFTER);
         Failure {
             status,
             kind,
@@ -157,20 +161,20 @@
 
 impl Failure {
     /// A session that ended before its answer was whole.
-    pub(crate) fn ended(ending: &SessionError, verdict: Verdict) -> Failure {
-        if let SessionError::Quarantined(refusal) = *ending {
+    pub(crate) fn session_failed(error: &SessionError, verdict: Verdict) -> Failure {
+        if let SessionError::Quarantined(refusal) = *error {
             return Failure {
                 verdict,
                 ..Failure::from(refusal)
             };
         }
-        let (status, kind) = match ending {
+        let (status, kind) = match error {
             SessionError::NoPath(_) => (StatusCode::SERVICE_UNAVAILABLE, "no_upstream"),
             SessionError::Stopped => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
             SessionError::Deadline => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
             SessionError::Retries { .. } => (StatusCode::SERVICE_UNAVAILABLE, "upstream_failed"),
             _ => (StatusCode::BAD_GATEWAY, "upstream_failed"),
         };
-        Failure::failed(status, kind, ending.to_string(), verdict)
+        Failure::failed(status, kind, error.to_string(), verdict)
     }
 }
--- a/crates/kelpworks/src/entry/unserved.rs
+++ b/crates/kelpworks/src/entry/route_error.rs
@@ -15,15 +15,15 @@
 
 /// What a request asks for that is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unserved {
+pub(crate) enum RouteError {
     /// Its path.
-    Path,
+    UnknownPath,
     /// Its method, at a path that takes only POST.
-    Method,
+    MethodNotAllowed,
 }
 
 #[async_trait]
-impl Handler for Unserved {
+impl Handler for RouteError {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -32,15 +32,15 @@
         _ctrl: &mut FlowCtrl,
     ) {
         let failure = match self {
-            Unserved::Path => Failure::bad(
+            RouteError::UnknownPath => Failure::rejected(
                 StatusCode::NOT_FOUND,
                 "unknown_path",
                 "nothing is served at this path",
             ),
-            Unserved::Method => {
+            RouteError::MethodNotAllowed => {
                 let allowed = HeaderValue::from_static("POST");
                 res.headers_mut().insert(ALLOW, allowed);
-                Failure::bad(
+                Failure::rejected(
                     StatusCode::METHOD_NOT_ALLOWED,
                     "method_not_allowed",
                     "this path takes POST only",
--- a/crates/kelpworks/src/entry/services/call.rs
+++ b/crates/kelpworks/src/entry/services/call.rs
@@ -12,13 +12,13 @@
 use crate::claims;
 use crate::claims::ClaimKey;
 use crate::entry::Entry;
+use crate::entry::at_most_once;
 use crate::entry::auth;
-use crate::entry::completions::body;
-use crate::entry::once;
+use crate::entry::completions::read_body;
 use crate::entry::reply::Failure;
 
 /// Headers of a request that go on to the service.
-const FORWARDED: [HeaderName; 4] = [
+const FORWARDED_HEADERS: [HeaderName; 4] = [
     header::CONTENT_TYPE,
     header::ACCEPT,
     header::IF_MATCH,
@@ -36,7 +36,7 @@
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     /// Whether it may be sent again after it may have run.
-    pub(super) repeatable: bool,
+    pub(super) retryable: bool,
     /// Its claim, where it has a key and may run only once.
     pub(super) claim: Option<ClaimKey>,
     pub(super) deadline: Instant,
@@ -50,16 +50,16 @@
     /// When the token names no team, the body is too large, or the key can't be used.
     pub(super) async fn read(entry: &Entry, id: &str, req: &mut Request) -> Result<Call, Failure> {
         let config = entry.config.load_full();
-        let caller = auth::caller(&config, req.headers())?;
+        let caller = auth::authenticate(&config, req.headers())?;
         let service: String = req.param("name").unwrap_or_default();
-        let path = below(req.uri().path());
+        let path = path_in_service(req.uri().path());
         let method = req.method().clone();
         let non_idempotent = config.call_is_non_idempotent(&service, method.as_str(), &path);
-        let repeatable = method.is_idempotent() && !non_idempotent;
+        let retryable = method.is_idempotent() && !non_idempotent;
         let query = req.uri().query().map_or(String::new(), |q| format!("?{q}"));
-        let key = once::key(req.headers())?.filter(|_| !repeatable);
-        let mut headers = pick(req.headers(), &FORWARDED);
-        let body = Bytes::copy_from_slice(body(req, entry.limits.body_bytes).await?);
+        let key = at_most_once::key(req.headers())?.filter(|_| !retryable);
+        let mut headers = select_headers(req.headers(), &FORWARDED_HEADERS);
+        let body = Bytes::copy_from_slice(read_body(req, entry.limits.body_bytes).await?);
         let path = path + &query;
         let claim = key.map(|key| {
             let target = format!("service {service} {method} {path}");
@@ -76,7 +76,7 @@
             path,
             headers,
             body,
-            repeatable,
+            retryable,
             claim,
             deadline: Instant::now() + entry.request_timeout,
         })
@@ -91,18 +91,18 @@
 
 /// Path below `/services/{name}`, starting with `/`. The name may be spelt in more ways than one, so
 /// it is passed over as a segment.
-fn below(path: &str) -> String {
+fn path_in_service(path: &str) -> String {
     let mut segments = path.splitn(4, '/');
     let rest = segments.nth(3).unwrap_or_default();
     format!("/{rest}")
 }
 
-fn pick(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
-    let mut picked = HeaderMap::new();
+fn select_headers(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
+    let mut selected = HeaderMap::new();
     for name in names {
         if let Some(value) = headers.get(name) {
-            picked.insert(name.clone(), value.clone());
+            selected.insert(name.clone(), value.clone());
         }
     }
-    picked
+    selected
 }
--- a/crates/kelpworks/src/entry/services/mod.rs
+++ b/crates/kelpworks/src/entry/services/mod.rs
@@ -19,8 +19,8 @@
 use crate::claims::Reply;
 use crate::claims::RunError;
 use crate::entry::Entry;
+use crate::entry::at_most_once;
 use crate::entry::completions::request_id;
-use crate::entry::once;
 use crate::entry::reply::Failure;
 use crate::entry::services::call::Call;
 use crate::entry::services::send::Result;
@@ -44,17 +44,17 @@
             return Err(Failure::draining());
         }
         let mut call = Call::read(&self.entry, id, req).await?;
-        let kept = match call.claim.take() {
+        let keyed = match call.claim.take() {
             Some(claim) => {
                 let deadline = call.deadline;
                 let sender = Arc::clone(&self.sender);
                 let run = async move || sender.send(&call).await.map_err(RunError::from);
-                let kept = self.entry.claims.run_once(claim, deadline, run).await;
-                kept.map_err(once::failure)?
+                let keyed = self.entry.claims.run_once(claim, deadline, run).await;
+                keyed.map_err(at_most_once::claim_failure)?
             }
             None => self.run(call).await?,
         };
-        write(kept, res);
+        write(keyed, res);
         Ok(())
     }
 
@@ -64,7 +64,7 @@
         let sender = Arc::clone(&self.sender);
         let task = async move { sender.send(&call).await };
         let ended = self.entry.tasks.spawn(task).await;
-        let reply = ended.unwrap_or_else(|_| Err(once::stopped()))?;
+        let reply = ended.unwrap_or_else(|_| Err(at_most_once::daemon_stopped()))?;
         Ok(KeyedReply {
             reply,
             replayed: false,
@@ -72,12 +72,12 @@
     }
 }
 
-fn write(kept: KeyedReply, res: &mut Response) {
+fn write(keyed: KeyedReply, res: &mut Response) {
     let Reply {
         status,
         headers,
         body,
-    } = kept.reply;
+    } = keyed.reply;
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     res.status_code(status);
     for header in headers {
@@ -90,8 +90,8 @@
         let verdict = HeaderValue::from_static(Verdict::MayHaveRun.as_str());
         res.headers_mut().insert(Verdict::HEADER, verdict);
     }
-    if kept.replayed {
-        once::mark_replayed(res);
+    if keyed.replayed {
+        at_most_once::mark_replayed(res);
     }
     res.body(body);
 }
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -39,7 +39,7 @@
 /// Most attempts of one call.
 const MAX_ATTEMPTS: u32 = 3;
 /// Headers of an answer that go back to the caller.
-const RETURNED: [HeaderName; 5] = [
+const RETURNED_HEADERS: [HeaderName; 5] = [
     header::CONTENT_TYPE,
     header::ETAG,
     header::LOCATION,
@@ -54,15 +54,15 @@
 }
 
 /// How an attempt ended without an answer.
-struct Lost {
-    error: Error,
+struct AttemptError {
+    cause: Error,
     /// The upstream answered on a new connection, so only the old one was at fault.
-    connection: bool,
+    connection_fault: bool,
 }
 
-impl Lost {
+impl AttemptError {
     fn is_timeout(&self) -> bool {
-        matches!(self.error, Error::Timeout)
+        matches!(self.cause, Error::Timeout)
     }
 }
 
@@ -103,50 +103,52 @@
             let ended = tokio::select! {
                 ended = self.attempt(&fleet, key, &attempts) => ended,
                 () = self.entry.driver.abort.cancelled() => {
-                    return Err(stopped(Verdict::MayHaveRun));
+                    return Err(daemon_stopped(Verdict::MayHaveRun));
                 }
             };
             match &ended {
-                Ok(reply) if call.repeatable && is_passing(reply.status) => {
-                    attempts.failed(key, Verdict::MayHaveRun);
+                Ok(reply) if call.retryable && is_gateway_error(reply.status) => {
+                    attempts.record_failure(key, Verdict::MayHaveRun);
                 }
                 Ok(_) => {
                     self.retries().record_success();
-                    return ended.map_err(|lost| attempts.failure(&lost));
+                    return ended.map_err(|error| attempts.failure(&error));
                 }
                 // Another upstream would say the same.
-                Err(Lost {
-                    error: Error::TooLarge,
+                Err(AttemptError {
+                    cause: Error::TooLarge,
                     ..
                 }) => {
-                    attempts.worsen(Verdict::MayHaveRun);
-                    return ended.map_err(|lost| attempts.failure(&lost));
+                    attempts.raise_verdict(Verdict::MayHaveRun);
+                    return ended.map_err(|error| attempts.failure(&error));
                 }
-                Err(lost) if lost.connection => attempts.worsen(lost.error.verdict()),
-                Err(lost) => {
-                    attempts.failed(key, lost.error.verdict());
+                Err(error) if error.connection_fault => {
+                    attempts.raise_verdict(error.cause.verdict())
+                }
+                Err(error) => {
+                    attempts.record_failure(key, error.cause.verdict());
                     let _ = self.entry.reports.send(Report::Suspect(key));
                 }
             }
-            let Some(delay) = self.again(&attempts) else {
-                return ended.map_err(|lost| attempts.failure(&lost));
+            let Some(delay) = self.retry_delay(&attempts) else {
+                return ended.map_err(|error| attempts.failure(&error));
             };
             tokio::select! {
                 () = tokio::time::sleep(delay) => {}
                 () = self.entry.driver.abort.cancelled() => {
-                    return Err(stopped(attempts.verdict));
+                    return Err(daemon_stopped(attempts.verdict));
                 }
             }
         }
     }
 
     /// The pause before another attempt; `None` when there is to be none.
-    fn again(&self, attempts: &Attempts<'_>) -> Option<Duration> {
+    fn retry_delay(&self, attempts: &Attempts<'_>) -> Option<Duration> {
         let attempt = Attempt {
             verdict: attempts.verdict,
-            idempotent: attempts.call.repeatable,
+            idempotent: attempts.call.retryable,
             attempts: attempts.made,
-            time_left: left(attempts.call),
+            time_left: time_left(attempts.call),
         };
         let now = Duration::from_millis(self.entry.driver.now_ms());
         let decision = self.retries().decide(now, &attempt, &mut rand::rng());
@@ -172,7 +174,7 @@
         let Some(keys) = fleet.by_service.get(&call.service) else {
             let message = format!("there is no service {:?}", call.service);
             let status = StatusCode::NOT_FOUND;
-            return Err(Failure::bad(status, "unknown_service", message));
+            return Err(Failure::rejected(status, "unknown_service", message));
         };
         let now = self.entry.driver.now_ms();
         let tried = &attempts.tried;
@@ -199,35 +201,35 @@
         fleet: &Fleet,
         key: UpstreamKey,
         attempts: &Attempts<'_>,
-    ) -> std::result::Result<Reply, Lost> {
+    ) -> std::result::Result<Reply, AttemptError> {
         let call = attempts.call;
         let upstream = &fleet.upstreams[key];
         let _in_flight = InFlight::enter(&upstream.counters.in_flight);
         let reply = self.call(&upstream.url, call);
         tokio::pin!(reply);
-        let whole = |error| Lost {
-            error,
-            connection: false,
+        let upstream_fault = |cause| AttemptError {
+            cause,
+            connection_fault: false,
         };
-        let progress = self.progress(attempts.made).min(left(call));
+        let progress = self.progress_deadline(attempts.made).min(time_left(call));
         tokio::select! {
             biased;
-            reply = &mut reply => return reply.map_err(whole),
+            reply = &mut reply => return reply.map_err(upstream_fault),
             () = tokio::time::sleep(progress) => {}
         }
-        if !call.repeatable {
+        if !call.retryable {
             let (reply, _) = tokio::join!(reply, self.probe(&upstream.url));
-            return reply.map_err(whole);
+            return reply.map_err(upstream_fault);
         }
-        let connection = self.probe(&upstream.url).await;
-        Err(Lost {
-            error: Error::Timeout,
-            connection,
+        let connection_fault = self.probe(&upstream.url).await;
+        Err(AttemptError {
+            cause: Error::Timeout,
+            connection_fault,
         })
     }
 
     /// Longer with each attempt, as the call may just be a slow one.
-    fn progress(&self, made: u32) -> Duration {
+    fn progress_deadline(&self, made: u32) -> Duration {
         let doublings = made.saturating_sub(1);
         self.entry.driver.deadlines.step.ceiling * 2u32.pow(doublings)
     }
@@ -247,28 +249,28 @@
             headers: &call.headers,
             body: &call.body,
         };
-        let deadline = left(call).max(Duration::from_millis(1));
+        let deadline = time_left(call).max(Duration::from_millis(1));
         let answer = self.entry.engine.call(url, sent, deadline).await?;
-        Ok(reply(answer))
+        Ok(caller_reply(answer))
     }
 }
 
 impl Attempts<'_> {
-    fn failed(&mut self, key: UpstreamKey, verdict: Verdict) {
+    fn record_failure(&mut self, key: UpstreamKey, verdict: Verdict) {
         self.tried.push(key);
-        self.worsen(verdict);
+        self.raise_verdict(verdict);
     }
 
-    fn worsen(&mut self, verdict: Verdict) {
+    fn raise_verdict(&mut self, verdict: Verdict) {
         self.verdict = self.verdict.max(verdict);
     }
 
-    fn failure(&self, lost: &Lost) -> Failure {
-        let (status, kind) = match lost.is_timeout() {
+    fn failure(&self, error: &AttemptError) -> Failure {
+        let (status, kind) = match error.is_timeout() {
             true => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
             false => (StatusCode::BAD_GATEWAY, "upstream_failed"),
         };
-        Failure::failed(status, kind, lost.error.to_string(), self.verdict)
+        Failure::failed(status, kind, error.cause.to_string(), self.verdict)
     }
 }
 
@@ -289,7 +291,7 @@
 }
 
 /// The daemon was told to stop at once.
-fn stopped(verdict: Verdict) -> Failure {
+fn daemon_stopped(verdict: Verdict) -> Failure {
     Failure {
         verdict,
         ..Failure::draining()
@@ -297,18 +299,18 @@
 }
 
 /// Whether another upstream may do better: a gateway's errors and a service that is leaving.
-fn is_passing(status: u16) -> bool {
+fn is_gateway_error(status: u16) -> bool {
     matches!(status, 502..=504)
 }
 
-fn left(call: &Call) -> Duration {
+fn time_left(call: &Call) -> Duration {
     call.deadline.saturating_duration_since(Instant::now())
 }
 
 /// What goes back to the caller of an answer.
-fn reply(answer: ServiceAnswer) -> Reply {
+fn caller_reply(answer: ServiceAnswer) -> Reply {
     let mut headers = Vec::new();
-    for name in &RETURNED {
+    for name in &RETURNED_HEADERS {
         let value = answer.headers.get(name).and_then(|v| v.to_str().ok());
         headers.extend(value.map(|value| Header {
             name: name.to_string(),
--- a/crates/kelpworks/src/entry/shape.rs
+++ b/crates/kelpworks/src/entry/shape.rs
@@ -33,7 +33,7 @@
 
 /// What both shapes ask for.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Asked {
+pub(crate) struct ModelRequest {
     pub(crate) model: String,
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
@@ -42,7 +42,7 @@
 
 /// What both shapes say of an answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Frame {
+pub(crate) struct ResponseMetadata {
     pub(crate) id: String,
     pub(crate) model: String,
     /// Unix time, in seconds.
@@ -55,14 +55,14 @@
     /// # Errors
     ///
     /// A 400 when it is not JSON of this shape.
-    pub(crate) fn read(self, body: &[u8]) -> Result<Asked, Failure> {
+    pub(crate) fn read(self, body: &[u8]) -> Result<ModelRequest, Failure> {
         let invalid = |e: serde_json::Error| {
-            Failure::bad(StatusCode::BAD_REQUEST, "invalid_request", e.to_string())
+            Failure::rejected(StatusCode::BAD_REQUEST, "invalid_request", e.to_string())
         };
-        let asked = match self {
+        let model_request = match self {
             Shape::Text => {
                 let req: CompletionRequest = serde_json::from_slice(body).map_err(invalid)?;
-                Asked {
+                ModelRequest {
                     model: req.model,
                     prompt: req.prompt,
                     max_tokens: req.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
@@ -71,20 +71,26 @@
             }
             Shape::Chat => {
                 let req: ChatRequest = serde_json::from_slice(body).map_err(invalid)?;
-                Asked {
+                ModelRequest {
                     model: req.model,
-                    prompt: prompt(&req.messages),
+                    prompt: chat_prompt(&req.messages),
                     max_tokens: req.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
                     stream: req.stream.unwrap_or(false),
                 }
             }
         };
-        Ok(asked)
+        Ok(model_request)
     }
 
     /// The whole answer as JSON.
-    pub(crate) fn whole(self, frame: &Frame, text: String, end: FinishReason, u: Usage) -> Vec<u8> {
-        let Frame { id, model, created } = frame.clone();
+    pub(crate) fn response(
+        self,
+        metadata: &ResponseMetadata,
+        text: String,
+        end: FinishReason,
+        u: Usage,
+    ) -> Vec<u8> {
+        let ResponseMetadata { id, model, created } = metadata.clone();
         match self {
             Shape::Text => json(&CompletionResponse {
                 choices: vec![CompletionChoice {
@@ -120,8 +126,13 @@
     }
 
     /// One event of a streamed answer as JSON.
-    pub(crate) fn piece(self, frame: &Frame, text: String, end: Option<FinishReason>) -> Vec<u8> {
-        let Frame { id, model, created } = frame.clone();
+    pub(crate) fn chunk(
+        self,
+        metadata: &ResponseMetadata,
+        text: String,
+        end: Option<FinishReason>,
+    ) -> Vec<u8> {
+        let ResponseMetadata { id, model, created } = metadata.clone();
         match self {
             Shape::Text => json(&CompletionResponse {
                 choices: vec![CompletionChoice {
@@ -162,7 +173,7 @@
 
 /// The chat as one prompt, a line a message, ending where the answer begins; empty for a chat
 /// without messages.
-fn prompt(messages: &[ChatMessage]) -> String {
+fn chat_prompt(messages: &[ChatMessage]) -> String {
     if messages.is_empty() {
         return String::new();
     }
