--- a/crates/kelpworks/src/entry/at_most_once.rs
+++ b/crates/kelpworks/src/entry/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Requests that run at most once, as callers see them; and keyed model requests.
+//! Requests with an idempotency key, which run at most once: their errors as callers see them, and
+//! the recording and replay of model sessions.
 
 use std::sync::Arc;
 
@@ -29,14 +30,14 @@
 use crate::verdict::Verdict;
 use kelpworks_wire::FinishReason;
 
-/// Header of an answer that an earlier submission of the key got first.
+/// Response header that marks a reply recorded by an earlier request with the same key.
 const REPLAYED: &str = "kelpworks-replayed";
 
-/// The caller's key.
+/// Returns the idempotency key of a request; `None` if it has none.
 ///
 /// # Errors
 ///
-/// A 400 when it can't be used.
+/// A 400 when the key is malformed.
 pub(super) fn key(headers: &HeaderMap) -> Result<Option<String>, Failure> {
     claims::key_of(headers).map_err(|e| {
         let status = StatusCode::BAD_REQUEST;
@@ -49,10 +50,10 @@
     res.headers_mut().insert(REPLAYED, value);
 }
 
-/// The call's task is gone without a word: it was stopped with the daemon.
+/// Returns the failure of a call whose task ended without a result, because the daemon stopped.
 pub(super) fn daemon_stopped() -> Failure {
     let status = StatusCode::BAD_GATEWAY;
-    let message = "the daemon stopped under the call";
+    let message = "the daemon stopped during the call";
     Failure::failed(status, "stopped", message, Verdict::MayHaveRun)
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// What a caller is told when its keyed call has no answer.
+/// Returns the failure to send to the caller of a request under a claim that got no reply.
 pub(super) fn claim_failure(error: Error<Failure>) -> Failure {
     match error {
         Error::Failed(e) => e.cause,
@@ -105,8 +106,8 @@
     }
 }
 
-/// The claim of a keyed model request. Whether the answer is streamed is left out: a repeat may
-/// ask for it in either form.
+/// Returns the claim of a model request with an idempotency key. It ignores whether the answer is
+/// streamed: a repeated request may ask for either form.
 pub(super) fn model_claim(
     team: &str,
     shape: Shape,
@@ -118,7 +119,7 @@
     ClaimKey::new(team, &target, key, request.as_bytes())
 }
 
-/// A whole answer of a model, as claims record it.
+/// A complete answer of a model, as stored in its claim.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 struct RecordedAnswer {
@@ -138,21 +139,21 @@
     }
 }
 
-/// A keyed session under way, or one that ended before.
+/// A session under a claim: either running, or replayed from the recorded answer.
 pub(super) struct Started {
-    /// The metadata of the submission that ran.
+    /// Metadata of the request that was executed.
     pub(super) metadata: ResponseMetadata,
     pub(super) running: RunningSession,
-    /// Whether an earlier submission ran.
+    /// Whether the answer was recorded by an earlier request with the same key.
     pub(super) replayed: bool,
 }
 
-/// Starts a session under a claim. It runs to its end also when the caller goes, so that its
-/// outcome is recorded.
+/// Starts a session under a claim, or replays its recorded answer. The session runs to its end even
+/// if the caller disconnects, so that its outcome is recorded.
 ///
 /// # Errors
 ///
-/// When there is nothing to give the caller.
+/// When the claim is refused, or the session failed before its first token could be delivered.
 pub(super) async fn start(
     entry: &Arc<Entry>,
     claim: ClaimKey,
@@ -194,7 +195,7 @@
     }
 }
 
-/// Runs a session to its end. The caller gets each token at once; it may be slow, or gone.
+/// Runs a session to its end and passes each token on to the caller, which may be slow or gone.
 async fn session(
     entry: &Entry,
     job: Job,
@@ -204,7 +205,7 @@
 ) -> Result<Reply, RunError<Outcome>> {
     let capacity = job.max_tokens as usize;
     let (tx, mut rx) = mpsc::channel(capacity);
-    // Room for the whole answer, so that a slow caller does not hold the session up.
+    // Capacity for the whole answer, so that a slow caller does not delay the session.
     let (caller, tokens) = mpsc::channel(capacity);
     let _ = receiver_tx.send(tokens);
     let mut recorded = Vec::new();
@@ -235,7 +236,7 @@
     }
 }
 
-/// How the session ended, for the caller that follows its tokens.
+/// Returns the outcome of a session, for the caller that receives its tokens.
 fn outcome_of(result: &claims::Result<claims::KeyedReply, Outcome>) -> Outcome {
     let end = |result, verdict| Outcome {
         result,
@@ -252,7 +253,7 @@
     }
 }
 
-/// A recorded answer as a session whose tokens are all there.
+/// Converts a recorded answer to a session whose tokens are all available.
 fn replay(metadata: ResponseMetadata, reply: &Reply) -> Result<Started, Failure> {
     let recorded: RecordedAnswer =
         serde_json::from_slice(&reply.body).map_err(|_| daemon_stopped())?;
--- a/crates/kelpworks/src/entry/auth.rs
+++ b/crates/kelpworks/src/entry/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: the bearer token names the team.
+//! Authentication of callers by bearer token.
 
 use salvo::http::HeaderMap;
 use salvo::http::header::AUTHORIZATION;
@@ -7,14 +7,14 @@
 use crate::active_config::Caller;
 use crate::entry::reply::Failure;
 
-/// Of any case, as HTTP has it.
+/// Compared without regard to case, as HTTP requires.
 const SCHEME: &[u8] = b"Bearer ";
 
-/// The team that a request's bearer token names.
+/// Returns the caller, with its team, that a request's bearer token identifies.
 ///
 /// # Errors
 ///
-/// A 401 when the token is absent or unknown; which of the two is not told.
+/// A 401 when the token is absent or unknown; the response does not distinguish the two.
 pub(crate) fn authenticate(config: &ActiveConfig, headers: &HeaderMap) -> Result<Caller, Failure> {
     let value = headers.get(AUTHORIZATION).map(|v| v.as_bytes());
     let parts = value.and_then(|v| v.split_at_checked(SCHEME.len()));
--- a/crates/kelpworks/src/entry/completions.rs
+++ b/crates/kelpworks/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! Model requests: `/v1/completions` and `/v1/chat/completions`.
+//! Endpoints for model requests: `/v1/completions` and `/v1/chat/completions`.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -46,23 +46,23 @@
 use kelpworks_wire::FinishReason;
 use kelpworks_wire::Usage;
 
-/// The result of this module.
+/// Result of a request; an error is ready to be sent to the caller.
 type Result<T> = std::result::Result<T, Failure>;
 
-/// Tokens that may wait for a slow caller; then its session waits.
+/// Tokens buffered for a slow caller. When the buffer is full, the session waits.
 const MAX_BUFFERED_TOKENS: usize = 32;
-/// Wait for the whole body of a request; a caller that stops halfway holds nothing for longer.
+/// Timeout for the whole body of a request; bounds how long a stalled caller holds resources.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Last event of a stream, by custom of this interface.
+/// Last event of a stream, as clients of this API expect it.
 const DONE: &str = "[DONE]";
 
-/// Handler of model requests.
+/// Serves model requests of one format.
 pub(crate) struct Completions {
     entry: Arc<Entry>,
     shape: Shape,
 }
 
-/// A session under way.
+/// A running session.
 pub(super) struct RunningSession {
     pub(super) tokens: mpsc::Receiver<u32>,
     pub(super) outcome: oneshot::Receiver<Outcome>,
@@ -83,8 +83,8 @@
         let job = self.job(id, &caller, &model_request)?;
         let claim = self.claim(req, &caller, &model_request)?;
         if claim.is_none() {
-            // A claimed call may have run under its key before; its claim knows, and its session
-            // is refused at its first step.
+            // A request with a claim is not checked here: it may have run under its key before and
+            // then gets the recorded reply. Otherwise its session is refused at the first step.
             self.entry.driver.quarantine.check(job.fingerprint)?;
         }
         let mut metadata = ResponseMetadata {
@@ -156,7 +156,7 @@
         })
     }
 
-    /// The claim of a keyed request that must run at most once.
+    /// Returns the claim of a request that must run at most once and has an idempotency key.
     fn claim(
         &self,
         req: &Request,
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Waits for admission and starts the session in a task of its own, which frees its memory on
-    /// the engines also when the caller goes.
+    /// Waits for admission and starts the session in a task of its own, so that its memory on the
+    /// engines is freed even if the caller disconnects.
     async fn start(&self, caller: &Caller, job: Job) -> Result<RunningSession> {
         let permit = self.admit(caller, &job).await?;
         let (tx, tokens) = mpsc::channel(MAX_BUFFERED_TOKENS);
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// Streams the answer. Until the first token is there a failure still gets a status.
+    /// Streams the answer. A failure before the first token is still sent as an HTTP status.
     async fn stream(
         &self,
         metadata: ResponseMetadata,
@@ -254,7 +254,7 @@
     }
 }
 
-/// Where a stream of events stands.
+/// What a stream of events sends next.
 enum Phase {
     Token(u32),
     Tokens,
@@ -313,7 +313,7 @@
             verdict,
             ..
         }) => Err(Failure::session_failed(&error, verdict)),
-        // The task is gone without a word: it was stopped with the daemon.
+        // The session's task ended without an outcome, because the daemon stopped.
         Err(_) => Err(Failure::session_failed(
             &SessionError::CallerGone,
             Verdict::MayHaveRun,
@@ -321,14 +321,14 @@
     }
 }
 
-/// Reads a request's body, up to `most` bytes.
+/// Reads a request's body, up to `max_bytes` bytes.
 pub(crate) async fn read_body(req: &mut Request, max_bytes: u64) -> Result<&[u8]> {
     let reading = req.payload_with_max_size(max_bytes as usize);
     let Ok(payload) = tokio::time::timeout(BODY_TIMEOUT, reading).await else {
         return Err(Failure::rejected(
             StatusCode::REQUEST_TIMEOUT,
             "body_timeout",
-            "the body did not come in time",
+            "the request body was not received in time",
         ));
     };
     payload.map(|b| &b[..]).map_err(|e| match e {
@@ -346,7 +346,7 @@
         .map_or(0, |d| d.as_secs())
 }
 
-/// A request id that no other daemon gives out.
+/// Returns a random request id, unique across daemons.
 pub(crate) fn request_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
--- a/crates/kelpworks/src/entry/mod.rs
+++ b/crates/kelpworks/src/entry/mod.rs
@@ -1,4 +1,5 @@
-//! The callers' side: HTTP requests in, answers or refusals with a verdict out.
+//! HTTP endpoints for callers. Every error response carries a verdict, which says whether the
+//! request may have been executed.
 
 mod at_most_once;
 mod auth;
@@ -28,32 +29,32 @@
 use crate::settings::Limits;
 use crate::upstreams::Report;
 
-/// What the callers' side works with; one for the whole daemon.
+/// Shared state of the callers' endpoints; one per daemon.
 #[derive(Debug)]
 pub struct Entry {
-    /// Bounds on requests.
+    /// Size and token limits of requests.
     pub limits: Limits,
-    /// Longest time for a whole request.
+    /// Deadline of a whole request, from its arrival to the end of its answer.
     pub request_timeout: Duration,
-    /// The configuration in force.
+    /// Active configuration, replaced with each new generation.
     pub config: Arc<ArcSwap<ActiveConfig>>,
-    /// The fleet.
+    /// Current view of models, services and their upstreams.
     pub fleet: Arc<ArcSwap<Fleet>>,
-    /// Admission.
+    /// Admission control of model requests.
     pub admission: Admission,
-    /// Drives sessions.
+    /// Runs the sessions of model requests.
     pub driver: Driver<HttpEngine>,
-    /// Connections to upstreams.
+    /// HTTP client of the upstreams, with its connection pools.
     pub engine: Arc<HttpEngine>,
-    /// Where failures of upstreams are reported.
+    /// Channel on which failures of upstreams are reported to the monitor.
     pub reports: mpsc::UnboundedSender<Report>,
-    /// Claims of keyed calls that run at most once.
+    /// Claims of requests with an idempotency key, which run at most once.
     pub claims: Arc<PeerClaims>,
     /// Running sessions and calls.
     pub tasks: TaskTracker,
-    /// True from the start of a planned stop on; the balancer's check fails then.
+    /// Set at the start of a planned stop; the load balancer's check fails from then on.
     pub draining: AtomicBool,
-    /// True once the balancer has had time to notice; new requests are refused then.
+    /// Set once the load balancer has had time to notice; new requests are refused from then on.
     pub closed: AtomicBool,
 }
 
@@ -63,7 +64,7 @@
     }
 }
 
-/// Routes of the callers' address.
+/// Returns the routes of the callers' endpoints.
 pub fn router(entry: &Arc<Entry>) -> Router {
     let completions = completions::Completions::new(Arc::clone(entry), shape::Shape::Text);
     let chat = completions::Completions::new(Arc::clone(entry), shape::Shape::Chat);
--- a/crates/kelpworks/src/entry/reply.rs
+++ b/crates/kelpworks/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as callers see them.
+//! Error responses to callers.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 use kelpworks_wire::ErrorBody;
 use kelpworks_wire::ErrorDetail;
 
-/// Header with the request id.
+/// Response header that holds the request id.
 pub(crate) const REQUEST_ID: &str = "kelpworks-request-id";
 
-/// When to come back after a failure whose end is not known.
+/// Value of `retry-after` for a failure of unknown duration.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An answer that is not a success.
+/// An error response.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Failure {
     pub(crate) status: StatusCode,
-    /// Kind of error, for programs.
+    /// Machine-readable kind of error.
     pub(crate) kind: &'static str,
-    /// For people; never holds a secret.
+    /// Human-readable text; never contains a secret.
     pub(crate) message: String,
     pub(crate) verdict: Verdict,
     pub(crate) retry_after: Option<Duration>,
@@ -42,7 +42,7 @@
         retry_after: None,
     };
 
-    /// A request that can't be run as it is.
+    /// Returns the failure of a request that was rejected before anything ran.
     pub(crate) fn rejected(
         status: StatusCode,
         kind: &'static str,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A request that failed on the way.
+    /// Returns the failure of a request that was accepted; it may succeed when retried.
     pub(crate) fn failed(
         status: StatusCode,
         kind: &'static str,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The daemon is stopping.
+    /// Returns the failure of a request that arrives while the daemon is stopping.
     pub(crate) fn draining() -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Failure::failed(
@@ -86,7 +86,7 @@
         )
     }
 
-    /// The whole body in JSON.
+    /// Returns the body of the response. `request` is the request id.
     pub(crate) fn body(&self, request: &str) -> ErrorBody {
         let message = match self.message.as_str() {
             "" => "a bearer token that names a team is needed".to_owned(),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Writes the failure as the whole response.
+    /// Writes the status, headers and body of the response, and counts the failure.
     pub(crate) fn write(&self, request: &str, res: &mut Response) {
         metrics::counter!("kelpworks_failures_total", "kind" => self.kind).increment(1);
         res.status_code(self.status);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Rounded up, as `retry-after` has whole seconds.
+/// Rounds up, as `retry-after` is in whole seconds.
 fn whole_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
@@ -139,7 +139,7 @@
 }
 
 impl From<quarantine::Refusal> for Failure {
-    /// The failure of a request that was refused before it was sent anywhere.
+    /// Converts the refusal of a request that was not sent to any upstream.
     fn from(refusal: quarantine::Refusal) -> Failure {
         let (status, kind, retry_after) = match refusal {
             quarantine::Refusal::Crashes { retry_after } => {
@@ -160,7 +160,7 @@
 }
 
 impl Failure {
-    /// A session that ended before its answer was whole.
+    /// Returns the failure of a session that ended before its answer was complete.
     pub(crate) fn session_failed(error: &SessionError, verdict: Verdict) -> Failure {
         if let SessionError::Quarantined(refusal) = *error {
             return Failure {
--- a/crates/kelpworks/src/entry/route_error.rs
+++ b/crates/kelpworks/src/entry/route_error.rs
@@ -1,4 +1,4 @@
-//! Answers to paths and methods that are not served.
+//! Error responses for unknown paths and unsupported methods.
 
 use salvo::Depot;
 use salvo::FlowCtrl;
@@ -13,12 +13,12 @@
 use crate::entry::completions::request_id;
 use crate::entry::reply::Failure;
 
-/// What a request asks for that is not served.
+/// Why no route matches a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RouteError {
-    /// Its path.
+    /// No route has its path.
     UnknownPath,
-    /// Its method, at a path that takes only POST.
+    /// The path accepts only POST, and the request has another method.
     MethodNotAllowed,
 }
 
--- a/crates/kelpworks/src/entry/services/call.rs
+++ b/crates/kelpworks/src/entry/services/call.rs
@@ -1,4 +1,4 @@
-//! A call of a plain service as read from the caller.
+//! Parsing of a caller's request to a plain service.
 
 use bytes::Bytes;
 use salvo::Request;
@@ -17,7 +17,7 @@
 use crate::entry::completions::read_body;
 use crate::entry::reply::Failure;
 
-/// Headers of a request that go on to the service.
+/// Request headers that are forwarded to the service.
 const FORWARDED_HEADERS: [HeaderName; 4] = [
     header::CONTENT_TYPE,
     header::ACCEPT,
@@ -25,29 +25,29 @@
     header::IF_NONE_MATCH,
 ];
 
-/// One call.
+/// A call to a plain service, as read from the caller's request.
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) team: String,
     pub(super) service: String,
     pub(super) method: Method,
-    /// Path and query below the service, starting with `/`.
+    /// Path and query relative to the service, starting with `/`.
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Whether it may be sent again after it may have run.
+    /// Whether the call may be sent again when an earlier attempt may have been executed.
     pub(super) retryable: bool,
-    /// Its claim, where it has a key and may run only once.
+    /// Claim of a call that has an idempotency key and must run at most once.
     pub(super) claim: Option<ClaimKey>,
     pub(super) deadline: Instant,
 }
 
 impl Call {
-    /// Reads a call.
+    /// Authenticates the caller and reads its request.
     ///
     /// # Errors
     ///
-    /// When the token names no team, the body is too large, or the key can't be used.
+    /// When the token is unknown, the body is too large or late, or the idempotency key is invalid.
     pub(super) async fn read(entry: &Entry, id: &str, req: &mut Request) -> Result<Call, Failure> {
         let config = entry.config.load_full();
         let caller = auth::authenticate(&config, req.headers())?;
@@ -83,14 +83,15 @@
     }
 }
 
-/// The key that the service sees. The caller's own would not do: two teams may use the same, and a
-/// service that looks calls up by key would give one team the other's answer.
+/// Returns the idempotency key to send to the service. It differs from the caller's own: two teams
+/// may use the same key, and a service that looks calls up by key would return one team's response
+/// to the other.
 fn upstream_key(claim: &ClaimKey) -> Option<HeaderValue> {
     HeaderValue::from_str(claim.name()).ok()
 }
 
-/// Path below `/services/{name}`, starting with `/`. The name may be spelt in more ways than one, so
-/// it is passed over as a segment.
+/// Returns the path after `/services/{name}`, starting with `/`. The name may be escaped in several
+/// ways, so it is skipped as a segment instead of matched as text.
 fn path_in_service(path: &str) -> String {
     let mut segments = path.splitn(4, '/');
     let rest = segments.nth(3).unwrap_or_default();
--- a/crates/kelpworks/src/entry/services/mod.rs
+++ b/crates/kelpworks/src/entry/services/mod.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: `/services/{name}/...`.
+//! Endpoint for calls to plain services: `/services/{name}/...`.
 
 mod call;
 mod send;
@@ -27,7 +27,7 @@
 use crate::entry::services::send::Sender;
 use crate::verdict::Verdict;
 
-/// Handler of calls of plain services.
+/// Forwards calls to plain services.
 pub(crate) struct Services {
     entry: Arc<Entry>,
     sender: Arc<Sender>,
@@ -58,8 +58,8 @@
         Ok(())
     }
 
-    /// Runs a call in a task of its own: it goes on when its caller vanishes, as a call that is
-    /// broken off midway may leave the service in between.
+    /// Runs a call in a task of its own. It continues when its caller disconnects, because a call
+    /// that is aborted halfway may leave the service in an inconsistent state.
     async fn run(&self, call: Call) -> Result<KeyedReply> {
         let sender = Arc::clone(&self.sender);
         let task = async move { sender.send(&call).await };
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -1,4 +1,4 @@
-//! Sends a call to upstreams of its service: which, how often, and for how long.
+//! Sends a call to upstreams of its service: selection, retries and deadlines.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,12 +33,11 @@
 use crate::upstreams::Report;
 use crate::verdict::Verdict;
 
-/// The result of this module.
+/// Result of a call; an error is ready to be sent to the caller.
 pub(super) type Result<T> = std::result::Result<T, Failure>;
 
-/// Most attempts of one call.
 const MAX_ATTEMPTS: u32 = 3;
-/// Headers of an answer that go back to the caller.
+/// Headers of a service's response that are returned to the caller.
 const RETURNED_HEADERS: [HeaderName; 5] = [
     header::CONTENT_TYPE,
     header::ETAG,
@@ -47,16 +46,16 @@
     header::RETRY_AFTER,
 ];
 
-/// Sends calls; one for the whole daemon.
+/// Sends calls to services. One per daemon, so that all calls share its retry budget.
 pub(super) struct Sender {
     entry: Arc<Entry>,
     retries: Mutex<RetryBudget>,
 }
 
-/// How an attempt ended without an answer.
+/// Failure of an attempt that got no response.
 struct AttemptError {
     cause: Error,
-    /// The upstream answered on a new connection, so only the old one was at fault.
+    /// Whether the upstream responded on a new connection, so that only the old one was at fault.
     connection_fault: bool,
 }
 
@@ -70,9 +69,9 @@
 struct Attempts<'a> {
     call: &'a Call,
     made: u32,
-    /// Upstreams that failed under it.
+    /// Upstreams on which the call failed; avoided by further attempts.
     tried: Vec<UpstreamKey>,
-    /// The worst over all attempts.
+    /// The most severe verdict of all attempts.
     verdict: Verdict,
 }
 
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Sends the call to an upstream of the service, and again where that is safe.
+    /// Sends the call to an upstream of the service, and retries it where that is safe.
     pub(super) async fn send(&self, call: &Call) -> Result<Reply> {
         let mut attempts = Attempts {
             call,
@@ -114,7 +113,7 @@
                     self.retries().record_success();
                     return ended.map_err(|error| attempts.failure(&error));
                 }
-                // Another upstream would say the same.
+                // Another upstream would return the same large reply.
                 Err(AttemptError {
                     cause: Error::TooLarge,
                     ..
@@ -142,7 +141,7 @@
         }
     }
 
-    /// The pause before another attempt; `None` when there is to be none.
+    /// Returns the backoff before the next attempt; `None` when the call is not retried.
     fn retry_delay(&self, attempts: &Attempts<'_>) -> Option<Duration> {
         let attempt = Attempt {
             verdict: attempts.verdict,
@@ -158,7 +157,7 @@
                 info!(
                     target: "decision", decision = "give_up", request = attempts.call.id.as_str(),
                     reason = reason.as_str(), verdict = attempts.verdict.as_str();
-                    "call not tried again"
+                    "call not retried"
                 );
                 None
             }
@@ -194,8 +193,8 @@
         Ok(key)
     }
 
-    /// One attempt. After the progress deadline the upstream is probed on a new connection: a call
-    /// that may be repeated is given up then, another waits on for its own answer.
+    /// Makes one attempt. At the progress deadline the upstream is probed on a new connection. A
+    /// retryable call is then abandoned; any other continues to wait for its response.
     async fn attempt(
         &self,
         fleet: &Fleet,
@@ -228,14 +227,15 @@
         })
     }
 
-    /// Longer with each attempt, as the call may just be a slow one.
+    /// Returns the time until the probe of an attempt. It doubles with each attempt, since the call
+    /// itself may be slow.
     fn progress_deadline(&self, made: u32) -> Duration {
         let doublings = made.saturating_sub(1);
         self.entry.driver.deadlines.step.ceiling * 2u32.pow(doublings)
     }
 
-    /// Asks an upstream for its health on a new connection. Where it answers, the kept ones are
-    /// left behind.
+    /// Checks the health of an upstream on a new connection and returns whether it responded. If
+    /// so, the pooled connections to it are replaced.
     async fn probe(&self, url: &Arc<str>) -> bool {
         let deadline = self.entry.driver.deadlines.probe.ceiling;
         let probed = self.entry.engine.probe_health(url, deadline).await;
@@ -274,7 +274,7 @@
     }
 }
 
-/// A call in flight, counted until it is dropped.
+/// Counts a call as in flight until dropped.
 struct InFlight<'a>(&'a AtomicU32);
 
 impl InFlight<'_> {
@@ -290,7 +290,7 @@
     }
 }
 
-/// The daemon was told to stop at once.
+/// Returns the failure of a call that an immediate stop of the daemon interrupted.
 fn daemon_stopped(verdict: Verdict) -> Failure {
     Failure {
         verdict,
@@ -298,7 +298,7 @@
     }
 }
 
-/// Whether another upstream may do better: a gateway's errors and a service that is leaving.
+/// Whether another upstream may succeed: a gateway error, or a service that is leaving (503).
 fn is_gateway_error(status: u16) -> bool {
     matches!(status, 502..=504)
 }
@@ -307,7 +307,7 @@
     call.deadline.saturating_duration_since(Instant::now())
 }
 
-/// What goes back to the caller of an answer.
+/// Converts a service's response to the reply to the caller.
 fn caller_reply(answer: ServiceAnswer) -> Reply {
     let mut headers = Vec::new();
     for name in &RETURNED_HEADERS {
--- a/crates/kelpworks/src/entry/shape.rs
+++ b/crates/kelpworks/src/entry/shape.rs
@@ -1,4 +1,4 @@
-//! The two shapes of a model request and its answer: text completion and chat.
+//! The two formats of a model request and its answer: text completion and chat.
 
 use salvo::http::StatusCode;
 use serde::Serialize;
@@ -17,12 +17,12 @@
 use kelpworks_wire::FinishReason;
 use kelpworks_wire::Usage;
 
-/// Tokens generated where the caller sets no bound.
+/// Token limit of an answer when the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
-/// Role of an answer in a chat.
+/// Role of the model's messages in a chat.
 const ASSISTANT: &str = "assistant";
 
-/// Shape of a request and its answer.
+/// Format of a model request and its answer. Its `Debug` text is part of the key of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shape {
     /// `/v1/completions`.
@@ -31,7 +31,7 @@
     Chat,
 }
 
-/// What both shapes ask for.
+/// The content of a model request, in either format.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ModelRequest {
     pub(crate) model: String,
@@ -40,7 +40,7 @@
     pub(crate) stream: bool,
 }
 
-/// What both shapes say of an answer.
+/// Fields that identify an answer, in either format.
 #[derive(Clone, Debug)]
 pub(crate) struct ResponseMetadata {
     pub(crate) id: String,
@@ -50,11 +50,11 @@
 }
 
 impl Shape {
-    /// Reads a request body.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// A 400 when it is not JSON of this shape.
+    /// A 400 when the body is not JSON of this format.
     pub(crate) fn read(self, body: &[u8]) -> Result<ModelRequest, Failure> {
         let invalid = |e: serde_json::Error| {
             Failure::rejected(StatusCode::BAD_REQUEST, "invalid_request", e.to_string())
@@ -82,7 +82,7 @@
         Ok(model_request)
     }
 
-    /// The whole answer as JSON.
+    /// Returns the JSON body of a complete answer.
     pub(crate) fn response(
         self,
         metadata: &ResponseMetadata,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// One event of a streamed answer as JSON.
+    /// Returns the JSON data of one event of a streamed answer.
     pub(crate) fn chunk(
         self,
         metadata: &ResponseMetadata,
@@ -171,8 +171,8 @@
     serde_json::to_vec(value).expect("wire types have no maps with keys other than text")
 }
 
-/// The chat as one prompt, a line a message, ending where the answer begins; empty for a chat
-/// without messages.
+/// Formats a chat as one prompt with one line per message, ending where the model's answer begins.
+/// Returns an empty prompt for a chat without messages.
 fn chat_prompt(messages: &[ChatMessage]) -> String {
     if messages.is_empty() {
         return String::new();
