--- a/crates/kelpworks/src/daemon/follow.rs
+++ b/crates/kelpworks/src/daemon/config_follower.rs
@@ -32,10 +32,10 @@
 type Result<T> = std::result::Result<T, Error>;
 
 /// Pause before a configuration whose texts are not to be had is fetched again.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for a text from the object API before peers are asked; much longer than the
 /// milliseconds in which it answers.
-const API_WAIT: Duration = Duration::from_secs(1);
+const API_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a configuration could not be put in force this time.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
 
 /// Puts new generations in force.
 #[derive(Debug)]
-pub(crate) struct Follower<A> {
+pub(crate) struct ConfigFollower<A> {
     pub(crate) api: Arc<A>,
     pub(crate) peers: Peers,
     /// Heads that the object API showed.
@@ -73,18 +73,18 @@
     /// Texts in force, which the next generation may share.
     pub(crate) texts: Vec<String>,
     /// The newest head seen, and the address of the peer that told of it.
-    pub(crate) newest: Option<Newest>,
+    pub(crate) newest: Option<NewestHead>,
 }
 
 /// A head on its way to being in force.
 #[derive(Clone, Debug)]
-pub(crate) struct Newest {
+pub(crate) struct NewestHead {
     head: Head,
     body: String,
     holder: Option<String>,
 }
 
-impl<A: ObjectApi> Follower<A> {
+impl<A: ObjectApi> ConfigFollower<A> {
     /// Runs until `stop`. What is in force stays so while the object API and all peers are away.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
@@ -95,24 +95,24 @@
 
     async fn follow(&mut self) {
         let mut state = head::Follower::new();
-        let mut retry = tokio::time::interval(RETRY);
+        let mut retry = tokio::time::interval(RETRY_INTERVAL);
         retry.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let event = tokio::select! {
-                Some(body) = self.from_api.recv() => self.seen(&state, body, None),
+                Some(body) = self.from_api.recv() => self.on_head(&state, body, None),
                 Some(ReceivedHead { from, body }) = self.from_peers.recv() => {
-                    self.seen(&state, body, Some(from.address))
+                    self.on_head(&state, body, Some(from.address))
                 }
                 _ = retry.tick() => Some(FollowerEvent::Retry),
             };
             let Some(event) = event else { continue };
             let actions = state.on_event(event);
-            self.carry_out(&mut state, actions).await;
+            self.execute(&mut state, actions).await;
         }
     }
 
     /// Notes a head for fetching when it is newer than all before; the state machine judges it.
-    fn seen(
+    fn on_head(
         &mut self,
         state: &head::Follower,
         body: String,
@@ -131,14 +131,14 @@
                 newest.holder = holder.or(newest.holder.take());
             }
             _ if head.generation > state.latest_generation() => {
-                self.newest = Some(Newest { head, body, holder });
+                self.newest = Some(NewestHead { head, body, holder });
             }
             _ => {}
         }
         Some(FollowerEvent::Seen(head))
     }
 
-    async fn carry_out(&mut self, state: &mut head::Follower, actions: Vec<FollowerAction>) {
+    async fn execute(&mut self, state: &mut head::Follower, actions: Vec<FollowerAction>) {
         let mut due = actions;
         while let Some(action) = due.pop() {
             let Some(newest) = self.newest.clone() else {
@@ -163,8 +163,8 @@
         }
     }
 
-    async fn fetch(&self, newest: &Newest) -> Result<Fetched> {
-        let Newest { head, holder, .. } = newest;
+    async fn fetch(&self, newest: &NewestHead) -> Result<Fetched> {
+        let NewestHead { head, holder, .. } = newest;
         let register = head.register.ok_or(Error::NoRegister)?;
         let text = self.text(register.digest, holder.as_deref()).await?;
         let register = Register::parse("register", &text)?;
@@ -196,7 +196,7 @@
             return Ok(text);
         }
         let name = digest.to_string();
-        let get = tokio::time::timeout(API_WAIT, self.api.get(BLOB_KIND, &name));
+        let get = tokio::time::timeout(API_TIMEOUT, self.api.get(BLOB_KIND, &name));
         let error = match get.await {
             Ok(Ok(object)) if digest_of(&object.body) == digest => return Ok(object.body),
             Ok(Ok(_)) => Error::Corrupt(digest),
@@ -206,16 +206,16 @@
         self.peers.text_from_any(digest).await.ok_or(error)
     }
 
-    fn apply(&mut self, newest: Newest, fetched: Fetched) {
-        let Newest { head, body, holder } = newest;
+    fn apply(&mut self, newest: NewestHead, fetched: Fetched) {
+        let NewestHead { head, body, holder } = newest;
         let Fetched {
             register,
             rules,
             texts,
         } = fetched;
         let generation = head.generation.0;
-        let in_force = ActiveConfig::new(generation, register.clone(), rules);
-        self.config.store(Arc::new(in_force));
+        let active_config = ActiveConfig::new(generation, register.clone(), rules);
+        self.config.store(Arc::new(active_config));
         self.register.send_replace(Arc::new(register));
         self.texts.clone_from(&texts);
         self.peers.set_active_config(generation, body, texts);
--- a/crates/kelpworks/src/daemon/control.rs
+++ b/crates/kelpworks/src/daemon/control.rs
@@ -17,9 +17,9 @@
 use crate::clients::object_api::HttpObjectApi;
 use crate::clients::object_api::ObjectApi;
 use crate::daemon::Result;
-use crate::daemon::follow::Follower;
+use crate::daemon::config_follower::ConfigFollower;
 use crate::daemon::head_watch::HeadWatch;
-use crate::daemon::hosts::HostWatch;
+use crate::daemon::host_watch::HostWatch;
 use crate::membership::Directory;
 use crate::membership::Peers;
 use crate::membership::PeersConfig;
@@ -34,7 +34,7 @@
 use kelpworks_coord::id::Version;
 
 /// Longest wait for the tasks to end.
-const TASKS_END: Duration = Duration::from_secs(2);
+const TASK_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the control parts share with the request path.
 #[derive(Debug)]
@@ -79,7 +79,7 @@
             stop,
         };
         control.follow_hosts(settings, host_list, &shared);
-        control.carry_facts(&shared);
+        control.exchange_facts(&shared);
         control.follow_config(settings, shared, from_peers, read);
         Ok(control)
     }
@@ -107,7 +107,7 @@
             config: Arc::clone(&shared.config),
             register: shared.register.subscribe(),
         };
-        let follower = Follower {
+        let follower = ConfigFollower {
             api: Arc::clone(&self.api),
             peers: self.peers.clone(),
             from_api,
@@ -151,7 +151,7 @@
     }
 
     /// Carries facts of upstreams and of requests between this daemon's view and its peers.
-    fn carry_facts(&self, shared: &Shared) {
+    fn exchange_facts(&self, shared: &Shared) {
         let facts = UpstreamFacts {
             peers: self.peers.clone(),
             observed: shared.upstream_monitor.observed(),
@@ -168,7 +168,7 @@
         Directory::withdraw(&*self.api, &self.peers).await;
         self.stop.cancel();
         self.tasks.close();
-        let _ = tokio::time::timeout(TASKS_END, self.tasks.wait()).await;
+        let _ = tokio::time::timeout(TASK_SHUTDOWN_TIMEOUT, self.tasks.wait()).await;
     }
 
     /// Ends all parts without a word.
--- a/crates/kelpworks/src/daemon/head_watch.rs
+++ b/crates/kelpworks/src/daemon/head_watch.rs
@@ -49,12 +49,12 @@
         let mut backoff = BACKOFF_MIN;
         let mut from = None;
         loop {
-            match self.turn(from).await {
+            match self.read_or_watch(from).await {
                 Ok(version) => {
                     from = Some(version);
                     self.read.send_replace(from);
                     backoff = BACKOFF_MIN;
-                    self.until_chosen().await;
+                    self.wait_until_chosen().await;
                 }
                 Err(e) => {
                     warn!("watch of the configuration head: {e}");
@@ -67,7 +67,7 @@
         }
     }
 
-    async fn until_chosen(&mut self) {
+    async fn wait_until_chosen(&mut self) {
         if *self.chosen.borrow_and_update() {
             return;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Reads the head, or waits for it to change; returns the version to watch on from.
-    async fn turn(&self, from: Option<Version>) -> object_api::Result<Version> {
+    async fn read_or_watch(&self, from: Option<Version>) -> object_api::Result<Version> {
         let Some(from) = from else {
             let heads = self.api.list(HEAD_KIND).await?;
             if let Some(head) = heads.items.into_iter().find(|o| o.name == HEAD_NAME) {
--- a/crates/kelpworks/src/daemon/head_watch_tests.rs
+++ b/crates/kelpworks/src/daemon/head_watch_tests.rs
@@ -32,17 +32,17 @@
 use kelpworks_coord::id::Version;
 
 /// Within which one watcher must have the head: three seconds, less what peers need.
-const WITHIN: Duration = Duration::from_millis(1_860);
+const MAX_DETECTION_TIME: Duration = Duration::from_millis(1_860);
 
 /// An API that never answers the watches made so far.
 #[derive(Debug, Default)]
-struct Forgetful {
+struct LossyApi {
     head: AtomicU64,
     lost: AtomicU64,
     eras: Eras,
 }
 
-impl Forgetful {
+impl LossyApi {
     fn object(&self) -> Object {
         let revision = self.head.load(Ordering::Relaxed);
         Object {
@@ -54,7 +54,7 @@
     }
 }
 
-impl ObjectApi for Forgetful {
+impl ObjectApi for LossyApi {
     async fn get(&self, _kind: &str, _name: &str) -> Result<Object> {
         Ok(self.object())
     }
@@ -100,8 +100,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_head_is_seen_soon_though_the_watch_for_it_was_lost() {
-    let api = Arc::new(Forgetful::default());
+async fn head_change_is_reported_in_time_when_the_pending_watch_is_lost() {
+    let api = Arc::new(LossyApi::default());
     api.head.store(1, Ordering::Relaxed);
     let (heads, mut seen) = mpsc::unbounded_channel();
     let (_chosen, chosen) = watch::channel(true);
@@ -121,7 +121,7 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     api.lost.store(1, Ordering::Relaxed);
     api.head.store(2, Ordering::Relaxed);
-    let head = timeout(WITHIN, seen.recv()).await;
+    let head = timeout(MAX_DETECTION_TIME, seen.recv()).await;
     assert_eq!(head.expect("in time").as_deref(), Some("2"));
     assert!(
         last_read.borrow().is_some(),
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -1,9 +1,9 @@
 //! One daemon: wires the slices together, runs them, and stops them in order.
 
+mod config_follower;
 mod control;
-mod follow;
 mod head_watch;
-mod hosts;
+mod host_watch;
 mod serve;
 
 use std::net::SocketAddr;
@@ -72,10 +72,10 @@
 /// Wait for the answer to a poll of an upstream, and to a probe at most.
 const PROBE_DEADLINE: Duration = Duration::from_millis(500);
 /// Wait for the last answers and the last calls to engines of a stop.
-const LAST_ANSWERS: Duration = Duration::from_secs(2);
+const FINAL_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Polls until every daemon knows of a new version that is whole.
-const DRAIN_POLLS: u32 = 4;
+const VERSION_PROPAGATION_POLLS: u32 = 4;
 
 /// Why a daemon could not start.
 #[derive(Debug)]
@@ -129,7 +129,7 @@
     /// Ends the sessions in flight at once, each with a verdict.
     abort: CancellationToken,
     /// Time for the balancer to notice a stop.
-    notice: Duration,
+    balancer_notice: Duration,
     /// Longest wait for requests in flight.
     drain: Duration,
     /// Cancelled at a planned stop: gives the placement lease up.
@@ -161,12 +161,12 @@
         let config = Arc::new(ArcSwap::from_pointee(ActiveConfig::default()));
         let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
         let (register, register_rx) = watch::channel(Arc::new(Register::default()));
-        let keeper_cfg = UpstreamMonitorConfig {
+        let monitor_cfg = UpstreamMonitorConfig {
             state_poll: timing.state_poll.0,
             poll_deadline: PROBE_DEADLINE,
         };
         let upstream_monitor = UpstreamMonitor::new(
-            keeper_cfg,
+            monitor_cfg,
             Arc::clone(&engine),
             register_rx,
             Arc::clone(&fleet),
@@ -239,10 +239,11 @@
             metrics,
         };
         let callers = Server::start(settings.listen.callers, entry::router(&entry)).await?;
-        let shown = Server::start(settings.listen.operators, operators::router(&operators)).await?;
+        let operators_server =
+            Server::start(settings.listen.operators, operators::router(&operators)).await?;
         let bound = BoundAddresses {
             callers: callers.address,
-            operators: shown.address,
+            operators: operators_server.address,
             peers: control.peers.address(),
         };
         info!(callers:% = bound.callers, operators:% = bound.operators; "daemon started");
@@ -251,9 +252,9 @@
             entry,
             control,
             callers,
-            operators: shown,
+            operators: operators_server,
             abort,
-            notice: timing.balancer_notice.0,
+            balancer_notice: timing.balancer_notice.0,
             drain: timing.drain.0,
             leave,
         })
@@ -288,16 +289,21 @@
         self.leave.cancel();
         self.control.peers.set_leaving();
         info!("stopping, {} sessions in flight", self.entry.tasks.len());
-        let _ = timeout_or(self.notice, &self.abort, std::future::pending::<()>()).await;
+        let _ = timeout_or_abort(
+            self.balancer_notice,
+            &self.abort,
+            std::future::pending::<()>(),
+        )
+        .await;
         self.entry.closed.store(true, Ordering::Relaxed);
         self.callers.close();
         let drained_by = Instant::now() + self.drain;
-        let drained = timeout_or(self.drain, &self.abort, self.callers.drained()).await;
+        let drained = timeout_or_abort(self.drain, &self.abort, self.callers.drained()).await;
         if drained.is_none() {
             self.abort.cancel();
-            self.callers.stop(LAST_ANSWERS).await;
+            self.callers.stop(FINAL_REPLY_TIMEOUT).await;
         }
-        finish(&self.entry.tasks, drained_by, &self.abort).await;
+        wait_for_tasks(&self.entry.tasks, drained_by, &self.abort).await;
         self.control.leave().await;
         self.operators.stop(Duration::ZERO).await;
         info!("stopped");
@@ -306,11 +312,11 @@
 
 /// Waits for calls that outlive their callers and for outcomes that are not recorded yet: what is
 /// cut off here reads "may have run" ever after.
-async fn finish(tasks: &TaskTracker, by: Instant, abort: &CancellationToken) {
+async fn wait_for_tasks(tasks: &TaskTracker, by: Instant, abort: &CancellationToken) {
     tasks.close();
     let left = by.saturating_duration_since(Instant::now());
-    if timeout_or(left, abort, tasks.wait()).await.is_none() {
-        let _ = tokio::time::timeout(LAST_ANSWERS, tasks.wait()).await;
+    if timeout_or_abort(left, abort, tasks.wait()).await.is_none() {
+        let _ = tokio::time::timeout(FINAL_REPLY_TIMEOUT, tasks.wait()).await;
     }
 }
 
@@ -337,14 +343,14 @@
         interval: placement.interval.0,
         lost_after: placement.lost_after.0,
         improve_after: placement.improve_after.0,
-        drain: settings.timing.request.0 + settings.timing.state_poll.0 * DRAIN_POLLS,
+        drain: settings.timing.request.0 + settings.timing.state_poll.0 * VERSION_PROPAGATION_POLLS,
         poll_deadline: PROBE_DEADLINE,
         weight_rate: placement.weight_rate,
     }
 }
 
 /// Waits for `work`, at most `wait` and not beyond `abort`; `None` when it was not done by then.
-async fn timeout_or<T>(
+async fn timeout_or_abort<T>(
     wait: Duration,
     abort: &CancellationToken,
     work: impl Future<Output = T>,
--- a/crates/kelpworks/src/daemon/serve.rs
+++ b/crates/kelpworks/src/daemon/serve.rs
@@ -34,8 +34,8 @@
             .try_bind()
             .await
             .map_err(|e| listen(std::io::Error::other(e.to_string())))?;
-        let holding = acceptor.holdings().first();
-        let bound = holding
+        let listener = acceptor.holdings().first();
+        let bound = listener
             .and_then(|h| h.local_addr.clone().into_std())
             .unwrap_or(address);
         let server = HttpServer::new(acceptor);
