--- a/crates/kelpworks/src/daemon/config_follower.rs
+++ b/crates/kelpworks/src/daemon/config_follower.rs
@@ -1,4 +1,5 @@
-//! Puts each new generation of the configuration in force, from the object API or from peers.
+//! Fetches each new generation of the configuration from the object API or from peers, and
+//! activates it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,22 +29,21 @@
 use kelpworks_coord::head::FollowerAction;
 use kelpworks_coord::head::FollowerEvent;
 
-/// The result of this module.
 type Result<T> = std::result::Result<T, Error>;
 
-/// Pause before a configuration whose texts are not to be had is fetched again.
+/// Time between attempts to fetch a configuration whose texts are unavailable.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a text from the object API before peers are asked; much longer than the
-/// milliseconds in which it answers.
+/// Timeout for a text from the object API, after which any peer is queried. The API normally
+/// answers within milliseconds.
 const API_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a configuration could not be put in force this time.
+/// Why an attempt to fetch and parse a configuration failed.
 #[derive(Debug)]
 #[derive(Error)]
 enum Error {
     #[error("object API: {0}")]
     Api(#[from] object_api::Error),
-    #[error("the text of {0} is not the one that the digest promises")]
+    #[error("the text of {0} does not match its digest")]
     Corrupt(Digest),
     #[error("the head names no register")]
     NoRegister,
@@ -51,7 +51,7 @@
     Config(#[from] document::Error),
 }
 
-/// A head with its texts, parsed.
+/// The texts that a head refers to, raw and parsed.
 #[derive(Debug)]
 struct Fetched {
     register: Register,
@@ -59,24 +59,24 @@
     texts: Vec<String>,
 }
 
-/// Puts new generations in force.
+/// Activates new generations of the configuration.
 #[derive(Debug)]
 pub(crate) struct ConfigFollower<A> {
     pub(crate) api: Arc<A>,
     pub(crate) peers: Peers,
-    /// Heads that the object API showed.
+    /// Heads read from the object API.
     pub(crate) from_api: mpsc::UnboundedReceiver<String>,
-    /// Heads that peers told of.
+    /// Heads received from peers.
     pub(crate) from_peers: mpsc::UnboundedReceiver<ReceivedHead>,
     pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
     pub(crate) register: watch::Sender<Arc<Register>>,
-    /// Texts in force, which the next generation may share.
+    /// Texts of the active configuration, which the next generation may share.
     pub(crate) texts: Vec<String>,
-    /// The newest head seen, and the address of the peer that told of it.
+    /// The newest head observed so far; `None` before the first.
     pub(crate) newest: Option<NewestHead>,
 }
 
-/// A head on its way to being in force.
+/// A head to activate, and the address of a peer that holds its texts, if one is known.
 #[derive(Clone, Debug)]
 pub(crate) struct NewestHead {
     head: Head,
@@ -85,7 +85,8 @@
 }
 
 impl<A: ObjectApi> ConfigFollower<A> {
-    /// Runs until `stop`. What is in force stays so while the object API and all peers are away.
+    /// Runs until `stop`. The active configuration stays active while the object API and all peers
+    /// are unreachable.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Notes a head for fetching when it is newer than all before; the state machine judges it.
+    /// Records a head if it is newer than all before, and returns the event for the state machine,
+    /// which decides whether to fetch it. Returns `None` for a head that can't be parsed.
     fn on_head(
         &mut self,
         state: &head::Follower,
@@ -121,12 +123,12 @@
         let head = match parse(&body) {
             Ok(head) => head,
             Err(e) => {
-                warn!("a configuration head can't be read: {e}");
+                warn!("configuration head can't be read: {e}");
                 return None;
             }
         };
         match &mut self.newest {
-            // Whoever has it in force holds its texts; the next attempt asks there.
+            // A peer that has activated the head holds its texts; the next attempt queries it.
             Some(newest) if newest.head.generation == head.generation => {
                 newest.holder = holder.or(newest.holder.take());
             }
@@ -150,13 +152,16 @@
             match self.fetch(&newest).await {
                 Ok(fetched) => {
                     let done = state.on_event(FollowerEvent::Fetched(head.generation));
-                    // The state machine says whether this is still the one to apply.
+                    // The state machine decides whether this generation is still to be applied.
                     if matches!(done[..], [FollowerAction::Apply(_)]) {
                         self.apply(newest, fetched);
                     }
                 }
                 Err(e) => {
-                    warn!("generation {}: {e}", head.generation.0);
+                    warn!(
+                        "configuration generation {} not activated: {e}",
+                        head.generation.0
+                    );
                     due.extend(state.on_event(FollowerEvent::FetchFailed(head.generation)));
                 }
             }
@@ -185,7 +190,8 @@
         })
     }
 
-    /// A text by its digest: the one in force, or from whoever told of it, or from the other side.
+    /// Returns the text with a digest: from the active configuration, from `holder`, from the
+    /// object API or from any peer, in this order.
     async fn text(&self, digest: Digest, holder: Option<&str>) -> Result<String> {
         if let Some(text) = self.texts.iter().find(|t| digest_of(t) == digest) {
             return Ok(text.clone());
@@ -227,7 +233,7 @@
         };
         info!(
             target: "decision", decision = "config", generation = generation, source = source;
-            "configuration in force"
+            "configuration activated"
         );
     }
 }
--- a/crates/kelpworks/src/daemon/control.rs
+++ b/crates/kelpworks/src/daemon/control.rs
@@ -1,4 +1,5 @@
-//! The parts of a daemon that follow the platform and the peers, beside the request path.
+//! Background tasks of a daemon, off the request path: they track the configuration, the platform
+//! and the peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,10 +34,10 @@
 use crate::upstreams::UpstreamMonitor;
 use kelpworks_coord::id::Version;
 
-/// Longest wait for the tasks to end.
+/// Timeout for the background tasks to end at a planned stop.
 const TASK_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the control parts share with the request path.
+/// State that the background tasks share with the request path.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
@@ -46,11 +47,11 @@
     pub(crate) quarantine: Arc<Quarantine>,
 }
 
-/// The running control parts.
+/// Handle to the running background tasks.
 #[derive(Debug)]
 pub(crate) struct Control {
     pub(crate) peers: Peers,
-    /// Version of the configuration heads that were last read.
+    /// Version of the last list or watch of configuration heads; `None` before the first.
     read: watch::Receiver<Option<Version>>,
     api: Arc<HttpObjectApi>,
     tasks: TaskTracker,
@@ -58,7 +59,7 @@
 }
 
 impl Control {
-    /// Starts all control parts.
+    /// Starts all background tasks.
     ///
     /// # Errors
     ///
@@ -84,8 +85,8 @@
         Ok(control)
     }
 
-    /// Follows the configuration, keeps trials at their share of it, and keeps the view of
-    /// upstreams.
+    /// Starts the tasks that track the configuration, limit trial demand to this daemon's share,
+    /// and monitor the upstreams.
     fn follow_config(
         &self,
         settings: &Settings,
@@ -124,7 +125,7 @@
             .spawn(shared.upstream_monitor.run(self.stop.clone()));
     }
 
-    /// What operators are shown of the object API.
+    /// Returns the view of the object API for the operators' endpoints.
     pub(crate) fn object_api(&self) -> operators::ObjectApiView {
         operators::ObjectApiView {
             eras: self.api.eras().clone(),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Reads the host list, and finds the other daemons.
+    /// Starts the tasks that poll the host list and discover the other daemons.
     fn follow_hosts(&self, settings: &Settings, host_list: HttpHostList, shared: &Shared) {
         let (addresses, hosts) = watch::channel(Vec::new());
         let watch = HostWatch {
@@ -150,7 +151,7 @@
         self.tasks.spawn(directory.run(self.stop.clone()));
     }
 
-    /// Carries facts of upstreams and of requests between this daemon's view and its peers.
+    /// Starts the tasks that exchange facts about upstreams and about requests with the peers.
     fn exchange_facts(&self, shared: &Shared) {
         let facts = UpstreamFacts {
             peers: self.peers.clone(),
@@ -162,7 +163,7 @@
         self.tasks.spawn(requests.run(self.stop.clone()));
     }
 
-    /// Says good-bye to peers, takes this daemon off the list and ends all parts.
+    /// Announces the departure to peers, removes this daemon from the directory and ends all tasks.
     pub(crate) async fn leave(&self) {
         self.peers.leave().await;
         Directory::withdraw(&*self.api, &self.peers).await;
@@ -171,7 +172,7 @@
         let _ = tokio::time::timeout(TASK_SHUTDOWN_TIMEOUT, self.tasks.wait()).await;
     }
 
-    /// Ends all parts without a word.
+    /// Ends all tasks at once, without notice to peers.
     pub(crate) fn abort(&self) {
         self.peers.close();
         self.stop.cancel();
--- a/crates/kelpworks/src/daemon/head_watch.rs
+++ b/crates/kelpworks/src/daemon/head_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the configuration head in the object API, on the few daemons chosen to.
+//! Watches the configuration head in the object API, on the few daemons that have this role.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,21 +16,21 @@
 use crate::config::head::HEAD_NAME;
 use kelpworks_coord::id::Version;
 
-/// Wait after a failed call, at least and at most; doubled in between.
+/// Bounds of the backoff after failed calls, which doubles with each failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Reports each head that the object API shows.
+/// Reads the head from the object API and reports each change.
 #[derive(Debug)]
 pub(crate) struct HeadWatch<A> {
     pub(crate) api: Arc<A>,
-    /// Whether this daemon is one of the watchers now.
+    /// Whether this daemon currently has the role of a watcher.
     pub(crate) chosen: watch::Receiver<bool>,
-    /// Bodies of the head object.
+    /// Receives each body of the head object.
     pub(crate) heads: mpsc::UnboundedSender<String>,
-    /// Version of the heads that were last read.
+    /// Receives the version of each list or watch of heads.
     pub(crate) read: watch::Sender<Option<Version>>,
-    /// Longest wait of a watch before it is opened anew.
+    /// Longest duration of one watch call; another call follows it.
     pub(crate) wait: Duration,
 }
 
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Reads the head once, whether chosen or not, so that a daemon that starts asks the object
-    /// API as well as its peers. Then watches while chosen.
+    /// Reads the head once, whether chosen or not, so that a starting daemon queries the object API
+    /// as well as its peers. Then watches while chosen.
     async fn watch(&mut self) {
         let mut backoff = BACKOFF_MIN;
         let mut from = None;
@@ -57,7 +57,7 @@
                     self.wait_until_chosen().await;
                 }
                 Err(e) => {
-                    warn!("watch of the configuration head: {e}");
+                    warn!("watch of the configuration head failed: {e}");
                     from = self.resume(&e, from);
                     let jitter = rand::rng().random_range(0.5..1.0);
                     tokio::time::sleep(backoff.mul_f64(jitter)).await;
@@ -73,14 +73,14 @@
         }
         let chosen = self.chosen.wait_for(|&chosen| chosen).await.is_ok();
         if chosen {
-            info!(target: "decision", decision = "watch"; "watches the configuration head from now on");
+            info!(target: "decision", decision = "watch"; "this daemon watches the configuration head");
         } else {
             std::future::pending().await
         }
     }
 
-    /// Where to go on after a failure: from the last version, on a new connection, unless that
-    /// version is no longer kept.
+    /// Returns the version to resume from after a failure. This is the last version, on a new
+    /// connection, or `None` to list again if the API no longer has the changes since then.
     fn resume(&self, error: &object_api::Error, from: Option<Version>) -> Option<Version> {
         match error {
             object_api::Error::Expired => None,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Reads the head, or waits for it to change; returns the version to watch on from.
+    /// Lists the head if `from` is `None`, otherwise watches it for changes. Returns the version to
+    /// watch from next.
     async fn read_or_watch(&self, from: Option<Version>) -> object_api::Result<Version> {
         let Some(from) = from else {
             let heads = self.api.list(HEAD_KIND).await?;
--- a/crates/kelpworks/src/daemon/head_watch_tests.rs
+++ b/crates/kelpworks/src/daemon/head_watch_tests.rs
@@ -1,8 +1,8 @@
-//! A watch of the head that is never answered, without a network and in virtual time.
+//! Tests of a watch of the head that is never answered, without a network and in virtual time.
 //!
-//! An accepted configuration is to be in force everywhere within three seconds, of which peers need up to
-//! 1.14 to pass it on. All watchers of a fleet make their next watch in the moment of a change, so that an
-//! outage which begins then loses all of them together, and none can count on another.
+//! An accepted configuration must be active everywhere within 3 s, of which gossip between peers
+//! takes up to 1.14 s. All watchers of a fleet start their next watch at the moment of a change, so
+//! an outage that begins then loses all of these watches, and no watcher can rely on another.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -31,10 +31,10 @@
 use crate::settings::Settings;
 use kelpworks_coord::id::Version;
 
-/// Within which one watcher must have the head: three seconds, less what peers need.
+/// Time within which one watcher must receive the head: 3 s less the 1.14 s for gossip.
 const MAX_DETECTION_TIME: Duration = Duration::from_millis(1_860);
 
-/// An API that never answers the watches made so far.
+/// An object API that never answers watches that are pending when `lost` changes.
 #[derive(Debug, Default)]
 struct LossyApi {
     head: AtomicU64,
--- a/crates/kelpworks/src/daemon/host_watch.rs
+++ b/crates/kelpworks/src/daemon/host_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's host list and reports it to the monitor.
+//! Polls the platform's host list and reports it to the upstream monitor.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::upstreams::ListedHost;
 use crate::upstreams::Report;
 
-/// Reads the host list again and again.
+/// Polls the host list at a fixed interval.
 #[derive(Debug)]
 pub(crate) struct HostWatch<H> {
     pub(crate) api: H,
     pub(crate) reports: mpsc::UnboundedSender<Report>,
     pub(crate) interval: Duration,
-    /// Addresses of all hosts on the list, some of which may be daemons.
+    /// Receives the addresses of all listed hosts, some of which may run daemons.
     pub(crate) addresses: watch::Sender<Vec<SocketAddr>>,
 }
 
 impl<H: HostListApi> HostWatch<H> {
-    /// Runs until `stop`. What was read last stays in use while the list is away.
+    /// Runs until `stop`. While the list is unavailable, the last one stays in use.
     pub(crate) async fn run(self, stop: CancellationToken) {
         let mut tick = tokio::time::interval(self.interval);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -48,7 +48,7 @@
                 let _ = self.reports.send(Report::HostList(hosts));
             }
             Err(e) => {
-                warn!("host list: {e}");
+                warn!("host list not read: {e}");
                 self.api.reset_connections();
             }
         }
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon: wires the slices together, runs them, and stops them in order.
+//! A daemon: constructs its parts, runs them, and stops them in order.
 
 mod config_follower;
 mod control;
@@ -64,17 +64,17 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_wire::OutputForm;
 
-/// The result of this module.
+/// Result of starting a daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Wait for the answer to a probe of an upstream, at least.
+/// Lower bound of the deadline for a probe of an upstream.
 const PROBE_FLOOR: Duration = Duration::from_millis(50);
-/// Wait for the answer to a poll of an upstream, and to a probe at most.
+/// Deadline for a poll of an upstream, and upper bound of the deadline for a probe.
 const PROBE_DEADLINE: Duration = Duration::from_millis(500);
-/// Wait for the last answers and the last calls to engines of a stop.
+/// Timeout at a stop for the last responses to callers and the last calls to engines.
 const FINAL_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Polls until every daemon knows of a new version that is whole.
+/// Polls of the upstreams' state until every daemon has observed a new, completely loaded version.
 const VERSION_PROPAGATION_POLLS: u32 = 4;
 
 /// Why a daemon could not start.
@@ -85,29 +85,29 @@
     /// An address could not be listened on.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address of the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A signal handler could not be installed.
     #[error("signals: {0}")]
     Signal(std::io::Error),
-    /// The object API can't be used as it is set.
+    /// The object API can't be used with these settings.
     #[error("object API: {0}")]
     ObjectApi(#[from] object_api::Error),
-    /// The host list can't be used as it is set.
+    /// The host list can't be used with these settings.
     #[error("host list: {0}")]
     HostList(#[from] host_list::Error),
-    /// Peers can't be served.
+    /// The endpoint for peers could not be started.
     #[error("peers: {0}")]
     Peers(#[from] membership::Error),
-    /// A recorder of metrics is installed already.
+    /// A metrics recorder is installed already.
     #[error("metrics: {0}")]
     Metrics(#[from] BuildError),
 }
 
-/// Addresses that a daemon listens on, with the ports it got.
+/// Addresses that a daemon listens on, with the actual ports where the settings have port 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundAddresses {
     /// For callers.
@@ -126,18 +126,18 @@
     control: Control,
     callers: Server,
     operators: Server,
-    /// Ends the sessions in flight at once, each with a verdict.
+    /// Cancelled to end the sessions in flight at once, each with a verdict.
     abort: CancellationToken,
-    /// Time for the balancer to notice a stop.
+    /// Time for the load balancer to notice a stop.
     balancer_notice: Duration,
-    /// Longest wait for requests in flight.
+    /// Longest wait for requests in flight at a planned stop.
     drain: Duration,
-    /// Cancelled at a planned stop: gives the placement lease up.
+    /// Cancelled at a planned stop, so that the executor releases the placement lease.
     leave: CancellationToken,
 }
 
 impl Daemon {
-    /// Starts a daemon; it serves as soon as it has a configuration and upstreams.
+    /// Starts a daemon. It serves requests once it has a configuration and upstreams.
     ///
     /// # Errors
     ///
@@ -146,7 +146,7 @@
         Daemon::start_with(settings, metrics, quarantine::Config::default()).await
     }
 
-    /// As [`Daemon::start`], with bounds of its own on suspects and refused requests.
+    /// As [`Daemon::start`], with another configuration of the quarantine.
     ///
     /// # Errors
     ///
@@ -260,30 +260,32 @@
         })
     }
 
-    /// The addresses it got.
+    /// Returns the addresses that the daemon listens on.
     pub fn bound_addresses(&self) -> BoundAddresses {
         self.bound
     }
 
-    /// Requests that crash upstreams, as this daemon knows them; to exchange facts with others.
+    /// Returns the quarantine, which holds the facts of this daemon about requests that crash
+    /// upstreams.
     pub fn quarantine(&self) -> Arc<Quarantine> {
         Arc::clone(&self.entry.driver.quarantine)
     }
 
-    /// Ends at once, without a word to anyone; requests in flight are cut off.
+    /// Stops at once, without notice to peers or callers; requests in flight are aborted.
     pub fn kill(self) {
         self.control.abort();
         self.callers.abort();
         self.operators.abort();
     }
 
-    /// What ends a stop at once: sessions in flight end with a verdict.
+    /// Returns a token that, when cancelled, makes a planned stop immediate: the sessions in flight
+    /// end with a verdict.
     pub fn abort(&self) -> CancellationToken {
         self.abort.clone()
     }
 
-    /// A planned stop: the balancer's check fails first, then new requests are refused while
-    /// those in flight finish, then the addresses close.
+    /// Performs a planned stop: the load balancer's check fails first, then new requests are
+    /// refused while those in flight finish, then the listeners close.
     pub async fn stop(mut self) {
         self.entry.draining.store(true, Ordering::Relaxed);
         self.leave.cancel();
@@ -310,8 +312,8 @@
     }
 }
 
-/// Waits for calls that outlive their callers and for outcomes that are not recorded yet: what is
-/// cut off here reads "may have run" ever after.
+/// Waits for calls whose callers have disconnected and for outcomes that are not recorded yet. The
+/// claim of a call that is aborted here reports "may have run" from then on.
 async fn wait_for_tasks(tasks: &TaskTracker, by: Instant, abort: &CancellationToken) {
     tasks.close();
     let left = by.saturating_duration_since(Instant::now());
@@ -349,7 +351,7 @@
     }
 }
 
-/// Waits for `work`, at most `wait` and not beyond `abort`; `None` when it was not done by then.
+/// Runs `work` until `wait` has passed or `abort` is cancelled; `None` if it did not finish.
 async fn timeout_or_abort<T>(
     wait: Duration,
     abort: &CancellationToken,
@@ -370,7 +372,8 @@
     }
 }
 
-/// Claims have a client of their own, so that leaving its connections behind touches no watch.
+/// Claims have an object API client of their own, so that resetting its connections does not
+/// affect watches.
 fn claims(settings: &Settings, peers: &Peers, tasks: TaskTracker) -> Result<PeerClaims> {
     let cfg = claims::Config {
         writes_per_second: u64::from(settings.limits.claim_writes_per_second),
@@ -392,23 +395,23 @@
     )?)
 }
 
-/// Installs the recorder of metrics; once in a process.
+/// Installs the metrics recorder, which is possible once per process.
 ///
 /// # Errors
 ///
-/// When one is installed already.
+/// When a recorder is installed already.
 pub fn install_metrics() -> Result<PrometheusHandle> {
     Ok(PrometheusBuilder::new().install_recorder()?)
 }
 
-/// A recorder of metrics that nothing is recorded in: for several daemons in one process that
-/// are not looked at.
+/// Returns a handle to a metrics recorder that is not installed and stays empty, for processes that
+/// run several daemons and don't read their metrics.
 pub fn build_metrics() -> PrometheusHandle {
     PrometheusBuilder::new().build_recorder().handle()
 }
 
-/// Runs a daemon until the process is told to stop: a first SIGTERM or SIGINT begins a planned
-/// stop, a second ends it at once.
+/// Runs a daemon until a signal stops it: the first SIGTERM or SIGINT begins a planned stop, a
+/// second one makes the stop immediate.
 ///
 /// # Errors
 ///
--- a/crates/kelpworks/src/daemon/serve.rs
+++ b/crates/kelpworks/src/daemon/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of a daemon.
+//! An HTTP server of a daemon, and its shutdown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::daemon::Error;
 use crate::daemon::Result;
 
-/// A running server.
+/// A running HTTP server.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
@@ -23,7 +23,7 @@
 }
 
 impl Server {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
@@ -48,23 +48,23 @@
         })
     }
 
-    /// Closes everything at once.
+    /// Closes the listener and all connections at once.
     pub(crate) fn abort(self) {
         self.handle.stop_forceful();
         self.task.abort();
     }
 
-    /// Stops taking connections; requests in flight go on.
+    /// Stops accepting connections; requests in flight continue.
     pub(crate) fn close(&self) {
         self.handle.stop_graceful(None);
     }
 
-    /// Waits until the last request in flight has its answer; needs [`Server::close`] before.
+    /// Waits until the last request in flight has been answered. Call [`Server::close`] first.
     pub(crate) async fn drained(&mut self) {
         let _ = (&mut self.task).await;
     }
 
-    /// Waits as [`Server::drained`] does, at most `wait`, and ends what is left.
+    /// Closes the server, waits up to `wait` for requests in flight, and aborts the rest.
     pub(crate) async fn stop(mut self, wait: Duration) {
         self.close();
         if tokio::time::timeout(wait, self.drained()).await.is_err() {
