--- a/crates/kelpworks/src/entry/at_most_once.rs
+++ b/crates/kelpworks/src/entry/at_most_once.rs
@@ -153,7 +153,7 @@
 ///
 /// # Errors
 ///
-/// When the claim is refused, or the session failed before its first token could be delivered.
+/// When the claim is refused, or there is neither a running session nor a recorded answer.
 pub(super) async fn start(
     entry: &Arc<Entry>,
     claim: ClaimKey,
--- a/crates/kelpworks/src/entry/mod.rs
+++ b/crates/kelpworks/src/entry/mod.rs
@@ -34,7 +34,7 @@
 pub struct Entry {
     /// Size and token limits of requests.
     pub limits: Limits,
-    /// Deadline of a whole request, from its arrival to the end of its answer.
+    /// Longest time for a whole request, counted from when its body has been read.
     pub request_timeout: Duration,
     /// Active configuration, replaced with each new generation.
     pub config: Arc<ArcSwap<ActiveConfig>>,
