--- a/crates/kelpworks/src/daemon/head_watch_tests.rs
+++ b/crates/kelpworks/src/daemon/head_watch_tests.rs
@@ -1,8 +1,8 @@
-//! A watch of the head that is never answered, without a network and in virtual time.
+//! Tests of a watch of the head that is never answered, without a network and in virtual time.
 //!
-//! An accepted configuration is to be in force everywhere within three seconds, of which peers need up to
-//! 1.14 to pass it on. All watchers of a fleet make their next watch in the moment of a change, so that an
-//! outage which begins then loses all of them together, and none can count on another.
+//! An accepted configuration must be active everywhere within 3 s, of which gossip between peers
+//! takes up to 1.14 s. All watchers of a fleet start their next watch at the moment of a change, so
+//! an outage that begins then loses all of these watches, and no watcher can rely on another.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -31,18 +31,18 @@
 use crate::settings::Settings;
 use kelpworks_coord::id::Version;
 
-/// Within which one watcher must have the head: three seconds, less what peers need.
-const WITHIN: Duration = Duration::from_millis(1_860);
+/// Time within which one watcher must receive the head: 3 s less the 1.14 s for gossip.
+const MAX_DETECTION_TIME: Duration = Duration::from_millis(1_860);
 
-/// An API that never answers the watches made so far.
+/// An object API that never answers watches that are pending when `lost` changes.
 #[derive(Debug, Default)]
-struct Forgetful {
+struct LossyApi {
     head: AtomicU64,
     lost: AtomicU64,
     eras: Eras,
 }
 
-impl Forgetful {
+impl LossyApi {
     fn object(&self) -> Object {
         let revision = self.head.load(Ordering::Relaxed);
         Object {
@@ -54,7 +54,7 @@
     }
 }
 
-impl ObjectApi for Forgetful {
+impl ObjectApi for LossyApi {
     async fn get(&self, _kind: &str, _name: &str) -> Result<Object> {
         Ok(self.object())
     }
@@ -100,8 +100,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_head_is_seen_soon_though_the_watch_for_it_was_lost() {
-    let api = Arc::new(Forgetful::default());
+async fn head_change_is_reported_in_time_when_the_pending_watch_is_lost() {
+    let api = Arc::new(LossyApi::default());
     api.head.store(1, Ordering::Relaxed);
     let (heads, mut seen) = mpsc::unbounded_channel();
     let (_chosen, chosen) = watch::channel(true);
@@ -121,7 +121,7 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     api.lost.store(1, Ordering::Relaxed);
     api.head.store(2, Ordering::Relaxed);
-    let head = timeout(WITHIN, seen.recv()).await;
+    let head = timeout(MAX_DETECTION_TIME, seen.recv()).await;
     assert_eq!(head.expect("in time").as_deref(), Some("2"));
     assert!(
         last_read.borrow().is_some(),
--- a/crates/kelpworks/src/daemon/mod.rs
+++ b/crates/kelpworks/src/daemon/mod.rs
@@ -1,9 +1,9 @@
-//! One daemon: wires the slices together, runs them, and stops them in order.
+//! A daemon: constructs its parts, runs them, and stops them in order.
 
+mod config_follower;
 mod control;
-mod follow;
 mod head_watch;
-mod hosts;
+mod host_watch;
 mod serve;
 
 use std::net::SocketAddr;
@@ -64,18 +64,18 @@
 use kelpworks_coord::id::NodeId;
 use kelpworks_wire::OutputForm;
 
-/// The result of this module.
+/// Result of starting a daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Wait for the answer to a probe of an upstream, at least.
+/// Lower bound of the deadline for a probe of an upstream.
 const PROBE_FLOOR: Duration = Duration::from_millis(50);
-/// Wait for the answer to a poll of an upstream, and to a probe at most.
+/// Deadline for a poll of an upstream, and upper bound of the deadline for a probe.
 const PROBE_DEADLINE: Duration = Duration::from_millis(500);
-/// Wait for the last answers and the last calls to engines of a stop.
-const LAST_ANSWERS: Duration = Duration::from_secs(2);
+/// Timeout at a stop for the last responses to callers and the last calls to engines.
+const FINAL_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Polls until every daemon knows of a new version that is whole.
-const DRAIN_POLLS: u32 = 4;
+/// Polls of the upstreams' state until every daemon has observed a new, completely loaded version.
+const VERSION_PROPAGATION_POLLS: u32 = 4;
 
 /// Why a daemon could not start.
 #[derive(Debug)]
@@ -85,29 +85,29 @@
     /// An address could not be listened on.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address of the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A signal handler could not be installed.
     #[error("signals: {0}")]
     Signal(std::io::Error),
-    /// The object API can't be used as it is set.
+    /// The object API can't be used with these settings.
     #[error("object API: {0}")]
     ObjectApi(#[from] object_api::Error),
-    /// The host list can't be used as it is set.
+    /// The host list can't be used with these settings.
     #[error("host list: {0}")]
     HostList(#[from] host_list::Error),
-    /// Peers can't be served.
+    /// The endpoint for peers could not be started.
     #[error("peers: {0}")]
     Peers(#[from] membership::Error),
-    /// A recorder of metrics is installed already.
+    /// A metrics recorder is installed already.
     #[error("metrics: {0}")]
     Metrics(#[from] BuildError),
 }
 
-/// Addresses that a daemon listens on, with the ports it got.
+/// Addresses that a daemon listens on, with the actual ports where the settings have port 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundAddresses {
     /// For callers.
@@ -126,18 +126,18 @@
     control: Control,
     callers: Server,
     operators: Server,
-    /// Ends the sessions in flight at once, each with a verdict.
+    /// Cancelled to end the sessions in flight at once, each with a verdict.
     abort: CancellationToken,
-    /// Time for the balancer to notice a stop.
-    notice: Duration,
-    /// Longest wait for requests in flight.
+    /// Time for the load balancer to notice a stop.
+    balancer_notice: Duration,
+    /// Longest wait for requests in flight at a planned stop.
     drain: Duration,
-    /// Cancelled at a planned stop: gives the placement lease up.
+    /// Cancelled at a planned stop, so that the executor releases the placement lease.
     leave: CancellationToken,
 }
 
 impl Daemon {
-    /// Starts a daemon; it serves as soon as it has a configuration and upstreams.
+    /// Starts a daemon. It serves requests once it has a configuration and upstreams.
     ///
     /// # Errors
     ///
@@ -146,7 +146,7 @@
         Daemon::start_with(settings, metrics, quarantine::Config::default()).await
     }
 
-    /// As [`Daemon::start`], with bounds of its own on suspects and refused requests.
+    /// As [`Daemon::start`], with another configuration of the quarantine.
     ///
     /// # Errors
     ///
@@ -161,12 +161,12 @@
         let config = Arc::new(ArcSwap::from_pointee(ActiveConfig::default()));
         let fleet = Arc::new(ArcSwap::from_pointee(Fleet::default()));
         let (register, register_rx) = watch::channel(Arc::new(Register::default()));
-        let keeper_cfg = UpstreamMonitorConfig {
+        let monitor_cfg = UpstreamMonitorConfig {
             state_poll: timing.state_poll.0,
             poll_deadline: PROBE_DEADLINE,
         };
         let upstream_monitor = UpstreamMonitor::new(
-            keeper_cfg,
+            monitor_cfg,
             Arc::clone(&engine),
             register_rx,
             Arc::clone(&fleet),
@@ -232,17 +232,18 @@
         });
         let operators = Operators {
             name: settings.name.clone(),
-            served: Arc::default(),
+            was_ready: Arc::default(),
             entry: Arc::clone(&entry),
             peers: control.peers.clone(),
             object_api: control.object_api(),
             metrics,
         };
         let callers = Server::start(settings.listen.callers, entry::router(&entry)).await?;
-        let shown = Server::start(settings.listen.operators, operators::router(&operators)).await?;
+        let operators_server =
+            Server::start(settings.listen.operators, operators::router(&operators)).await?;
         let bound = BoundAddresses {
             callers: callers.address,
-            operators: shown.address,
+            operators: operators_server.address,
             peers: control.peers.address(),
         };
         info!(callers:% = bound.callers, operators:% = bound.operators; "daemon started");
@@ -251,66 +252,73 @@
             entry,
             control,
             callers,
-            operators: shown,
+            operators: operators_server,
             abort,
-            notice: timing.balancer_notice.0,
+            balancer_notice: timing.balancer_notice.0,
             drain: timing.drain.0,
             leave,
         })
     }
 
-    /// The addresses it got.
+    /// Returns the addresses that the daemon listens on.
     pub fn bound_addresses(&self) -> BoundAddresses {
         self.bound
     }
 
-    /// Requests that crash upstreams, as this daemon knows them; to exchange facts with others.
+    /// Returns the quarantine, which holds the facts of this daemon about requests that crash
+    /// upstreams.
     pub fn quarantine(&self) -> Arc<Quarantine> {
         Arc::clone(&self.entry.driver.quarantine)
     }
 
-    /// Ends at once, without a word to anyone; requests in flight are cut off.
+    /// Stops at once, without notice to peers or callers; requests in flight are aborted.
     pub fn kill(self) {
         self.control.abort();
         self.callers.abort();
         self.operators.abort();
     }
 
-    /// What ends a stop at once: sessions in flight end with a verdict.
+    /// Returns a token that, when cancelled, makes a planned stop immediate: the sessions in flight
+    /// end with a verdict.
     pub fn abort(&self) -> CancellationToken {
         self.abort.clone()
     }
 
-    /// A planned stop: the balancer's check fails first, then new requests are refused while
-    /// those in flight finish, then the addresses close.
+    /// Performs a planned stop: the load balancer's check fails first, then new requests are
+    /// refused while those in flight finish, then the listeners close.
     pub async fn stop(mut self) {
         self.entry.draining.store(true, Ordering::Relaxed);
         self.leave.cancel();
         self.control.peers.set_leaving();
         info!("stopping, {} sessions in flight", self.entry.tasks.len());
-        let _ = timeout_or(self.notice, &self.abort, std::future::pending::<()>()).await;
+        let _ = timeout_or_abort(
+            self.balancer_notice,
+            &self.abort,
+            std::future::pending::<()>(),
+        )
+        .await;
         self.entry.closed.store(true, Ordering::Relaxed);
         self.callers.close();
         let drained_by = Instant::now() + self.drain;
-        let drained = timeout_or(self.drain, &self.abort, self.callers.drained()).await;
+        let drained = timeout_or_abort(self.drain, &self.abort, self.callers.drained()).await;
         if drained.is_none() {
             self.abort.cancel();
-            self.callers.stop(LAST_ANSWERS).await;
+            self.callers.stop(FINAL_REPLY_TIMEOUT).await;
         }
-        finish(&self.entry.tasks, drained_by, &self.abort).await;
+        wait_for_tasks(&self.entry.tasks, drained_by, &self.abort).await;
         self.control.leave().await;
         self.operators.stop(Duration::ZERO).await;
         info!("stopped");
     }
 }
 
-/// Waits for calls that outlive their callers and for outcomes that are not recorded yet: what is
-/// cut off here reads "may have run" ever after.
-async fn finish(tasks: &TaskTracker, by: Instant, abort: &CancellationToken) {
+/// Waits for calls whose callers have disconnected and for outcomes that are not recorded yet. The
+/// claim of a call that is aborted here reports "may have run" from then on.
+async fn wait_for_tasks(tasks: &TaskTracker, by: Instant, abort: &CancellationToken) {
     tasks.close();
     let left = by.saturating_duration_since(Instant::now());
-    if timeout_or(left, abort, tasks.wait()).await.is_none() {
-        let _ = tokio::time::timeout(LAST_ANSWERS, tasks.wait()).await;
+    if timeout_or_abort(left, abort, tasks.wait()).await.is_none() {
+        let _ = tokio::time::timeout(FINAL_REPLY_TIMEOUT, tasks.wait()).await;
     }
 }
 
@@ -337,14 +345,14 @@
         interval: placement.interval.0,
         lost_after: placement.lost_after.0,
         improve_after: placement.improve_after.0,
-        drain: settings.timing.request.0 + settings.timing.state_poll.0 * DRAIN_POLLS,
+        drain: settings.timing.request.0 + settings.timing.state_poll.0 * VERSION_PROPAGATION_POLLS,
         poll_deadline: PROBE_DEADLINE,
         weight_rate: placement.weight_rate,
     }
 }
 
-/// Waits for `work`, at most `wait` and not beyond `abort`; `None` when it was not done by then.
-async fn timeout_or<T>(
+/// Runs `work` until `wait` has passed or `abort` is cancelled; `None` if it did not finish.
+async fn timeout_or_abort<T>(
     wait: Duration,
     abort: &CancellationToken,
     work: impl Future<Output = T>,
@@ -364,7 +372,8 @@
     }
 }
 
-/// Claims have a client of their own, so that leaving its connections behind touches no watch.
+/// Claims have an object API client of their own, so that resetting its connections does not
+/// affect watches.
 fn claims(settings: &Settings, peers: &Peers, tasks: TaskTracker) -> Result<PeerClaims> {
     let cfg = claims::Config {
         writes_per_second: u64::from(settings.limits.claim_writes_per_second),
@@ -386,23 +395,23 @@
     )?)
 }
 
-/// Installs the recorder of metrics; once in a process.
+/// Installs the metrics recorder, which is possible once per process.
 ///
 /// # Errors
 ///
-/// When one is installed already.
+/// When a recorder is installed already.
 pub fn install_metrics() -> Result<PrometheusHandle> {
     Ok(PrometheusBuilder::new().install_recorder()?)
 }
 
-/// A recorder of metrics that nothing is recorded in: for several daemons in one process that
-/// are not looked at.
+/// Returns a handle to a metrics recorder that is not installed and stays empty, for processes that
+/// run several daemons and don't read their metrics.
 pub fn build_metrics() -> PrometheusHandle {
     PrometheusBuilder::new().build_recorder().handle()
 }
 
-/// Runs a daemon until the process is told to stop: a first SIGTERM or SIGINT begins a planned
-/// stop, a second ends it at once.
+/// Runs a daemon until a signal stops it: the first SIGTERM or SIGINT begins a planned stop, a
+/// second one makes the stop immediate.
 ///
 /// # Errors
 ///
--- a/crates/kelpworks/src/entry/mod.rs
+++ b/crates/kelpworks/src/entry/mod.rs
@@ -1,12 +1,13 @@
-//! The callers' side: HTTP requests in, answers or refusals with a verdict out.
+//! HTTP endpoints for callers. Every error response carries a verdict, which says whether the
+//! request may have been executed.
 
+mod at_most_once;
 mod auth;
 mod completions;
-mod once;
 mod reply;
+mod route_error;
 mod services;
 mod shape;
-mod unserved;
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -21,39 +22,39 @@
 use crate::active_config::ActiveConfig;
 use crate::admission::Admission;
 use crate::clients::engine::HttpEngine;
-use crate::entry::unserved::Unserved;
+use crate::entry::route_error::RouteError;
 use crate::fleet::Fleet;
 use crate::membership::PeerClaims;
 use crate::pipeline::Driver;
 use crate::settings::Limits;
 use crate::upstreams::Report;
 
-/// What the callers' side works with; one for the whole daemon.
+/// Shared state of the callers' endpoints; one per daemon.
 #[derive(Debug)]
 pub struct Entry {
-    /// Bounds on requests.
+    /// Size and token limits of requests.
     pub limits: Limits,
-    /// Longest time for a whole request.
+    /// Longest time for a whole request, counted from when its body has been read.
     pub request_timeout: Duration,
-    /// The configuration in force.
+    /// Active configuration, replaced with each new generation.
     pub config: Arc<ArcSwap<ActiveConfig>>,
-    /// The fleet.
+    /// Current view of models, services and their upstreams.
     pub fleet: Arc<ArcSwap<Fleet>>,
-    /// Admission.
+    /// Admission control of model requests.
     pub admission: Admission,
-    /// Drives sessions.
+    /// Runs the sessions of model requests.
     pub driver: Driver<HttpEngine>,
-    /// Connections to upstreams.
+    /// HTTP client of the upstreams, with its connection pools.
     pub engine: Arc<HttpEngine>,
-    /// Where failures of upstreams are reported.
+    /// Channel on which failures of upstreams are reported to the monitor.
     pub reports: mpsc::UnboundedSender<Report>,
-    /// Claims of keyed calls that run at most once.
+    /// Claims of requests with an idempotency key, which run at most once.
     pub claims: Arc<PeerClaims>,
     /// Running sessions and calls.
     pub tasks: TaskTracker,
-    /// True from the start of a planned stop on; the balancer's check fails then.
+    /// Set at the start of a planned stop; the load balancer's check fails from then on.
     pub draining: AtomicBool,
-    /// True once the balancer has had time to notice; new requests are refused then.
+    /// Set once the load balancer has had time to notice; new requests are refused from then on.
     pub closed: AtomicBool,
 }
 
@@ -63,7 +64,7 @@
     }
 }
 
-/// Routes of the callers' address.
+/// Returns the routes of the callers' endpoints.
 pub fn router(entry: &Arc<Entry>) -> Router {
     let completions = completions::Completions::new(Arc::clone(entry), shape::Shape::Text);
     let chat = completions::Completions::new(Arc::clone(entry), shape::Shape::Chat);
@@ -72,11 +73,11 @@
         .push(post_only("v1/completions", completions))
         .push(post_only("v1/chat/completions", chat))
         .push(Router::with_path("services/{name}/{**rest}").goal(services))
-        .push(Router::with_path("{**rest}").goal(Unserved::Path))
+        .push(Router::with_path("{**rest}").goal(RouteError::UnknownPath))
 }
 
 fn post_only(path: &str, handler: completions::Completions) -> Router {
     Router::with_path(path)
         .push(Router::new().post(handler))
-        .push(Router::new().goal(Unserved::Method))
+        .push(Router::new().goal(RouteError::MethodNotAllowed))
 }
--- a/crates/kelpworks/src/entry/unserved.rs
+++ b/crates/kelpworks/src/entry/route_error.rs
@@ -1,4 +1,4 @@
-//! Answers to paths and methods that are not served.
+//! Error responses for unknown paths and unsupported methods.
 
 use salvo::Depot;
 use salvo::FlowCtrl;
@@ -13,17 +13,17 @@
 use crate::entry::completions::request_id;
 use crate::entry::reply::Failure;
 
-/// What a request asks for that is not served.
+/// Why no route matches a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unserved {
-    /// Its path.
-    Path,
-    /// Its method, at a path that takes only POST.
-    Method,
+pub(crate) enum RouteError {
+    /// No route has its path.
+    UnknownPath,
+    /// The path accepts only POST, and the request has another method.
+    MethodNotAllowed,
 }
 
 #[async_trait]
-impl Handler for Unserved {
+impl Handler for RouteError {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -32,15 +32,15 @@
         _ctrl: &mut FlowCtrl,
     ) {
         let failure = match self {
-            Unserved::Path => Failure::bad(
+            RouteError::UnknownPath => Failure::rejected(
                 StatusCode::NOT_FOUND,
                 "unknown_path",
                 "nothing is served at this path",
             ),
-            Unserved::Method => {
+            RouteError::MethodNotAllowed => {
                 let allowed = HeaderValue::from_static("POST");
                 res.headers_mut().insert(ALLOW, allowed);
-                Failure::bad(
+                Failure::rejected(
                     StatusCode::METHOD_NOT_ALLOWED,
                     "method_not_allowed",
                     "this path takes POST only",
--- a/crates/kelpworks/src/entry/services/call.rs
+++ b/crates/kelpworks/src/entry/services/call.rs
@@ -1,4 +1,4 @@
-//! A call of a plain service as read from the caller.
+//! Parsing of a caller's request to a plain service.
 
 use bytes::Bytes;
 use salvo::Request;
@@ -12,54 +12,54 @@
 use crate::claims;
 use crate::claims::ClaimKey;
 use crate::entry::Entry;
+use crate::entry::at_most_once;
 use crate::entry::auth;
-use crate::entry::completions::body;
-use crate::entry::once;
+use crate::entry::completions::read_body;
 use crate::entry::reply::Failure;
 
-/// Headers of a request that go on to the service.
-const FORWARDED: [HeaderName; 4] = [
+/// Request headers that are forwarded to the service.
+const FORWARDED_HEADERS: [HeaderName; 4] = [
     header::CONTENT_TYPE,
     header::ACCEPT,
     header::IF_MATCH,
     header::IF_NONE_MATCH,
 ];
 
-/// One call.
+/// A call to a plain service, as read from the caller's request.
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) team: String,
     pub(super) service: String,
     pub(super) method: Method,
-    /// Path and query below the service, starting with `/`.
+    /// Path and query relative to the service, starting with `/`.
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Whether it may be sent again after it may have run.
-    pub(super) repeatable: bool,
-    /// Its claim, where it has a key and may run only once.
+    /// Whether the call may be sent again when an earlier attempt may have been executed.
+    pub(super) retryable: bool,
+    /// Claim of a call that has an idempotency key and must run at most once.
     pub(super) claim: Option<ClaimKey>,
     pub(super) deadline: Instant,
 }
 
 impl Call {
-    /// Reads a call.
+    /// Authenticates the caller and reads its request.
     ///
     /// # Errors
     ///
-    /// When the token names no team, the body is too large, or the key can't be used.
+    /// When the token is unknown, the body is too large or late, or the idempotency key is invalid.
     pub(super) async fn read(entry: &Entry, id: &str, req: &mut Request) -> Result<Call, Failure> {
         let config = entry.config.load_full();
-        let caller = auth::caller(&config, req.headers())?;
+        let caller = auth::authenticate(&config, req.headers())?;
         let service: String = req.param("name").unwrap_or_default();
-        let path = below(req.uri().path());
+        let path = path_in_service(req.uri().path());
         let method = req.method().clone();
         let non_idempotent = config.call_is_non_idempotent(&service, method.as_str(), &path);
-        let repeatable = method.is_idempotent() && !non_idempotent;
+        let retryable = method.is_idempotent() && !non_idempotent;
         let query = req.uri().query().map_or(String::new(), |q| format!("?{q}"));
-        let key = once::key(req.headers())?.filter(|_| !repeatable);
-        let mut headers = pick(req.headers(), &FORWARDED);
-        let body = Bytes::copy_from_slice(body(req, entry.limits.body_bytes).await?);
+        let key = at_most_once::key(req.headers())?.filter(|_| !retryable);
+        let mut headers = select_headers(req.headers(), &FORWARDED_HEADERS);
+        let body = Bytes::copy_from_slice(read_body(req, entry.limits.body_bytes).await?);
         let path = path + &query;
         let claim = key.map(|key| {
             let target = format!("service {service} {method} {path}");
@@ -76,33 +76,34 @@
             path,
             headers,
             body,
-            repeatable,
+            retryable,
             claim,
             deadline: Instant::now() + entry.request_timeout,
         })
     }
 }
 
-/// The key that the service sees. The caller's own would not do: two teams may use the same, and a
-/// service that looks calls up by key would give one team the other's answer.
+/// Returns the idempotency key to send to the service. It differs from the caller's own: two teams
+/// may use the same key, and a service that looks calls up by key would return one team's response
+/// to the other.
 fn upstream_key(claim: &ClaimKey) -> Option<HeaderValue> {
     HeaderValue::from_str(claim.name()).ok()
 }
 
-/// Path below `/services/{name}`, starting with `/`. The name may be spelt in more ways than one, so
-/// it is passed over as a segment.
-fn below(path: &str) -> String {
+/// Returns the path after `/services/{name}`, starting with `/`. The name may be escaped in several
+/// ways, so it is skipped as a segment instead of matched as text.
+fn path_in_service(path: &str) -> String {
     let mut segments = path.splitn(4, '/');
     let rest = segments.nth(3).unwrap_or_default();
     format!("/{rest}")
 }
 
-fn pick(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
-    let mut picked = HeaderMap::new();
+fn select_headers(headers: &HeaderMap, names: &[HeaderName]) -> HeaderMap {
+    let mut selected = HeaderMap::new();
     for name in names {
         if let Some(value) = headers.get(name) {
-            picked.insert(name.clone(), value.clone());
+            selected.insert(name.clone(), value.clone());
         }
     }
-    picked
+    selected
 }
--- a/crates/kelpworks/src/entry/services/mod.rs
+++ b/crates/kelpworks/src/entry/services/mod.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: `/services/{name}/...`.
+//! Endpoint for calls to plain services: `/services/{name}/...`.
 
 mod call;
 mod send;
@@ -19,15 +19,15 @@
 use crate::claims::Reply;
 use crate::claims::RunError;
 use crate::entry::Entry;
+use crate::entry::at_most_once;
 use crate::entry::completions::request_id;
-use crate::entry::once;
 use crate::entry::reply::Failure;
 use crate::entry::services::call::Call;
 use crate::entry::services::send::Result;
 use crate::entry::services::send::Sender;
 use crate::verdict::Verdict;
 
-/// Handler of calls of plain services.
+/// Forwards calls to plain services.
 pub(crate) struct Services {
     entry: Arc<Entry>,
     sender: Arc<Sender>,
@@ -44,27 +44,27 @@
             return Err(Failure::draining());
         }
         let mut call = Call::read(&self.entry, id, req).await?;
-        let kept = match call.claim.take() {
+        let keyed = match call.claim.take() {
             Some(claim) => {
                 let deadline = call.deadline;
                 let sender = Arc::clone(&self.sender);
                 let run = async move || sender.send(&call).await.map_err(RunError::from);
-                let kept = self.entry.claims.run_once(claim, deadline, run).await;
-                kept.map_err(once::failure)?
+                let keyed = self.entry.claims.run_once(claim, deadline, run).await;
+                keyed.map_err(at_most_once::claim_failure)?
             }
             None => self.run(call).await?,
         };
-        write(kept, res);
+        write(keyed, res);
         Ok(())
     }
 
-    /// Runs a call in a task of its own: it goes on when its caller vanishes, as a call that is
-    /// broken off midway may leave the service in between.
+    /// Runs a call in a task of its own. It continues when its caller disconnects, because a call
+    /// that is aborted halfway may leave the service in an inconsistent state.
     async fn run(&self, call: Call) -> Result<KeyedReply> {
         let sender = Arc::clone(&self.sender);
         let task = async move { sender.send(&call).await };
         let ended = self.entry.tasks.spawn(task).await;
-        let reply = ended.unwrap_or_else(|_| Err(once::stopped()))?;
+        let reply = ended.unwrap_or_else(|_| Err(at_most_once::daemon_stopped()))?;
         Ok(KeyedReply {
             reply,
             replayed: false,
@@ -72,12 +72,12 @@
     }
 }
 
-fn write(kept: KeyedReply, res: &mut Response) {
+fn write(keyed: KeyedReply, res: &mut Response) {
     let Reply {
         status,
         headers,
         body,
-    } = kept.reply;
+    } = keyed.reply;
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     res.status_code(status);
     for header in headers {
@@ -90,8 +90,8 @@
         let verdict = HeaderValue::from_static(Verdict::MayHaveRun.as_str());
         res.headers_mut().insert(Verdict::HEADER, verdict);
     }
-    if kept.replayed {
-        once::mark_replayed(res);
+    if keyed.replayed {
+        at_most_once::mark_replayed(res);
     }
     res.body(body);
 }
--- a/crates/kelpworks/src/entry/services/send.rs
+++ b/crates/kelpworks/src/entry/services/send.rs
@@ -1,4 +1,4 @@
-//! Sends a call to upstreams of its service: which, how often, and for how long.
+//! Sends a call to upstreams of its service: selection, retries and deadlines.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,13 +33,12 @@
 use crate::upstreams::Report;
 use crate::verdict::Verdict;
 
-/// The result of this module.
+/// Result of a call; an error is ready to be sent to the caller.
 pub(super) type Result<T> = std::result::Result<T, Failure>;
 
-/// Most attempts of one call.
 const MAX_ATTEMPTS: u32 = 3;
-/// Headers of an answer that go back to the caller.
-const RETURNED: [HeaderName; 5] = [
+/// Headers of a service's response that are returned to the caller.
+const RETURNED_HEADERS: [HeaderName; 5] = [
     header::CONTENT_TYPE,
     header::ETAG,
     header::LOCATION,
@@ -47,22 +46,22 @@
     header::RETRY_AFTER,
 ];
 
-/// Sends calls; one for the whole daemon.
+/// Sends calls to services. One per daemon, so that all calls share its retry budget.
 pub(super) struct Sender {
     entry: Arc<Entry>,
     retries: Mutex<RetryBudget>,
 }
 
-/// How an attempt ended without an answer.
-struct Lost {
-    error: Error,
-    /// The upstream answered on a new connection, so only the old one was at fault.
-    connection: bool,
+/// Failure of an attempt that got no response.
+struct AttemptError {
+    cause: Error,
+    /// Whether the upstream responded on a new connection, so that only the old one was at fault.
+    connection_fault: bool,
 }
 
-impl Lost {
+impl AttemptError {
     fn is_timeout(&self) -> bool {
-        matches!(self.error, Error::Timeout)
+        matches!(self.cause, Error::Timeout)
     }
 }
 
@@ -70,9 +69,9 @@
 struct Attempts<'a> {
     call: &'a Call,
     made: u32,
-    /// Upstreams that failed under it.
+    /// Upstreams on which the call failed; avoided by further attempts.
     tried: Vec<UpstreamKey>,
-    /// The worst over all attempts.
+    /// The most severe verdict of all attempts.
     verdict: Verdict,
 }
 
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Sends the call to an upstream of the service, and again where that is safe.
+    /// Sends the call to an upstream of the service, and retries it where that is safe.
     pub(super) async fn send(&self, call: &Call) -> Result<Reply> {
         let mut attempts = Attempts {
             call,
@@ -103,50 +102,52 @@
             let ended = tokio::select! {
                 ended = self.attempt(&fleet, key, &attempts) => ended,
                 () = self.entry.driver.abort.cancelled() => {
-                    return Err(stopped(Verdict::MayHaveRun));
+                    return Err(daemon_stopped(Verdict::MayHaveRun));
                 }
             };
             match &ended {
-                Ok(reply) if call.repeatable && is_passing(reply.status) => {
-                    attempts.failed(key, Verdict::MayHaveRun);
+                Ok(reply) if call.retryable && is_gateway_error(reply.status) => {
+                    attempts.record_failure(key, Verdict::MayHaveRun);
                 }
                 Ok(_) => {
                     self.retries().record_success();
-                    return ended.map_err(|lost| attempts.failure(&lost));
+                    return ended.map_err(|error| attempts.failure(&error));
                 }
-                // Another upstream would say the same.
-                Err(Lost {
-                    error: Error::TooLarge,
+                // Another upstream would return the same large reply.
+                Err(AttemptError {
+                    cause: Error::TooLarge,
                     ..
                 }) => {
-                    attempts.worsen(Verdict::MayHaveRun);
-                    return ended.map_err(|lost| attempts.failure(&lost));
+                    attempts.raise_verdict(Verdict::MayHaveRun);
+                    return ended.map_err(|error| attempts.failure(&error));
                 }
-                Err(lost) if lost.connection => attempts.worsen(lost.error.verdict()),
-                Err(lost) => {
-                    attempts.failed(key, lost.error.verdict());
+                Err(error) if error.connection_fault => {
+                    attempts.raise_verdict(error.cause.verdict())
+                }
+                Err(error) => {
+                    attempts.record_failure(key, error.cause.verdict());
                     let _ = self.entry.reports.send(Report::Suspect(key));
                 }
             }
-            let Some(delay) = self.again(&attempts) else {
-                return ended.map_err(|lost| attempts.failure(&lost));
+            let Some(delay) = self.retry_delay(&attempts) else {
+                return ended.map_err(|error| attempts.failure(&error));
             };
             tokio::select! {
                 () = tokio::time::sleep(delay) => {}
                 () = self.entry.driver.abort.cancelled() => {
-                    return Err(stopped(attempts.verdict));
+                    return Err(daemon_stopped(attempts.verdict));
                 }
             }
         }
     }
 
-    /// The pause before another attempt; `None` when there is to be none.
-    fn again(&self, attempts: &Attempts<'_>) -> Option<Duration> {
+    /// Returns the backoff before the next attempt; `None` when the call is not retried.
+    fn retry_delay(&self, attempts: &Attempts<'_>) -> Option<Duration> {
         let attempt = Attempt {
             verdict: attempts.verdict,
-            idempotent: attempts.call.repeatable,
+            idempotent: attempts.call.retryable,
             attempts: attempts.made,
-            time_left: left(attempts.call),
+            time_left: time_left(attempts.call),
         };
         let now = Duration::from_millis(self.entry.driver.now_ms());
         let decision = self.retries().decide(now, &attempt, &mut rand::rng());
@@ -156,7 +157,7 @@
                 info!(
                     target: "decision", decision = "give_up", request = attempts.call.id.as_str(),
                     reason = reason.as_str(), verdict = attempts.verdict.as_str();
-                    "call not tried again"
+                    "call not retried"
                 );
                 None
             }
@@ -172,7 +173,7 @@
         let Some(keys) = fleet.by_service.get(&call.service) else {
             let message = format!("there is no service {:?}", call.service);
             let status = StatusCode::NOT_FOUND;
-            return Err(Failure::bad(status, "unknown_service", message));
+            return Err(Failure::rejected(status, "unknown_service", message));
         };
         let now = self.entry.driver.now_ms();
         let tried = &attempts.tried;
@@ -192,48 +193,49 @@
         Ok(key)
     }
 
-    /// One attempt. After the progress deadline the upstream is probed on a new connection: a call
-    /// that may be repeated is given up then, another waits on for its own answer.
+    /// Makes one attempt. At the progress deadline the upstream is probed on a new connection. A
+    /// retryable call is then abandoned; any other continues to wait for its response.
     async fn attempt(
         &self,
         fleet: &Fleet,
         key: UpstreamKey,
         attempts: &Attempts<'_>,
-    ) -> std::result::Result<Reply, Lost> {
+    ) -> std::result::Result<Reply, AttemptError> {
         let call = attempts.call;
         let upstream = &fleet.upstreams[key];
         let _in_flight = InFlight::enter(&upstream.counters.in_flight);
         let reply = self.call(&upstream.url, call);
         tokio::pin!(reply);
-        let whole = |error| Lost {
-            error,
-            connection: false,
+        let upstream_fault = |cause| AttemptError {
+            cause,
+            connection_fault: false,
         };
-        let progress = self.progress(attempts.made).min(left(call));
+        let progress = self.progress_deadline(attempts.made).min(time_left(call));
         tokio::select! {
             biased;
-            reply = &mut reply => return reply.map_err(whole),
+            reply = &mut reply => return reply.map_err(upstream_fault),
             () = tokio::time::sleep(progress) => {}
         }
-        if !call.repeatable {
+        if !call.retryable {
             let (reply, _) = tokio::join!(reply, self.probe(&upstream.url));
-            return reply.map_err(whole);
+            return reply.map_err(upstream_fault);
         }
-        let connection = self.probe(&upstream.url).await;
-        Err(Lost {
-            error: Error::Timeout,
-            connection,
+        let connection_fault = self.probe(&upstream.url).await;
+        Err(AttemptError {
+            cause: Error::Timeout,
+            connection_fault,
         })
     }
 
-    /// Longer with each attempt, as the call may just be a slow one.
-    fn progress(&self, made: u32) -> Duration {
+    /// Returns the time until the probe of an attempt. It doubles with each attempt, since the call
+    /// itself may be slow.
+    fn progress_deadline(&self, made: u32) -> Duration {
         let doublings = made.saturating_sub(1);
         self.entry.driver.deadlines.step.ceiling * 2u32.pow(doublings)
     }
 
-    /// Asks an upstream for its health on a new connection. Where it answers, the kept ones are
-    /// left behind.
+    /// Checks the health of an upstream on a new connection and returns whether it responded. If
+    /// so, the pooled connections to it are replaced.
     async fn probe(&self, url: &Arc<str>) -> bool {
         let deadline = self.entry.driver.deadlines.probe.ceiling;
         let probed = self.entry.engine.probe_health(url, deadline).await;
@@ -247,32 +249,32 @@
             headers: &call.headers,
             body: &call.body,
         };
-        let deadline = left(call).max(Duration::from_millis(1));
+        let deadline = time_left(call).max(Duration::from_millis(1));
         let answer = self.entry.engine.call(url, sent, deadline).await?;
-        Ok(reply(answer))
+        Ok(caller_reply(answer))
     }
 }
 
 impl Attempts<'_> {
-    fn failed(&mut self, key: UpstreamKey, verdict: Verdict) {
+    fn record_failure(&mut self, key: UpstreamKey, verdict: Verdict) {
         self.tried.push(key);
-        self.worsen(verdict);
+        self.raise_verdict(verdict);
     }
 
-    fn worsen(&mut self, verdict: Verdict) {
+    fn raise_verdict(&mut self, verdict: Verdict) {
         self.verdict = self.verdict.max(verdict);
     }
 
-    fn failure(&self, lost: &Lost) -> Failure {
-        let (status, kind) = match lost.is_timeout() {
+    fn failure(&self, error: &AttemptError) -> Failure {
+        let (status, kind) = match error.is_timeout() {
             true => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
             false => (StatusCode::BAD_GATEWAY, "upstream_failed"),
         };
-        Failure::failed(status, kind, lost.error.to_string(), self.verdict)
+        Failure::failed(status, kind, error.cause.to_string(), self.verdict)
     }
 }
 
-/// A call in flight, counted until it is dropped.
+/// Counts a call as in flight until dropped.
 struct InFlight<'a>(&'a AtomicU32);
 
 impl InFlight<'_> {
@@ -288,27 +290,27 @@
     }
 }
 
-/// The daemon was told to stop at once.
-fn stopped(verdict: Verdict) -> Failure {
+/// Returns the failure of a call that an immediate stop of the daemon interrupted.
+fn daemon_stopped(verdict: Verdict) -> Failure {
     Failure {
         verdict,
         ..Failure::draining()
     }
 }
 
-/// Whether another upstream may do better: a gateway's errors and a service that is leaving.
-fn is_passing(status: u16) -> bool {
+/// Whether another upstream may succeed: a gateway error, or a service that is leaving (503).
+fn is_gateway_error(status: u16) -> bool {
     matches!(status, 502..=504)
 }
 
-fn left(call: &Call) -> Duration {
+fn time_left(call: &Call) -> Duration {
     call.deadline.saturating_duration_since(Instant::now())
 }
 
-/// What goes back to the caller of an answer.
-fn reply(answer: ServiceAnswer) -> Reply {
+/// Converts a service's response to the reply to the caller.
+fn caller_reply(answer: ServiceAnswer) -> Reply {
     let mut headers = Vec::new();
-    for name in &RETURNED {
+    for name in &RETURNED_HEADERS {
         let value = answer.headers.get(name).and_then(|v| v.to_str().ok());
         headers.extend(value.map(|value| Header {
             name: name.to_string(),
--- a/crates/kelpworks/src/entry/shape.rs
+++ b/crates/kelpworks/src/entry/shape.rs
@@ -1,4 +1,4 @@
-//! The two shapes of a model request and its answer: text completion and chat.
+//! The two formats of a model request and its answer: text completion and chat.
 
 use salvo::http::StatusCode;
 use serde::Serialize;
@@ -17,12 +17,12 @@
 use kelpworks_wire::FinishReason;
 use kelpworks_wire::Usage;
 
-/// Tokens generated where the caller sets no bound.
+/// Token limit of an answer when the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
-/// Role of an answer in a chat.
+/// Role of the model's messages in a chat.
 const ASSISTANT: &str = "assistant";
 
-/// Shape of a request and its answer.
+/// Format of a model request and its answer. Its `Debug` text is part of the key of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shape {
     /// `/v1/completions`.
@@ -31,18 +31,18 @@
     Chat,
 }
 
-/// What both shapes ask for.
+/// The content of a model request, in either format.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Asked {
+pub(crate) struct ModelRequest {
     pub(crate) model: String,
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
     pub(crate) stream: bool,
 }
 
-/// What both shapes say of an answer.
+/// Fields that identify an answer, in either format.
 #[derive(Clone, Debug)]
-pub(crate) struct Frame {
+pub(crate) struct ResponseMetadata {
     pub(crate) id: String,
     pub(crate) model: String,
     /// Unix time, in seconds.
@@ -50,19 +50,19 @@
 }
 
 impl Shape {
-    /// Reads a request body.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// A 400 when it is not JSON of this shape.
-    pub(crate) fn read(self, body: &[u8]) -> Result<Asked, Failure> {
+    /// A 400 when the body is not JSON of this format.
+    pub(crate) fn read(self, body: &[u8]) -> Result<ModelRequest, Failure> {
         let invalid = |e: serde_json::Error| {
-            Failure::bad(StatusCode::BAD_REQUEST, "invalid_request", e.to_string())
+            Failure::rejected(StatusCode::BAD_REQUEST, "invalid_request", e.to_string())
         };
-        let asked = match self {
+        let model_request = match self {
             Shape::Text => {
                 let req: CompletionRequest = serde_json::from_slice(body).map_err(invalid)?;
-                Asked {
+                ModelRequest {
                     model: req.model,
                     prompt: req.prompt,
                     max_tokens: req.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
@@ -71,20 +71,26 @@
             }
             Shape::Chat => {
                 let req: ChatRequest = serde_json::from_slice(body).map_err(invalid)?;
-                Asked {
+                ModelRequest {
                     model: req.model,
-                    prompt: prompt(&req.messages),
+                    prompt: chat_prompt(&req.messages),
                     max_tokens: req.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
                     stream: req.stream.unwrap_or(false),
                 }
             }
         };
-        Ok(asked)
+        Ok(model_request)
     }
 
-    /// The whole answer as JSON.
-    pub(crate) fn whole(self, frame: &Frame, text: String, end: FinishReason, u: Usage) -> Vec<u8> {
-        let Frame { id, model, created } = frame.clone();
+    /// Returns the JSON body of a complete answer.
+    pub(crate) fn response(
+        self,
+        metadata: &ResponseMetadata,
+        text: String,
+        end: FinishReason,
+        u: Usage,
+    ) -> Vec<u8> {
+        let ResponseMetadata { id, model, created } = metadata.clone();
         match self {
             Shape::Text => json(&CompletionResponse {
                 choices: vec![CompletionChoice {
@@ -119,9 +125,14 @@
         }
     }
 
-    /// One event of a streamed answer as JSON.
-    pub(crate) fn piece(self, frame: &Frame, text: String, end: Option<FinishReason>) -> Vec<u8> {
-        let Frame { id, model, created } = frame.clone();
+    /// Returns the JSON data of one event of a streamed answer.
+    pub(crate) fn chunk(
+        self,
+        metadata: &ResponseMetadata,
+        text: String,
+        end: Option<FinishReason>,
+    ) -> Vec<u8> {
+        let ResponseMetadata { id, model, created } = metadata.clone();
         match self {
             Shape::Text => json(&CompletionResponse {
                 choices: vec![CompletionChoice {
@@ -160,9 +171,9 @@
     serde_json::to_vec(value).expect("wire types have no maps with keys other than text")
 }
 
-/// The chat as one prompt, a line a message, ending where the answer begins; empty for a chat
-/// without messages.
-fn prompt(messages: &[ChatMessage]) -> String {
+/// Formats a chat as one prompt with one line per message, ending where the model's answer begins.
+/// Returns an empty prompt for a chat without messages.
+fn chat_prompt(messages: &[ChatMessage]) -> String {
     if messages.is_empty() {
         return String::new();
     }
