--- a/crates/kelpworks/tests/caller/mod.rs
+++ b/crates/kelpworks/tests/caller/mod.rs
@@ -1,4 +1,5 @@
-//! A caller of daemons: sends model requests and reads whole and streamed answers.
+//! HTTP client of a daemon's callers' API: sends model requests and reads whole and streamed
+//! answers.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -16,10 +17,10 @@
 use kelpworks_wire::ErrorBody;
 use kelpworks_wire::FinishReason;
 
-/// Bound on a whole request; never what a verdict rests on.
-const REQUEST_BOUND: Duration = Duration::from_secs(30);
-/// Header with the request id, which is also the session's name on the engines.
-const REQUEST_ID: &str = "kelpworks-request-id";
+/// Timeout of a whole request, so that a hanging test fails. No assertion depends on it.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Response header with the request id, which engines receive as the name of the session.
+const REQUEST_ID_HEADER: &str = "kelpworks-request-id";
 
 /// A caller with the token of one team.
 #[derive(Clone, Debug)]
@@ -31,18 +32,18 @@
     model: String,
 }
 
-/// What a caller has at the end of a stream.
+/// How an answer ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum End {
-    /// The answer is whole: a finish reason and the last event came.
+    /// Complete: with a finish reason and, if streamed, the `[DONE]` event.
     Whole(FinishReason),
-    /// The stream ended by an error event.
+    /// Refused, or a stream that ended with an error event.
     Error(Box<ErrorBody>),
-    /// The connection ended before the answer did.
+    /// The connection closed before the end of the stream.
     Cut,
 }
 
-/// A whole answer.
+/// An answer that has ended. `text` is empty if the request was refused.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Answer {
     pub(crate) request: String,
@@ -50,14 +51,14 @@
     pub(crate) end: End,
 }
 
-/// A streamed answer under way.
+/// A streamed answer that is still being read.
 #[derive(Debug)]
 pub(crate) struct Streamed {
     pub(crate) request: String,
-    chat: bool,
+    is_chat: bool,
     res: Response,
-    buf: String,
-    /// Text of all tokens so far.
+    unparsed: String,
+    /// Text of all tokens read so far.
     pub(crate) text: String,
     finish: Option<FinishReason>,
     end: Option<End>,
@@ -65,7 +66,7 @@
 
 impl Caller {
     pub(crate) fn new(base: &str, token: &str, model: &str) -> Caller {
-        let client = Client::builder().no_proxy().timeout(REQUEST_BOUND);
+        let client = Client::builder().no_proxy().timeout(REQUEST_TIMEOUT);
         Caller {
             client: client.build().expect("a client"),
             base: base.to_owned(),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// A request with the caller's token.
+    /// Returns a `POST` request with the caller's token.
     pub(crate) fn post(&self, path: &str) -> RequestBuilder {
         let url = format!("{}{path}", self.base);
         self.client.post(url).bearer_auth(&self.token)
@@ -100,7 +101,7 @@
         self.post("/v1/chat/completions").json(&body)
     }
 
-    /// A completion in one piece.
+    /// Requests a completion without streaming.
     pub(crate) async fn complete(
         &self,
         prompt: &str,
@@ -110,7 +111,7 @@
         let request = request_id(&res);
         if !res.status().is_success() {
             let error = Box::new(res.json().await?);
-            return Ok(failed(request, error));
+            return Ok(refused_answer(request, error));
         }
         let mut whole: CompletionResponse = res.json().await?;
         let choice = whole.choices.remove(0);
@@ -122,7 +123,7 @@
         })
     }
 
-    /// A chat in one piece.
+    /// Requests a chat completion without streaming.
     pub(crate) async fn chat(
         &self,
         prompt: &str,
@@ -132,7 +133,7 @@
         let request = request_id(&res);
         if !res.status().is_success() {
             let error = Box::new(res.json().await?);
-            return Ok(failed(request, error));
+            return Ok(refused_answer(request, error));
         }
         let mut whole: ChatResponse = res.json().await?;
         let choice = whole.choices.remove(0);
@@ -144,7 +145,7 @@
         })
     }
 
-    /// A streamed completion.
+    /// Starts a streamed completion.
     pub(crate) async fn stream(
         &self,
         prompt: &str,
@@ -154,7 +155,7 @@
         Ok(Streamed::of(res, false))
     }
 
-    /// A streamed chat.
+    /// Starts a streamed chat completion.
     pub(crate) async fn stream_chat(
         &self,
         prompt: &str,
@@ -165,17 +166,20 @@
     }
 }
 
-/// The prompt that the engines see of a chat with one message of the user.
+/// Returns the prompt that engines receive for a chat with a single user message.
 pub(crate) fn chat_prompt(prompt: &str) -> String {
     format!("user: {prompt}\nassistant:")
 }
 
 fn request_id(res: &Response) -> String {
-    let id = res.headers().get(REQUEST_ID).and_then(|v| v.to_str().ok());
+    let id = res
+        .headers()
+        .get(REQUEST_ID_HEADER)
+        .and_then(|v| v.to_str().ok());
     id.expect("each answer names its request").to_owned()
 }
 
-fn failed(request: String, error: Box<ErrorBody>) -> Answer {
+fn refused_answer(request: String, error: Box<ErrorBody>) -> Answer {
     Answer {
         request,
         text: String::new(),
@@ -184,32 +188,32 @@
 }
 
 impl Streamed {
-    fn of(res: Response, chat: bool) -> Streamed {
+    fn of(res: Response, is_chat: bool) -> Streamed {
         assert_eq!(res.status(), StatusCode::OK, "a stream begins");
         Streamed {
             request: request_id(&res),
-            chat,
+            is_chat,
             res,
-            buf: String::new(),
+            unparsed: String::new(),
             text: String::new(),
             finish: None,
             end: None,
         }
     }
 
-    /// Reads until this much text is there, or the stream has ended.
+    /// Reads until `count` tokens have arrived or the stream has ended. Returns the text so far.
     pub(crate) async fn read_tokens(&mut self, count: usize) -> &str {
         // The text of a token has four bytes; see `kelpworks_fakes::token_text`.
         while self.text.len() < 4 * count && self.end.is_none() {
-            self.event().await;
+            self.read_event().await;
         }
         &self.text
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the stream.
     pub(crate) async fn rest(mut self) -> Answer {
         while self.end.is_none() {
-            self.event().await;
+            self.read_event().await;
         }
         Answer {
             request: self.request,
@@ -218,27 +222,27 @@
         }
     }
 
-    async fn event(&mut self) {
-        while !self.buf.contains("\n\n") {
+    async fn read_event(&mut self) {
+        while !self.unparsed.contains("\n\n") {
             match self.res.chunk().await {
-                Ok(Some(bytes)) => self.buf.push_str(&String::from_utf8_lossy(&bytes)),
+                Ok(Some(bytes)) => self.unparsed.push_str(&String::from_utf8_lossy(&bytes)),
                 Ok(None) | Err(_) => {
                     self.end = Some(End::Cut);
                     return;
                 }
             }
         }
-        let at = self.buf.find("\n\n").expect("the loop ends with one");
-        let event: String = self.buf.drain(..at + 2).collect();
+        let event_len = self.unparsed.find("\n\n").expect("the loop ends with one");
+        let event: String = self.unparsed.drain(..event_len + 2).collect();
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         let Some(data) = field("data:").map(str::trim) else {
             return;
         };
         let kind = field("event:").map(str::trim);
-        self.take(kind, data);
+        self.apply_event(kind, data);
     }
 
-    fn take(&mut self, kind: Option<&str>, data: &str) {
+    fn apply_event(&mut self, kind: Option<&str>, data: &str) {
         if kind == Some("error") {
             let body = serde_json::from_str(data).expect("an error body");
             self.end = Some(End::Error(Box::new(body)));
@@ -249,7 +253,7 @@
             self.end = Some(End::Whole(finish));
             return;
         }
-        let (text, finish) = if self.chat {
+        let (text, finish) = if self.is_chat {
             let mut chunk: ChatChunk = serde_json::from_str(data).expect("a chunk");
             let choice = chunk.choices.remove(0);
             (
--- a/crates/kelpworks/tests/border_era.rs
+++ b/crates/kelpworks/tests/clients_era.rs
@@ -1,5 +1,5 @@
-//! An object API that comes back from an older copy: it has lost what it acknowledged since, and
-//! gives the revisions after it out again.
+//! Clients of an object API that was restored from a backup: writes acknowledged since the backup
+//! are lost, and their revisions are assigned again to other writes. Each restore begins a new era.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,9 +26,9 @@
 use tokio_util::sync::CancellationToken;
 
 const KIND: &str = "k";
-/// Far longer than any answer takes.
-const LONG: Duration = Duration::from_secs(10);
-const SHORT: Duration = Duration::from_millis(50);
+/// Upper bound of waits that are expected to end early.
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_DELAY: Duration = Duration::from_millis(50);
 
 async fn fake() -> fakes::ObjectApi {
     let api = fakes::ObjectApi::spawn(fakes::ObjectApiConfig::default()).await;
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_from_a_revision_that_was_given_out_again_misses_nothing() {
+async fn watch_from_reused_revision_expires_and_list_returns_new_objects() {
     let fake = fake().await;
     let eras = Eras::default();
     let api = client(&fake, &eras);
@@ -55,8 +55,9 @@
     let lost = put(&api, "lost", "1").await;
     fake.restore();
     fake.put(KIND, "new", "1");
-    // The new object has the revision of the lost one, so that the watch alone would show no change.
-    let watch = api.watch(KIND, lost, SHORT).await;
+    // The new object has the revision of the lost one, so a watch from that revision would not
+    // report it.
+    let watch = api.watch(KIND, lost, SHORT_DELAY).await;
     assert_eq!(watch, Err(Error::Expired));
     let list = api.list(KIND).await.expect("a list");
     let names: Vec<&str> = list.items.iter().map(|o| o.name.as_str()).collect();
@@ -66,22 +67,22 @@
 }
 
 #[tokio::test]
-async fn a_waiting_watch_ends_when_another_client_hears_of_a_later_era() {
+async fn pending_watch_expires_when_later_era_is_observed() {
     let fake = fake().await;
     let eras = Eras::default();
     let api = client(&fake, &eras);
     let version = put(&api, "kept", "1").await;
-    let watch = api.watch(KIND, version, LONG);
-    let heard = async {
-        tokio::time::sleep(SHORT).await;
+    let watch = api.watch(KIND, version, LONG_TIMEOUT);
+    let observe_later_era = async {
+        tokio::time::sleep(SHORT_DELAY).await;
         eras.observe(Era(1), EraSource::Peer);
     };
-    let (reply, ()) = tokio::join!(timeout(LONG / 2, watch), heard);
+    let (reply, ()) = tokio::join!(timeout(LONG_TIMEOUT / 2, watch), observe_later_era);
     assert_eq!(reply.expect("at once"), Err(Error::Expired));
 }
 
 #[tokio::test]
-async fn a_condition_of_an_earlier_era_is_not_sent() {
+async fn conditional_write_with_version_of_earlier_era_is_not_sent() {
     let fake = fake().await;
     let eras = Eras::default();
     let api = client(&fake, &eras);
@@ -97,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_write_that_a_revision_given_out_again_let_through_is_not_taken_for_ours() {
+async fn conditional_write_matched_by_reused_revision_is_reported_lost() {
     let fake = fake().await;
     let eras = Eras::default();
     let api = client(&fake, &eras);
@@ -118,19 +119,20 @@
 #[case::missing(None, Err(Error::Lost))]
 #[case::same(Some(Era(3)), Ok(Era(3)))]
 #[case::later(Some(Era(4)), Ok(Era(4)))]
-fn answers_count_by_their_era(
-    #[case] told: Option<Era>,
-    #[case] taken: std::result::Result<Era, Error>,
+fn responses_from_earlier_or_missing_era_are_lost(
+    #[case] response_era: Option<Era>,
+    #[case] expected: std::result::Result<Era, Error>,
 ) {
     let eras = Eras::default();
     eras.observe(Era(3), EraSource::Answer);
-    assert_eq!(eras.check_response_era(told), taken);
+    assert_eq!(eras.check_response_era(response_era), expected);
     assert!(eras.latest() >= Era(3), "never falls");
 }
 
-/// Nothing leads back from an era that one answer told by mistake, and peers would spread it.
+/// The latest era never decreases and is spread to peers, so one response with a wrong era must not
+/// raise it.
 #[test]
-fn an_era_that_skips_others_is_believed_when_told_twice_in_a_row() {
+fn era_that_skips_ahead_is_accepted_after_two_consecutive_responses() {
     let eras = Eras::default();
     assert_eq!(
         eras.check_response_era(Some(Era(3))),
@@ -158,15 +160,16 @@
 }
 
 #[test]
-fn an_api_without_eras_is_in_the_first() {
+fn api_without_eras_stays_in_first_era() {
     let eras = Eras::default();
     assert_eq!(eras.check_response_era(None), Ok(Era::FIRST));
     assert_eq!(eras.condition(Version::initial(7)), Ok(7));
 }
 
-/// Others wait until any lease of an earlier era has run out, so its holder must not go on.
+/// After a restore, other daemons wait until every lease of an earlier era has expired, so the
+/// holder of such a lease must stop using it.
 #[tokio::test]
-async fn a_lease_ends_as_soon_as_a_later_era_is_heard_of() {
+async fn lease_ends_when_later_era_is_observed_and_is_reacquired() {
     let fake = fake().await;
     let eras = Eras::default();
     let owner = Owner {
@@ -179,30 +182,33 @@
         poll_interval: Span::from_millis(100),
         ..lease::Config::default()
     };
-    let hold = Arc::new(LeaseHandle::new(cfg, owner));
-    let keeper = LeaseKeeper::new(client(&fake, &eras), Arc::clone(&hold));
-    let leave = CancellationToken::new();
-    let kept = {
-        let leave = leave.clone();
-        tokio::spawn(async move { keeper.run(&leave).await })
+    let handle = Arc::new(LeaseHandle::new(cfg, owner));
+    let keeper = LeaseKeeper::new(client(&fake, &eras), Arc::clone(&handle));
+    let shutdown = CancellationToken::new();
+    let keeper_task = {
+        let shutdown = shutdown.clone();
+        tokio::spawn(async move { keeper.run(&shutdown).await })
     };
-    let until = |is_held: bool| {
-        let hold = Arc::clone(&hold);
-        timeout(LONG, async move {
-            while hold.fencing_token().is_some() != is_held {
+    let wait_until_held = |is_held: bool| {
+        let handle = Arc::clone(&handle);
+        timeout(LONG_TIMEOUT, async move {
+            while handle.fencing_token().is_some() != is_held {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
     };
-    until(true).await.expect("it is free");
-    let before = hold.fencing_token().expect("held");
+    wait_until_held(true).await.expect("it is free");
+    let first_token = handle.fencing_token().expect("held");
     fake.restore();
     eras.observe(Era(1), EraSource::Peer);
-    until(false).await.expect("it ends");
-    until(true)
+    wait_until_held(false).await.expect("it ends");
+    wait_until_held(true)
         .await
         .expect("taken again once its time is over");
-    assert!(hold.fencing_token().expect("held") > before, "tokens rise");
-    leave.cancel();
-    kept.await.expect("no panic");
+    assert!(
+        handle.fencing_token().expect("held") > first_token,
+        "tokens rise"
+    );
+    shutdown.cancel();
+    keeper_task.await.expect("no panic");
 }
--- a/crates/kelpworks/tests/border_object_api.rs
+++ b/crates/kelpworks/tests/clients_object_api.rs
@@ -1,4 +1,5 @@
-//! The HTTP client of the object API before a server that answers, refuses, breaks off or is silent.
+//! The HTTP clients of the object API and of the host list, against a server that replies, refuses,
+//! closes the connection early or does not respond.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,47 +32,47 @@
 
 /// What the server does with each request.
 #[derive(Clone, Debug)]
-enum Answer {
-    /// A whole reply.
+enum ServerBehavior {
+    /// Sends this status and body.
     Reply(u16, &'static str),
-    /// A reply cut within its body.
+    /// Sends the start of a reply and closes the connection within the body.
     Cut,
-    /// The connection closes without a reply.
+    /// Closes the connection without a reply.
     Close,
-    /// No reply, on a connection that stays open.
-    Silence,
-    /// The first connection falls silent; those after it answer.
-    FirstSilent(&'static str),
+    /// Sends no reply and keeps the connection open.
+    NoReply,
+    /// Sends no reply on the first connection, and this body with status 200 on later ones.
+    NoReplyOnFirstConnection(&'static str),
 }
 
-/// Bound of calls that are meant to run into it.
-const SHORT: Duration = Duration::from_millis(200);
-/// Bound of calls that are meant to be answered, on however slow a machine.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout of calls that are expected to time out.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of calls that are expected to complete; long enough for a heavily loaded machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-impl Answer {
-    /// How long a client should wait for it.
-    fn bound(&self) -> Duration {
+impl ServerBehavior {
+    /// Returns the call timeout of clients of a server with this behavior.
+    fn client_timeout(&self) -> Duration {
         match self {
-            Answer::Silence | Answer::FirstSilent(_) => SHORT,
-            _ => LONG,
+            ServerBehavior::NoReply | ServerBehavior::NoReplyOnFirstConnection(_) => SHORT_TIMEOUT,
+            _ => LONG_TIMEOUT,
         }
     }
 }
 
-/// A server that gives each request the same answer.
+/// A server that treats all requests alike and records their request lines.
 struct Server {
-    bound: Duration,
+    client_timeout: Duration,
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Server {
-    async fn start(answer: Answer) -> Server {
+    async fn start(behavior: ServerBehavior) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Server {
-            bound: answer.bound(),
+            client_timeout: behavior.client_timeout(),
             address: listener.local_addr().unwrap(),
             connections: Arc::default(),
             requests: Arc::default(),
@@ -82,7 +83,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let number = connections.fetch_add(1, Ordering::SeqCst);
                 let requests = Arc::clone(&requests);
-                tokio::spawn(serve(stream, number, answer.clone(), requests));
+                tokio::spawn(serve_connection(stream, number, behavior.clone(), requests));
             }
         });
         server
@@ -94,46 +95,51 @@
 
     fn api(&self) -> HttpObjectApi {
         let deadlines = Deadlines {
-            connect: LONG,
-            call: self.bound,
-            watch_margin: self.bound,
+            connect: LONG_TIMEOUT,
+            call: self.client_timeout,
+            watch_margin: self.client_timeout,
         };
         HttpObjectApi::new(&self.url(), deadlines).unwrap()
     }
 }
 
-/// Answers the requests of one connection.
-async fn serve(
+/// Serves one connection. `number` counts connections from 0.
+async fn serve_connection(
     mut stream: TcpStream,
     number: usize,
-    answer: Answer,
+    behavior: ServerBehavior,
     requests: Arc<Mutex<Vec<String>>>,
 ) {
-    while let Some(head) = read_request(&mut stream).await {
-        requests.lock().unwrap().push(head);
-        let reply = match &answer {
-            Answer::Reply(status, body) => whole(*status, body),
-            Answer::FirstSilent(body) if number > 0 => whole(200, body),
-            Answer::Cut => whole(200, OBJECT)[..80].to_owned(),
-            Answer::Close => String::new(),
-            Answer::Silence | Answer::FirstSilent(_) => std::future::pending().await,
+    while let Some(request_line) = read_request_line(&mut stream).await {
+        requests.lock().unwrap().push(request_line);
+        let reply = match &behavior {
+            ServerBehavior::Reply(status, body) => http_response(*status, body),
+            ServerBehavior::NoReplyOnFirstConnection(body) if number > 0 => {
+                http_response(200, body)
+            }
+            ServerBehavior::Cut => http_response(200, OBJECT)[..80].to_owned(),
+            ServerBehavior::Close => String::new(),
+            ServerBehavior::NoReply | ServerBehavior::NoReplyOnFirstConnection(_) => {
+                std::future::pending().await
+            }
         };
-        let _gone = stream.write_all(reply.as_bytes()).await;
-        if matches!(answer, Answer::Cut | Answer::Close) {
+        let _client_gone = stream.write_all(reply.as_bytes()).await;
+        if matches!(behavior, ServerBehavior::Cut | ServerBehavior::Close) {
             return;
         }
     }
 }
 
-fn whole(status: u16, body: &str) -> String {
+fn http_response(status: u16, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// Reads one request and gives its first line; `None` when the client is gone.
-async fn read_request(stream: &mut TcpStream) -> Option<String> {
+/// Reads one request with its body and returns the request line, or `None` once the client has
+/// closed the connection.
+async fn read_request_line(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buf = [0; 4096];
     loop {
@@ -152,32 +158,38 @@
 }
 
 #[rstest]
-#[case::ok("ok", Answer::Reply(200, OBJECT))]
+#[case::ok("ok", ServerBehavior::Reply(200, OBJECT))]
 #[case::not_found(
     "not_found",
-    Answer::Reply(404, r#"{"code": "not_found", "message": ""}"#)
+    ServerBehavior::Reply(404, r#"{"code": "not_found", "message": ""}"#)
 )]
-#[case::conflict("conflict", Answer::Reply(409, CONFLICT))]
+#[case::conflict("conflict", ServerBehavior::Reply(409, CONFLICT))]
 #[case::too_large(
     "too_large",
-    Answer::Reply(413, r#"{"code": "too_large", "message": ""}"#)
+    ServerBehavior::Reply(413, r#"{"code": "too_large", "message": ""}"#)
 )]
 #[case::rate(
     "rate",
-    Answer::Reply(429, r#"{"code": "too_many_requests", "message": ""}"#)
+    ServerBehavior::Reply(429, r#"{"code": "too_many_requests", "message": ""}"#)
+)]
+#[case::out(
+    "out",
+    ServerBehavior::Reply(503, r#"{"code": "unavailable", "message": ""}"#)
 )]
-#[case::out("out", Answer::Reply(503, r#"{"code": "unavailable", "message": ""}"#))]
-#[case::bare_rate("bare_rate", Answer::Reply(429, "slow down"))]
-#[case::bare_gateway("bare_gateway", Answer::Reply(502, "bad gateway"))]
-#[case::bare_out("bare_out", Answer::Reply(503, ""))]
-#[case::redirect("redirect", Answer::Reply(302, ""))]
-#[case::not_json("not_json", Answer::Reply(200, "hello"))]
-#[case::cut("cut", Answer::Cut)]
-#[case::close("close", Answer::Close)]
-#[case::silence("silence", Answer::Silence)]
+#[case::bare_rate("bare_rate", ServerBehavior::Reply(429, "slow down"))]
+#[case::bare_gateway("bare_gateway", ServerBehavior::Reply(502, "bad gateway"))]
+#[case::bare_out("bare_out", ServerBehavior::Reply(503, ""))]
+#[case::redirect("redirect", ServerBehavior::Reply(302, ""))]
+#[case::not_json("not_json", ServerBehavior::Reply(200, "hello"))]
+#[case::cut("cut", ServerBehavior::Cut)]
+#[case::close("close", ServerBehavior::Close)]
+#[case::silence("silence", ServerBehavior::NoReply)]
 #[tokio::test]
-async fn a_write_is_told_whether_it_may_have_run(#[case] name: &str, #[case] answer: Answer) {
-    let server = Server::start(answer).await;
+async fn write_result_says_whether_it_may_have_run(
+    #[case] name: &str,
+    #[case] behavior: ServerBehavior,
+) {
+    let server = Server::start(behavior).await;
     let written = server
         .api()
         .put(
@@ -200,8 +212,8 @@
 }
 
 #[tokio::test]
-async fn requests_have_the_form_of_the_api() {
-    let server = Server::start(Answer::Reply(200, OBJECT)).await;
+async fn requests_match_http_api() {
+    let server = Server::start(ServerBehavior::Reply(200, OBJECT)).await;
     let api = server.api();
     let _a = api.get("k", "a/b c").await;
     let _b = api.put("k", "n", String::new(), Condition::Always).await;
@@ -222,8 +234,9 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_sent_nothing() {
-    // Bound and never listened on, so that the port stays closed and goes to no other test.
+async fn refused_connection_reports_not_sent() {
+    // A socket that is bound but not listening refuses connections and keeps other tests from
+    // getting the port.
     let closed = TcpSocket::new_v4().unwrap();
     closed.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let url = format!("http://{}", closed.local_addr().unwrap());
@@ -234,17 +247,24 @@
     assert_eq!(hosts.hosts().await, Err(host_list::Error::NotSent));
 }
 
-/// A silent watch is told from an outage, and a new connection gets through.
+/// A watch without any reply fails as silent rather than unavailable, and after a reset the next
+/// watch succeeds on a new connection.
 #[tokio::test]
-async fn a_silent_watch_is_reopened_on_a_new_connection() {
-    let server = Server::start(Answer::FirstSilent(r#"{"events": [], "version": 12}"#)).await;
+async fn watch_after_silence_uses_new_connection() {
+    let server = Server::start(ServerBehavior::NoReplyOnFirstConnection(
+        r#"{"events": [], "version": 12}"#,
+    ))
+    .await;
     let api = server.api();
     let silent = api
         .watch("k", Version::initial(4), Duration::from_millis(10))
         .await;
     assert_eq!(silent, Err(Error::Silent));
     api.reset_connections();
-    let bookmark = api.watch("k", Version::initial(4), LONG).await.unwrap();
+    let bookmark = api
+        .watch("k", Version::initial(4), LONG_TIMEOUT)
+        .await
+        .unwrap();
     assert_eq!(
         (bookmark.events.len(), bookmark.version),
         (0, Version::initial(12))
@@ -252,10 +272,10 @@
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
 }
 
-/// Kept connections are left behind even when they would still answer.
+/// A reset also drops idle connections that still work.
 #[tokio::test]
-async fn fresh_opens_a_new_connection() {
-    let server = Server::start(Answer::Reply(200, OBJECT)).await;
+async fn reset_connections_drops_idle_connections() {
+    let server = Server::start(ServerBehavior::Reply(200, OBJECT)).await;
     let api = server.api();
     let _a = api.get("k", "n").await;
     api.reset_connections();
@@ -264,17 +284,20 @@
 }
 
 #[rstest]
-#[case::ok("hosts_ok", Answer::Reply(200, r#"{"version": 3, "hosts": []}"#))]
-#[case::out("hosts_out", Answer::Reply(503, ""))]
-#[case::not_a_list("hosts_not_a_list", Answer::Reply(200, "[]"))]
-#[case::close("hosts_close", Answer::Close)]
-#[case::silence("hosts_silence", Answer::Silence)]
+#[case::ok(
+    "hosts_ok",
+    ServerBehavior::Reply(200, r#"{"version": 3, "hosts": []}"#)
+)]
+#[case::out("hosts_out", ServerBehavior::Reply(503, ""))]
+#[case::not_a_list("hosts_not_a_list", ServerBehavior::Reply(200, "[]"))]
+#[case::close("hosts_close", ServerBehavior::Close)]
+#[case::silence("hosts_silence", ServerBehavior::NoReply)]
 #[tokio::test]
-async fn host_list_answers(#[case] name: &str, #[case] answer: Answer) {
-    let server = Server::start(answer).await;
+async fn host_list_result_or_error(#[case] name: &str, #[case] behavior: ServerBehavior) {
+    let server = Server::start(behavior).await;
     let deadlines = host_list::Deadlines {
-        connect: LONG,
-        call: server.bound,
+        connect: LONG_TIMEOUT,
+        call: server.client_timeout,
     };
     let api = HttpHostList::new(&server.url(), deadlines).unwrap();
     let text = match api.hosts().await {
@@ -288,7 +311,7 @@
 #[case("10.0.0.1:8000")]
 #[case("mailto:a@b")]
 #[case("")]
-fn urls_are_refused(#[case] url: &str) {
+fn invalid_urls_are_refused(#[case] url: &str) {
     let api = HttpObjectApi::new(url, Deadlines::default());
     assert_eq!(api.err(), Some(Error::Url));
     let hosts = HttpHostList::new(url, host_list::Deadlines::default());
--- a/crates/kelpworks/tests/config_accept.rs
+++ b/crates/kelpworks/tests/config_accept.rs
@@ -1,4 +1,5 @@
-//! Acceptance of a register and of rules over an object API that fails and races.
+//! Acceptance of a register and of rules through an object API with injected faults and concurrent
+//! changes.
 
 mod support;
 
@@ -17,9 +18,9 @@
 use kelpworks::config::head::digest_of;
 use kelpworks_coord::head::Part;
 use kelpworks_coord::id::Digest;
+use support::CompetingChange;
 use support::Fault;
 use support::MemoryApi;
-use support::Rival;
 
 const RETRY: RetryPolicy = RetryPolicy {
     attempts: 4,
@@ -27,7 +28,7 @@
     timeout: Duration::from_secs(2),
 };
 
-/// A register with these models and one host that carries them all.
+/// Proposes a register with these models and one host that serves them all.
 fn register(models: &[&str]) -> Proposal {
     Proposal::new(PartKind::Register, "register.toml", register_text(models))
 }
@@ -49,7 +50,7 @@
     text
 }
 
-/// Rules with this share, and a match that names this model.
+/// Proposes rules with this trial share and a non-idempotent entry for this model.
 fn rules(share: &str, model: &str) -> Proposal {
     Proposal::new(PartKind::Rules, "rules.toml", rules_text(share, model))
 }
@@ -63,8 +64,9 @@
     )
 }
 
-/// An API with a register of `caption` and `report` and rules, at generation 2.
-async fn prepared() -> MemoryApi {
+/// Returns an API that holds a register of `caption` and `report` (generation 1) and rules
+/// (generation 2).
+async fn api_at_generation_2() -> MemoryApi {
     let api = MemoryApi::default();
     let first = accept(&api, &register(&["caption", "report"]), RETRY).await;
     assert_eq!(first, Ok(accepted(1)));
@@ -85,8 +87,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_change_is_one_generation() {
-    let api = prepared().await;
+async fn each_change_adds_one_generation() {
+    let api = api_at_generation_2().await;
     let head = api.head();
     assert_eq!(head.generation.0, 2);
     assert_eq!(
@@ -109,8 +111,8 @@
 #[case::unknown_model("unknown_model", rules("0.1", "poem"))]
 #[case::share("share", rules("1.5", "caption"))]
 #[tokio::test(start_paused = true)]
-async fn a_refused_text_changes_nothing(#[case] name: &str, #[case] proposal: Proposal) {
-    let api = prepared().await;
+async fn refused_proposal_leaves_objects_unchanged(#[case] name: &str, #[case] proposal: Proposal) {
+    let api = api_at_generation_2().await;
     let before = api.objects();
     let error = accept(&api, &proposal, RETRY).await.unwrap_err();
     assert_snapshot!(name, error.to_string());
@@ -118,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rules_need_a_register() {
+async fn rules_without_register_are_refused() {
     let api = MemoryApi::default();
     let error = accept(&api, &rules("0.1", "caption"), RETRY).await;
     assert_eq!(error, Err(Error::NoRegister));
@@ -126,8 +128,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_plan_changes_nothing() {
-    let api = prepared().await;
+async fn plan_leaves_objects_unchanged() {
+    let api = api_at_generation_2().await;
     let before = api.objects();
     let register_plan = plan(&api, &register(&["caption", "poem"]), RETRY)
         .await
@@ -138,7 +140,7 @@
     assert_eq!(api.objects(), before);
 }
 
-/// Faults of single calls that leave the outcome the same: accepted once, at generation 3.
+/// Despite these faults the proposal is accepted exactly once, as generation 3.
 #[rstest]
 #[case::swap_lost_after_effect(vec![Fault::LostAfterEffect])]
 #[case::swap_lost_before_effect(vec![Fault::LostBeforeEffect])]
@@ -146,57 +148,65 @@
 #[case::swap_not_sent(vec![Fault::NotSent])]
 #[case::over_rate(vec![Fault::OverRate])]
 #[case::out_then_lost(vec![Fault::Unavailable, Fault::LostAfterEffect])]
-#[case::lost_then_out(vec![Fault::LostThenOut])]
+#[case::lost_then_out(vec![Fault::LostThenUnavailable])]
 #[case::lost_then_refused(vec![Fault::LostBeforeEffect, Fault::Unavailable])]
 #[tokio::test(start_paused = true)]
-async fn single_faults_are_settled(#[case] faults: Vec<Fault>) {
-    let api = prepared().await;
+async fn head_write_faults_within_retry_limit_are_recovered(#[case] faults: Vec<Fault>) {
+    let api = api_at_generation_2().await;
     let count = faults.len();
-    api.script(faults);
+    api.script_head_faults(faults);
     let outcome = accept(&api, &rules("0.2", "caption"), RETRY).await;
     assert_eq!(outcome, Ok(accepted(3)));
     assert_eq!(api.head().generation.0, 3);
-    assert_eq!(api.faults_left(), 0, "{count} faults were meant to strike");
+    assert_eq!(
+        api.pending_faults(),
+        0,
+        "{count} faults were meant to strike"
+    );
 }
 
-/// What the other operator does just before this one's swap arrives.
+/// Change that another operator makes around this operator's head write.
 #[derive(Clone, Copy, Debug)]
 enum Race {
-    /// Changes the register in a way that the rules still fit.
+    /// Adds a model to the register; the rules in force stay valid.
     Register,
-    /// Changes the register so that the rules no longer fit.
-    RegisterWithoutReport,
-    /// Changes the rules.
+    /// Removes the model `report` from the register, so that rules that name it become invalid.
+    RegisterBreakingRules,
+    /// Applies rules that differ from this operator's.
     Rules,
-    /// Applies the very same rules.
+    /// Applies the same rules as this operator.
     SameRules,
-    /// Applies the rules that were in force at first.
-    RulesFromBefore,
+    /// Applies the rules of generation 2 again.
+    PreviousRules,
 }
 
-fn rival(race: Race) -> Rival {
-    let (which, text) = match race {
+fn competing_change(race: Race) -> CompetingChange {
+    let (part_kind, text) = match race {
         Race::Register => (
             PartKind::Register,
             register_text(&["caption", "report", "poem"]),
         ),
-        Race::RegisterWithoutReport => (PartKind::Register, register_text(&["caption"])),
+        Race::RegisterBreakingRules => (PartKind::Register, register_text(&["caption"])),
         Race::Rules => (PartKind::Rules, rules_text("0.3", "caption")),
         Race::SameRules => (PartKind::Rules, rules_text("0.2", "report")),
-        Race::RulesFromBefore => (PartKind::Rules, rules_text("0.1", "caption")),
+        Race::PreviousRules => (PartKind::Rules, rules_text("0.1", "caption")),
     };
-    Rival { which, text }
+    CompetingChange { part_kind, text }
 }
 
 #[rstest]
 #[case::rebased("race_rebased", Race::Register, 4)]
-#[case::pair_unfit("race_pair_unfit", Race::RegisterWithoutReport, 3)]
+#[case::pair_unfit("race_pair_unfit", Race::RegisterBreakingRules, 3)]
 #[case::conflict("race_conflict", Race::Rules, 3)]
 #[case::same_text("race_same_text", Race::SameRules, 3)]
 #[tokio::test(start_paused = true)]
-async fn races(#[case] name: &str, #[case] race: Race, #[case] generation: u64) {
-    let api = prepared().await;
-    api.rival_at_next_swap(rival(race));
+async fn concurrent_change_before_head_write_is_rebased_or_refused(
+    #[case] name: &str,
+    #[case] race: Race,
+    #[case] generation: u64,
+) {
+    let api = api_at_generation_2().await;
+    api.change_before_next_head_write(competing_change(race));
     let outcome = accept(&api, &rules("0.2", "report"), RETRY).await;
     assert_eq!(api.head().generation.0, generation);
     let text = match outcome {
@@ -206,16 +216,17 @@
     assert_snapshot!(name, text);
 }
 
-/// Both registers and rules, from several operators at once: one generation each, none lost.
+/// A register and rules are proposed at the same time in each round. Each accepted change gets a
+/// generation of its own and none is lost.
 #[tokio::test(start_paused = true)]
-async fn crowd_of_operators() {
-    let api = prepared().await;
+async fn concurrent_register_and_rules_changes_are_all_accepted() {
+    let api = api_at_generation_2().await;
     let share = |i: u32| format!("0.{i}");
     let mut generations = Vec::new();
     for i in 2..6 {
-        let (model_a, model_b) = (format!("extra-{i}"), "caption");
-        let new_register = register(&["caption", "report", &model_a]);
-        let new_rules = rules(&share(i), model_b);
+        let (extra_model, rules_model) = (format!("extra-{i}"), "caption");
+        let new_register = register(&["caption", "report", &extra_model]);
+        let new_rules = rules(&share(i), rules_model);
         let (a, b) = tokio::join!(
             accept(&api, &new_register, RETRY),
             accept(&api, &new_rules, RETRY)
@@ -228,15 +239,16 @@
     assert_eq!(api.head().generation.0, 10);
 }
 
-/// The swap took effect, its reply was lost, and another operator's change followed.
+/// The head write takes effect, its reply is lost, and another operator changes the head before it
+/// is read back.
 #[rstest]
 #[case::other_part("after_lost_other_part", Race::Register)]
 #[case::same_part("after_lost_same_part", Race::Rules)]
 #[tokio::test(start_paused = true)]
-async fn a_change_after_a_lost_reply(#[case] name: &str, #[case] race: Race) {
-    let api = prepared().await;
-    api.script(vec![Fault::LostAfterEffect]);
-    api.rival_after_next_swap(rival(race));
+async fn change_by_another_operator_follows_lost_reply(#[case] name: &str, #[case] race: Race) {
+    let api = api_at_generation_2().await;
+    api.script_head_faults(vec![Fault::LostAfterEffect]);
+    api.change_after_next_head_write(competing_change(race));
     let outcome = accept(&api, &rules("0.2", "report"), RETRY).await;
     assert_eq!(api.head().generation.0, 4);
     let text = match outcome {
@@ -246,12 +258,13 @@
     assert_snapshot!(name, text);
 }
 
-/// The reply was lost, and the rival went back to the text from before: it is not overwritten.
+/// The reply of the head write is lost and another operator then reapplies the previous rules.
+/// Without the check, the retry would overwrite that newer change.
 #[tokio::test(start_paused = true)]
-async fn a_revert_after_a_lost_reply_stands() {
-    let api = prepared().await;
-    api.script(vec![Fault::LostAfterEffect]);
-    api.rival_after_next_swap(rival(Race::RulesFromBefore));
+async fn revert_by_another_operator_after_lost_reply_is_kept() {
+    let api = api_at_generation_2().await;
+    api.script_head_faults(vec![Fault::LostAfterEffect]);
+    api.change_after_next_head_write(competing_change(Race::PreviousRules));
     let outcome = accept(&api, &rules("0.2", "caption"), RETRY).await;
     assert!(
         matches!(outcome, Err(Error::Superseded { generation: 4, .. })),
@@ -268,22 +281,23 @@
 #[case::cut_for_good(Fault::NotSent, false)]
 #[case::lost_for_good(Fault::LostBeforeEffect, true)]
 #[tokio::test(start_paused = true)]
-async fn an_outage_ends_in_an_error(#[case] fault: Fault, #[case] unsettled: bool) {
-    let api = prepared().await;
-    api.script(vec![fault; 10_000]);
+async fn permanent_fault_ends_in_error(#[case] fault: Fault, #[case] expect_unsettled: bool) {
+    let api = api_at_generation_2().await;
+    api.script_head_faults(vec![fault; 10_000]);
     let error = accept(&api, &rules("0.2", "caption"), RETRY)
         .await
         .unwrap_err();
-    assert_eq!(error == Error::Unsettled, unsettled, "{error:?}");
+    assert_eq!(error == Error::Unsettled, expect_unsettled, "{error:?}");
     assert_eq!(api.head().generation.0, 2);
 }
 
-/// A conflict that does not show the head is settled by reading it.
+/// After a conflict error without the current head, the head is read. A stale read (older than the
+/// conflict implies) is not used as the base of another write.
 #[tokio::test(start_paused = true)]
-async fn a_bare_conflict_is_read_back() {
-    let api = prepared().await;
-    api.hide_current();
-    api.rival_at_next_swap(rival(Race::Register));
+async fn conflict_without_current_head_is_resolved_by_read() {
+    let api = api_at_generation_2().await;
+    api.omit_current_in_conflicts();
+    api.change_before_next_head_write(competing_change(Race::Register));
     let outcome = accept(&api, &rules("0.2", "report"), RETRY).await;
     assert_eq!(outcome, Ok(accepted(4)));
 
@@ -297,10 +311,10 @@
     );
 }
 
-/// Reads answer from generation 1 while generation 2 is in force.
+/// Reads return generation 1 while generation 2 is current.
 #[tokio::test(start_paused = true)]
-async fn an_older_answer_never_takes_the_head_back() {
-    let api = prepared().await;
+async fn stale_head_read_does_not_revert_head() {
+    let api = api_at_generation_2().await;
     api.freeze_reads_at_generation(1);
     let outcome = accept(&api, &register(&["caption", "poem"]), RETRY).await;
     assert_eq!(outcome, Ok(accepted(3)));
@@ -317,8 +331,8 @@
 #[case::missing("blob_missing", None)]
 #[case::damaged("blob_damaged", Some("other"))]
 #[tokio::test(start_paused = true)]
-async fn a_damaged_store_is_not_built_upon(#[case] name: &str, #[case] body: Option<&str>) {
-    let api = prepared().await;
+async fn missing_or_damaged_blob_refuses_proposal(#[case] name: &str, #[case] body: Option<&str>) {
+    let api = api_at_generation_2().await;
     let digest = digest_of(&register_text(&["caption", "report"]));
     api.replace_blob(digest, body);
     let error = accept(&api, &rules("0.2", "caption"), RETRY)
--- a/crates/kelpworks/tests/support/mod.rs
+++ b/crates/kelpworks/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! An object API in memory, with faults of head writes, rivals and reads out of date.
+//! An in-memory object API that injects failed head writes, concurrent changes by another operator
+//! and stale reads of the head.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -28,36 +29,38 @@
 use kelpworks_coord::id::Nonce;
 use kelpworks_coord::id::Version;
 
-/// What befalls one write of the head.
+/// Failure of one write of the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It takes effect and its reply is lost.
+    /// The write takes effect and its reply is lost.
     LostAfterEffect,
-    /// As [`Fault::LostAfterEffect`], and some reads of the head after it are refused.
-    LostThenOut,
-    /// It is lost on its way.
+    /// As [`Fault::LostAfterEffect`], and the next [`REFUSED_HEAD_READS`] reads of the head fail as
+    /// unavailable.
+    LostThenUnavailable,
+    /// The request is lost, so the write does not take effect; the client can't tell.
     LostBeforeEffect,
-    /// No connection.
+    /// No connection was established, so the client knows that nothing was written.
     NotSent,
-    /// Refused for its rate.
+    /// Refused by the rate limit.
     OverRate,
-    /// Refused in an outage.
+    /// Refused as unavailable.
     Unavailable,
 }
 
-/// Another operator's change.
+/// A change that another operator makes concurrently.
 #[derive(Clone, Debug)]
-pub(crate) struct Rival {
-    /// The part that it changes.
-    pub(crate) which: PartKind,
-    /// The new text.
+pub(crate) struct CompetingChange {
+    /// Part of the configuration that the change replaces.
+    pub(crate) part_kind: PartKind,
+    /// New text of the part.
     pub(crate) text: String,
 }
 
-/// Reads of the head that [`Fault::LostThenOut`] refuses.
-const REFUSED_READS: usize = 3;
-/// Nonces of rivals start here.
-const RIVAL: u64 = 1_000;
+/// Number of head reads that [`Fault::LostThenUnavailable`] refuses.
+const REFUSED_HEAD_READS: usize = 3;
+/// Added to the generation for the nonce of a competing change, so that it differs from the nonces
+/// of the operator under test.
+const FIRST_COMPETING_NONCE: u64 = 1_000;
 
 type Key = (String, String);
 
@@ -65,16 +68,16 @@
 struct State {
     objects: BTreeMap<Key, Object>,
     version: u64,
-    faults: VecDeque<Fault>,
-    heads: Vec<Object>,
-    frozen: Option<u64>,
-    refused_reads: usize,
-    hides_current: bool,
-    before: Option<Rival>,
-    after: Option<Rival>,
+    head_write_faults: VecDeque<Fault>,
+    head_history: Vec<Object>,
+    frozen_head_generation: Option<u64>,
+    refused_head_reads: usize,
+    omits_current: bool,
+    before_head_write: Option<CompetingChange>,
+    after_head_write: Option<CompetingChange>,
 }
 
-/// The object API in memory.
+/// Object API over a map; only writes of the head are subject to [`Fault`]s.
 #[derive(Default)]
 pub(crate) struct MemoryApi {
     state: Mutex<State>,
@@ -94,38 +97,39 @@
         self.state.lock().expect("no panic under the lock")
     }
 
-    /// Faults of the next writes of the head, in order.
-    pub(crate) fn script(&self, faults: Vec<Fault>) {
-        self.state().faults = faults.into();
+    /// Sets the faults of the next head writes, in order. Replaces those set before.
+    pub(crate) fn script_head_faults(&self, faults: Vec<Fault>) {
+        self.state().head_write_faults = faults.into();
     }
 
-    /// Faults that have not struck yet.
-    pub(crate) fn faults_left(&self) -> usize {
+    /// Returns the number of head writes and head reads that are still to fail.
+    pub(crate) fn pending_faults(&self) -> usize {
         let state = self.state();
-        state.faults.len() + state.refused_reads
+        state.head_write_faults.len() + state.refused_head_reads
     }
 
-    /// Another operator is accepted just before the next write of the head.
-    pub(crate) fn rival_at_next_swap(&self, rival: Rival) {
-        self.state().before = Some(rival);
+    /// Applies another operator's change just before the next head write.
+    pub(crate) fn change_before_next_head_write(&self, competing_change: CompetingChange) {
+        self.state().before_head_write = Some(competing_change);
     }
 
-    /// Another operator is accepted just after the next write of the head.
-    pub(crate) fn rival_after_next_swap(&self, rival: Rival) {
-        self.state().after = Some(rival);
+    /// Applies another operator's change just after the next head write.
+    pub(crate) fn change_after_next_head_write(&self, competing_change: CompetingChange) {
+        self.state().after_head_write = Some(competing_change);
     }
 
-    /// Reads of the head answer this generation from now on; writes see the newest.
+    /// Makes all later reads of the head return this generation; writes are still checked against
+    /// the newest.
     pub(crate) fn freeze_reads_at_generation(&self, generation: u64) {
-        self.state().frozen = Some(generation);
+        self.state().frozen_head_generation = Some(generation);
     }
 
-    /// Conflicts no longer show the object that stood in the way.
-    pub(crate) fn hide_current(&self) {
-        self.state().hides_current = true;
+    /// Makes conflict errors omit the current object.
+    pub(crate) fn omit_current_in_conflicts(&self) {
+        self.state().omits_current = true;
     }
 
-    /// Replaces the body of a blob, or removes it.
+    /// Replaces the body of a blob, or removes the blob if `body` is `None`.
     pub(crate) fn replace_blob(&self, digest: Digest, body: Option<&str>) {
         let key = (BLOB_KIND.to_owned(), digest.to_string());
         let mut state = self.state();
@@ -135,12 +139,12 @@
         }
     }
 
-    /// The head in force.
+    /// Returns the newest head, also while reads are stale.
     pub(crate) fn head(&self) -> Head {
         parse(&self.state().objects[&head_key()].body).expect("a head")
     }
 
-    /// All objects.
+    /// Returns all objects, ordered by kind and name.
     pub(crate) fn objects(&self) -> Vec<Object> {
         self.state().objects.values().cloned().collect()
     }
@@ -154,7 +158,7 @@
             Condition::Version(v) => current.as_ref().is_some_and(|c| c.version == v),
         };
         if !holds {
-            let current = current.filter(|_| !state.hides_current).map(Box::new);
+            let current = current.filter(|_| !state.omits_current).map(Box::new);
             return Err(Error::Conflict { current });
         }
         state.version += 1;
@@ -165,15 +169,15 @@
             body,
         };
         if key == head_key() {
-            state.heads.push(object.clone());
+            state.head_history.push(object.clone());
         }
         state.objects.insert(key, object.clone());
         Ok(object)
     }
 
-    /// Accepts the rival's text as one more generation.
-    fn admit(&self, rival: Option<Rival>) {
-        let Some(Rival { which, text }) = rival else {
+    /// Writes the change's blob and a head with the next generation that refers to it.
+    fn apply_competing_change(&self, competing_change: Option<CompetingChange>) {
+        let Some(CompetingChange { part_kind, text }) = competing_change else {
             return;
         };
         let digest = digest_of(&text);
@@ -182,14 +186,14 @@
         let part = Some(Part {
             digest,
             since: head.generation,
-            nonce: Nonce(RIVAL + head.generation.0),
+            nonce: Nonce(FIRST_COMPETING_NONCE + head.generation.0),
         });
-        match which {
+        match part_kind {
             PartKind::Register => head.register = part,
             PartKind::Rules => head.rules = part,
         }
         let blob = (BLOB_KIND.to_owned(), digest.to_string());
-        let _there_already = self.write(blob, text, Condition::Absent);
+        let _may_exist = self.write(blob, text, Condition::Absent);
         let written = self.write(
             head_key(),
             to_body(&head).expect("a body"),
@@ -201,16 +205,20 @@
     fn write_head(&self, body: String, condition: Condition) -> Result<Object> {
         let (before, after, fault) = {
             let mut state = self.state();
-            let fault = state.faults.pop_front();
-            (state.before.take(), state.after.take(), fault)
+            let fault = state.head_write_faults.pop_front();
+            (
+                state.before_head_write.take(),
+                state.after_head_write.take(),
+                fault,
+            )
         };
-        self.admit(before);
+        self.apply_competing_change(before);
         let write = || self.write(head_key(), body.clone(), condition);
         let reply = match fault {
             None => write(),
             Some(Fault::LostAfterEffect) => write().and(Err(Error::Lost)),
-            Some(Fault::LostThenOut) => {
-                self.state().refused_reads = REFUSED_READS;
+            Some(Fault::LostThenUnavailable) => {
+                self.state().refused_head_reads = REFUSED_HEAD_READS;
                 write().and(Err(Error::Lost))
             }
             Some(Fault::LostBeforeEffect) => Err(Error::Lost),
@@ -218,7 +226,7 @@
             Some(Fault::OverRate) => Err(Error::OverRate),
             Some(Fault::Unavailable) => Err(Error::Unavailable),
         };
-        self.admit(after);
+        self.apply_competing_change(after);
         reply
     }
 }
@@ -228,12 +236,12 @@
         let key = (kind.to_owned(), name.to_owned());
         tokio::task::yield_now().await;
         let mut state = self.state();
-        if key == head_key() && state.refused_reads > 0 {
-            state.refused_reads -= 1;
+        if key == head_key() && state.refused_head_reads > 0 {
+            state.refused_head_reads -= 1;
             return Err(Error::Unavailable);
         }
-        if let Some(frozen) = state.frozen.filter(|_| key == head_key()) {
-            let old = state.heads.iter().rfind(|h| generation(h) == frozen);
+        if let Some(frozen) = state.frozen_head_generation.filter(|_| key == head_key()) {
+            let old = state.head_history.iter().rfind(|h| generation(h) == frozen);
             return old.cloned().ok_or(Error::NotFound);
         }
         state.objects.get(&key).cloned().ok_or(Error::NotFound)
