--- a/crates/kelpworks/tests/claims_support/mod.rs
+++ b/crates/kelpworks/tests/claims_support/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons beside stand-ins, and calls whose runs are counted.
+//! Daemons in front of fake upstreams that record in ledgers which calls ran.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -54,20 +54,20 @@
 
 pub(crate) const MODEL: &str = "report";
 pub(crate) const TOKENS: [&str; 2] = ["token-0", "token-1"];
-/// Path of the claim objects on the object API.
-pub(crate) const CLAIMS: &str = "/objects/kelpworks.claim";
-/// Path of the call that runs at most once, below its service.
-pub(crate) const CERTIFICATES: &str = "/certificates";
+/// Path prefix of claim objects on the object API.
+pub(crate) const CLAIMS_PATH: &str = "/objects/kelpworks.claim";
+/// Path of the non-idempotent call, below the service.
+pub(crate) const NON_IDEMPOTENT_PATH: &str = "/certificates";
 
 const TEAM_NAMES: [&str; 2] = ["inspectors", "contractors"];
-const FREE: &str = "127.0.0.1:0";
-const POLL: Duration = Duration::from_millis(5);
-/// Longest wait for something that comes at once on an idle machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+const ANY_PORT: &str = "127.0.0.1:0";
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of waits; long, as the awaited events take milliseconds on an idle machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer, as far as tests look at it.
+/// The parts of an HTTP response that tests check. The flags say whether the header is present.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Got {
+pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) verdict: Option<String>,
     pub(crate) replayed: bool,
@@ -75,13 +75,13 @@
     pub(crate) body: Bytes,
 }
 
-impl Got {
-    pub(crate) async fn of(res: Response) -> Got {
+impl Answer {
+    pub(crate) async fn of(res: Response) -> Answer {
         let header = |name: &str| {
             let value = res.headers().get(name).and_then(|v| v.to_str().ok());
             value.map(str::to_owned)
         };
-        Got {
+        Answer {
             status: res.status().as_u16(),
             verdict: header("kelpworks-verdict"),
             replayed: header("kelpworks-replayed").is_some(),
@@ -90,22 +90,22 @@
         }
     }
 
-    /// Status and verdict on one line.
-    pub(crate) fn line(&self) -> String {
+    /// Returns the status and the verdict, or `-` without one, separated by a space.
+    pub(crate) fn status_and_verdict(&self) -> String {
         let verdict = self.verdict.as_deref().unwrap_or("-");
         format!("{} {verdict}", self.status)
     }
 }
 
-/// A daemon on a runtime of its own, so that it can go without a word.
-pub(crate) struct Host {
+/// A daemon on a runtime of its own, so that a test can stop it without any shutdown.
+pub(crate) struct DaemonHost {
     pub(crate) daemon: Option<Daemon>,
     pub(crate) base: String,
     runtime: Option<Runtime>,
 }
 
-impl Host {
-    async fn start(settings: Settings) -> Host {
+impl DaemonHost {
+    async fn start(settings: Settings) -> DaemonHost {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -117,82 +117,87 @@
         });
         let daemon = starting.await.expect("no panic").expect("a daemon");
         let operators = daemon.bound_addresses().operators;
-        until(async || {
+        wait_until(async || {
             let ready = reqwest::get(format!("http://{operators}/readyz")).await;
             ready.is_ok_and(|r| r.status().is_success()).then_some(())
         })
         .await;
-        Host {
+        DaemonHost {
             base: format!("http://{}", daemon.bound_addresses().callers),
             daemon: Some(daemon),
             runtime: Some(runtime),
         }
     }
 
-    /// Ends the daemon at once: its tasks stop where they are.
+    /// Simulates a crash: shuts the runtime down without stopping the daemon.
     pub(crate) fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop and returns at once.
     pub(crate) fn stop(&mut self) {
         let daemon = self.daemon.take().expect("not stopped yet");
         let runtime = self.runtime.as_ref().expect("not killed");
         runtime.spawn(daemon.stop());
     }
 
-    /// A planned stop to its end, and that of the daemon's process.
-    pub(crate) async fn stop_whole(&mut self) {
+    /// Runs a planned stop to its end and then shuts the runtime down, as the end of the process
+    /// would.
+    pub(crate) async fn stop_and_wait(&mut self) {
         let daemon = self.daemon.take().expect("not stopped yet");
         let runtime = self.runtime.as_ref().expect("not killed");
         runtime.spawn(daemon.stop()).await.expect("no panic");
         self.kill();
     }
 
-    /// Begins a stop that ends what is in flight.
-    pub(crate) fn stop_at_once(&mut self) {
+    /// Begins a stop that aborts calls in flight.
+    pub(crate) fn stop_and_abort_in_flight(&mut self) {
         let abort = self.daemon.as_ref().map(Daemon::abort);
         self.stop();
         abort.expect("not stopped yet").cancel();
     }
 }
 
-impl Drop for Host {
+impl Drop for DaemonHost {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// Stand-ins and daemons.
-pub(crate) struct Bench {
+/// A fake fleet and the daemons in front of it.
+pub(crate) struct TestBed {
     pub(crate) fakes: FakeFleet,
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) hosts: Vec<DaemonHost>,
     pub(crate) model: Model,
     pub(crate) client: Client,
 }
 
-impl Bench {
-    /// `timing` is the body of that table of the settings; `state_poll` is long already, so that
-    /// the upstreams' health changes by what requests see only.
-    pub(crate) async fn start(daemons: usize, timing: &str) -> Bench {
-        Bench::start_with(daemons, timing, &[]).await
+impl TestBed {
+    /// Starts fakes and daemons. `timing` is added to the `[timing]` table of the settings, where
+    /// `state_poll` is set to 60 s so that only requests change the health of upstreams.
+    pub(crate) async fn start(daemons: usize, timing: &str) -> TestBed {
+        TestBed::start_with_services(daemons, timing, &[]).await
     }
 
-    /// The same, with more services in the register.
-    pub(crate) async fn start_with(daemons: usize, timing: &str, more: &[ServiceView]) -> Bench {
+    /// As [`TestBed::start`], with extra services in the register.
+    pub(crate) async fn start_with_services(
+        daemons: usize,
+        timing: &str,
+        extra_services: &[ServiceView],
+    ) -> TestBed {
         let model = Model::new(MODEL, "1", 4);
         let fakes = FakeFleet::spawn(FleetConfig::pipeline(&model, 2, 2)).await;
         let fakes = fakes.expect("stand-ins");
-        put_config(&fakes, &model, more);
+        put_config(&fakes, &model, extra_services);
         let mut hosts = Vec::new();
         for n in 0..daemons {
-            hosts.push(Host::start(settings(&fakes, n, timing)).await);
+            hosts.push(DaemonHost::start(settings(&fakes, n, timing)).await);
         }
-        // Shows a daemon's redirect in place of following it.
+        // Tests check redirects of the daemon, so the client doesn't follow them.
         let client = Client::builder().redirect(Policy::none()).build();
-        Bench {
+        TestBed {
             fakes,
             hosts,
             model,
@@ -200,39 +205,46 @@
         }
     }
 
-    /// Waits until a daemon shows so many others in a state.
-    pub(crate) async fn sees(&self, host: usize, others: usize, state: MemberState) {
+    /// Waits until the status of a daemon lists exactly `member_count` members in this state.
+    pub(crate) async fn wait_for_members(
+        &self,
+        host: usize,
+        member_count: usize,
+        state: MemberState,
+    ) {
         let daemon = self.hosts[host].daemon.as_ref().expect("not stopped yet");
         let operators = daemon.bound_addresses().operators;
-        until(async || {
-            let members = fetch(operators, PATIENCE).await.ok()?.members;
-            let count = members.iter().filter(|m| m.state == state).count();
-            (count == others).then_some(())
+        wait_until(async || {
+            let members = fetch(operators, WAIT_TIMEOUT).await.ok()?.members;
+            let matching = members.iter().filter(|m| m.state == state).count();
+            (matching == member_count).then_some(())
         })
         .await;
     }
 
-    /// A call of the service `jobs` through a daemon.
+    /// Returns a call of the service `jobs` through a daemon.
     pub(crate) fn call(&self, host: usize, method: &str, path: &str) -> RequestBuilder {
         let method = method.parse().expect("a method");
         let url = format!("{}/services/jobs{path}", self.hosts[host].base);
         self.client.request(method, url).bearer_auth(TOKENS[0])
     }
 
-    /// The call that runs at most once, with a key.
-    pub(crate) fn keyed(&self, host: usize, key: &str) -> RequestBuilder {
-        let call = self.call(host, "POST", CERTIFICATES).body("visit 17");
+    /// Returns the non-idempotent call with an idempotency key.
+    pub(crate) fn keyed_call(&self, host: usize, key: &str) -> RequestBuilder {
+        let call = self
+            .call(host, "POST", NON_IDEMPOTENT_PATH)
+            .body("visit 17");
         call.header("idempotency-key", key)
     }
 
-    /// Runs of calls of this method on all hosts of the service.
+    /// Counts the calls of this method that ran on any host of the service.
     pub(crate) fn runs(&self, method: &str) -> usize {
         let ledgers = self.fakes.services.iter().flat_map(|s| s.ledger());
         ledgers.filter(|e| e.method == method).count()
     }
 
-    /// Puts a fault on each host of the service, in place of those before.
-    pub(crate) fn fault(&self, fault: &Fault) {
+    /// Replaces the faults of each host of the service by this one.
+    pub(crate) fn set_service_fault(&self, fault: &Fault) {
         for service in &self.fakes.services {
             service.faults().clear();
             service.faults().add(fault.clone());
@@ -246,22 +258,23 @@
         self.fakes.object_api.faults().clear();
     }
 
-    /// Strikes the next claim calls of this method on the object API.
-    pub(crate) fn api_fault(&self, method: &str, kind: FaultKind) {
-        let fault = Fault::once(kind).on(&format!("{method} {CLAIMS}"));
+    /// Makes the next request of this method for a claim on the object API fail.
+    pub(crate) fn add_claim_fault(&self, method: &str, kind: FaultKind) {
+        let fault = Fault::once(kind).on(&format!("{method} {CLAIMS_PATH}"));
         self.fakes.object_api.faults().add(fault);
     }
 }
 
-/// A service that redirects each call; tests of the HTTP client's own doings need no more.
-pub(crate) struct Redirecting {
+/// A service that answers each call with a redirect, for tests of the HTTP client's redirect
+/// policy.
+pub(crate) struct RedirectingService {
     address: SocketAddr,
     target: Arc<Mutex<String>>,
 }
 
-impl Redirecting {
-    pub(crate) async fn start() -> Redirecting {
-        let acceptor = TcpListener::new(FREE).bind().await;
+impl RedirectingService {
+    pub(crate) async fn start() -> RedirectingService {
+        let acceptor = TcpListener::new(ANY_PORT).bind().await;
         let address = acceptor.holdings()[0].local_addr.clone().into_std();
         let target = Arc::new(Mutex::new(String::new()));
         let calls = Router::with_path("{**rest}").goal(Redirect(Arc::clone(&target)));
@@ -269,14 +282,14 @@
             .push(Router::with_path("healthz").get(healthy))
             .push(calls);
         tokio::spawn(async move { Server::new(acceptor).serve(router).await });
-        Redirecting {
+        RedirectingService {
             address: address.expect("a socket address"),
             target,
         }
     }
 
-    /// Sets where calls are sent on to.
-    pub(crate) fn to(&self, target: &str) {
+    /// Sets the location of the redirect.
+    pub(crate) fn set_target(&self, target: &str) {
         target.clone_into(&mut self.target.lock().expect("no panic"));
     }
 
@@ -313,32 +326,32 @@
     "ok"
 }
 
-pub(crate) async fn send(req: RequestBuilder) -> Got {
-    Got::of(req.send().await.expect("an answer")).await
+pub(crate) async fn send(req: RequestBuilder) -> Answer {
+    Answer::of(req.send().await.expect("an answer")).await
 }
 
-/// Sends on until the answer is a success.
-pub(crate) async fn until_ok(req: impl Fn() -> RequestBuilder) -> Got {
-    until(async || Some(send(req()).await).filter(|got| got.status == 200)).await
+/// Sends requests until one is answered with status 200.
+pub(crate) async fn send_until_ok(req: impl Fn() -> RequestBuilder) -> Answer {
+    wait_until(async || Some(send(req()).await).filter(|got| got.status == 200)).await
 }
 
-/// Polls until there is a value.
-pub(crate) async fn until<T, Fut: Future<Output = Option<T>>>(look: impl Fn() -> Fut) -> T {
+/// Polls until `check` returns a value; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until<T, Fut: Future<Output = Option<T>>>(check: impl Fn() -> Fut) -> T {
     let polling = async {
         loop {
-            if let Some(value) = look().await {
+            if let Some(value) = check().await {
                 return value;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let found = tokio::time::timeout(PATIENCE, polling).await;
+    let found = tokio::time::timeout(WAIT_TIMEOUT, polling).await;
     found.expect("it came about")
 }
 
-fn put_config(fakes: &FakeFleet, model: &Model, more: &[ServiceView]) {
+fn put_config(fakes: &FakeFleet, model: &Model, extra_services: &[ServiceView]) {
     let mut view = fakes.view();
-    view.services.extend_from_slice(more);
+    view.services.extend_from_slice(extra_services);
     let register = config_files::register(&view, std::slice::from_ref(model));
     let digests = TOKENS.map(|t| digest_of(t).to_string());
     let team = |n: usize| Team {
@@ -350,7 +363,7 @@
     let once = NonIdempotentCall {
         service: "jobs",
         method: "POST",
-        path: CERTIFICATES,
+        path: NON_IDEMPOTENT_PATH,
     };
     let mut rules = config_files::rules(0.2, &[team(0), team(1)], &[once]);
     for team in TEAM_NAMES {
@@ -379,9 +392,9 @@
     let addresses = DaemonAddresses {
         name: &format!("daemon-{n}"),
         failure_domain: "domain-0",
-        callers: FREE,
-        operators: FREE,
-        peers: FREE,
+        callers: ANY_PORT,
+        operators: ANY_PORT,
+        peers: ANY_PORT,
     };
     let timing = format!("state_poll = \"60 s\"\n{timing}");
     let text = config_files::settings(&fakes.view(), addresses, &timing);
