--- a/crates/kelpworks/tests/config_parse.rs
+++ b/crates/kelpworks/tests/config_parse.rs
@@ -1,4 +1,4 @@
-//! Reading of settings, register and rules: good files, bad files, arbitrary text.
+//! Parsing of settings, register and rules: valid files, invalid files and arbitrary text.
 
 use std::fs;
 use std::path::Path;
@@ -82,7 +82,7 @@
 team = "sellers"
 "#;
 
-/// Stands in for a bearer token that strays into a file.
+/// A bearer token that was put into a file by mistake. Errors must not show it.
 const SECRET: &str = "s3cr3t-t0ken";
 
 fn testdata(deployment: &str, file: &str) -> PathBuf {
@@ -94,8 +94,9 @@
     Register::parse("register.toml", REGISTER).expect("a good register")
 }
 
-/// Replaces `from` by `to`, once; `from` must be there, so that no case tests nothing.
-fn edit(text: &str, from: &str, to: &str) -> String {
+/// Replaces the first occurrence of `from` by `to`. Panics if there is none, as the case would then
+/// test the unchanged text.
+fn replace_once(text: &str, from: &str, to: &str) -> String {
     assert!(text.contains(from), "{from} is not in the text");
     text.replacen(from, to, 1)
 }
@@ -103,7 +104,7 @@
 #[rstest]
 #[case::aralsky("aralsky", 40, 3)]
 #[case::nile_delta("nile-delta", 40, 3)]
-fn examples_have_the_sizes_of_today(
+fn example_deployments_parse_with_expected_sizes(
     #[case] deployment: &str,
     #[case] engines: usize,
     #[case] services: usize,
@@ -124,15 +125,16 @@
     assert_eq!(rules.non_idempotent.len(), 2);
 }
 
-/// The examples state every default, so they differ from a short file in nothing else.
+/// The example settings state every default, so limits, timing and log level are equal to those of
+/// settings that leave them out.
 #[test]
-fn defaults_are_those_of_the_example() {
-    let short = Settings::parse("settings.toml", SETTINGS).unwrap();
+fn defaults_equal_the_values_in_the_example() {
+    let minimal = Settings::parse("settings.toml", SETTINGS).unwrap();
     let text = read_file(&testdata("aralsky", "settings.toml")).unwrap();
-    let full = Settings::parse("settings.toml", &text).unwrap();
-    assert_eq!(short.limits, full.limits);
-    assert_eq!(short.timing, full.timing);
-    assert_eq!(short.log_level, full.log_level);
+    let complete = Settings::parse("settings.toml", &text).unwrap();
+    assert_eq!(minimal.limits, complete.limits);
+    assert_eq!(minimal.timing, complete.timing);
+    assert_eq!(minimal.log_level, complete.log_level);
 }
 
 #[rstest]
@@ -140,7 +142,7 @@
 #[case::comment_only("settings_comment_only", "# nothing\n")]
 #[case::not_toml("settings_not_toml", "name = = 3\n")]
 #[case::no_platform("settings_no_platform", "name = \"a\"\nfailure_domain = \"b\"\n")]
-fn settings_texts_are_refused(#[case] name: &str, #[case] text: &str) {
+fn incomplete_or_malformed_settings_are_refused(#[case] name: &str, #[case] text: &str) {
     let error = Settings::parse("settings.toml", text).unwrap_err();
     assert_snapshot!(name, error.to_string());
 }
@@ -185,8 +187,8 @@
 )]
 #[case::log_level("settings_log_level", "[listen]", "[log]\nlevel = \"loud\"\n[listen]")]
 #[case::key_twice("settings_key_twice", "name =", "name = \"x\"\nname =")]
-fn settings_edits_are_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
-    let text = edit(SETTINGS, from, to);
+fn invalid_settings_are_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
+    let text = replace_once(SETTINGS, from, to);
     let error = Settings::parse("settings.toml", &text).unwrap_err();
     assert!(!error.to_string().contains(SECRET));
     assert_snapshot!(name, error.to_string());
@@ -245,8 +247,8 @@
     "layers = 8\n",
     "layers = 0\nlayer_size = \"0 B\"\n#"
 )]
-fn register_edits_are_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
-    let text = edit(REGISTER, from, to);
+fn invalid_register_is_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
+    let text = replace_once(REGISTER, from, to);
     let error = Register::parse("register.toml", &text).unwrap_err();
     assert_snapshot!(name, error.to_string());
 }
@@ -309,8 +311,8 @@
 #[case::half("rules_half", "path = \"/billing\"\n", "")]
 #[case::method("rules_method", "POST", "post")]
 #[case::path("rules_path", "/billing", "billing")]
-fn rules_edits_are_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
-    let text = edit(RULES, from, to);
+fn invalid_rules_are_refused(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
+    let text = replace_once(RULES, from, to);
     let error = Rules::parse("rules.toml", &text, &register()).unwrap_err();
     assert!(!error.to_string().contains(SECRET));
     assert!(!format!("{error:?}").contains(SECRET));
@@ -318,24 +320,24 @@
 }
 
 #[test]
-fn settings_are_checked_against_a_register() {
-    let text = edit(SETTINGS, "hall-a", "hall-b");
+fn settings_with_unknown_failure_domain_are_refused() {
+    let text = replace_once(SETTINGS, "hall-a", "hall-b");
     let error = Settings::parse_with("settings.toml", &text, &register()).unwrap_err();
     assert_snapshot!("settings_unknown_domain", error.to_string());
     assert!(Settings::parse_with("settings.toml", SETTINGS, &register()).is_ok());
 }
 
 #[test]
-fn rules_alone_look_up_teams_only() {
-    let text = edit(RULES, "model = \"caption\"", "model = \"report\"");
+fn rules_parsed_without_register_check_teams_only() {
+    let text = replace_once(RULES, "model = \"caption\"", "model = \"report\"");
     assert!(Rules::parse_alone("rules.toml", &text).is_ok());
-    let text = edit(RULES, "team = \"sellers\"", "team = \"buyers\"");
+    let text = replace_once(RULES, "team = \"sellers\"", "team = \"buyers\"");
     assert!(Rules::parse_alone("rules.toml", &text).is_err());
 }
 
-/// A logged team shows neither tokens nor digests.
+/// Rules may be logged, so their debug output shows no token digests.
 #[test]
-fn debug_of_a_team_hides_digests() {
+fn debug_output_of_rules_hides_token_digests() {
     let rules = Rules::parse("rules.toml", RULES, &register()).unwrap();
     assert!(!format!("{rules:?}").contains("aa0000"));
 }
@@ -344,19 +346,19 @@
 #[case::large("file_large", vec![b'#'; 10_000_000])]
 #[case::just_over("file_just_over", vec![b'#'; MAX_BYTES + 1])]
 #[case::not_utf8("file_not_utf8", b"name = \"a\"\nx = \"\xff\"\n".to_vec())]
-fn files_are_refused(#[case] name: &str, #[case] bytes: Vec<u8>) {
+fn oversized_or_non_utf8_files_are_refused(#[case] name: &str, #[case] bytes: Vec<u8>) {
     let path = std::env::temp_dir().join(format!("kelpworks-{}-{name}.toml", std::process::id()));
     fs::write(&path, &bytes).unwrap();
-    let from_file = read_file(&path).unwrap_err();
+    let file_error = read_file(&path).unwrap_err();
     fs::remove_file(&path).unwrap();
-    let from_bytes = text_of(name, bytes).unwrap_err();
-    assert_eq!(from_file.kind, from_bytes.kind);
-    assert_snapshot!(name, from_bytes.to_string());
+    let bytes_error = text_of(name, bytes).unwrap_err();
+    assert_eq!(file_error.kind, bytes_error.kind);
+    assert_snapshot!(name, bytes_error.to_string());
 }
 
-/// A text of the greatest size allowed is read; one byte more is refused unread.
+/// A text of exactly [`MAX_BYTES`] is parsed; one that is a byte longer is refused unparsed.
 #[test]
-fn size_limit_is_exact() {
+fn text_of_max_size_is_accepted_and_one_byte_more_refused() {
     let padding = "#".repeat(MAX_BYTES - SETTINGS.len());
     let text = format!("{SETTINGS}{padding}");
     assert!(Settings::parse("settings.toml", &text).is_ok());
@@ -364,17 +366,18 @@
     assert_snapshot!("text_just_over", error.to_string());
 }
 
-/// Pieces of real files in any order: nearer to real mistakes than random bytes.
-fn shuffled() -> impl Strategy<Value = String> {
-    let whole = [SETTINGS, REGISTER, RULES].concat();
-    let lines: Vec<String> = whole.lines().map(|l| format!("{l}\n")).collect();
-    let piece = prop_oneof![proptest::sample::select(lines), ".{0,12}\n".prop_map(|s| s)];
-    proptest::collection::vec(piece, 0..24).prop_map(|v| v.concat())
+/// Generates lines of valid files in random order, mixed with random lines. These are closer to
+/// real mistakes than random bytes.
+fn shuffled_config_lines() -> impl Strategy<Value = String> {
+    let all_files = [SETTINGS, REGISTER, RULES].concat();
+    let lines: Vec<String> = all_files.lines().map(|l| format!("{l}\n")).collect();
+    let line_or_noise = prop_oneof![proptest::sample::select(lines), ".{0,12}\n".prop_map(|s| s)];
+    proptest::collection::vec(line_or_noise, 0..24).prop_map(|v| v.concat())
 }
 
 proptest! {
     #[test]
-    fn parse_never_panics(text in prop_oneof![".*", shuffled()]) {
+    fn parse_never_panics(text in prop_oneof![".*", shuffled_config_lines()]) {
         let _ = Settings::parse("a", &text);
         let _ = Register::parse("b", &text);
         let _ = Rules::parse("c", &text, &register());
@@ -382,7 +385,7 @@
     }
 
     #[test]
-    fn error_line_is_within_the_file(text in shuffled()) {
+    fn error_line_is_within_the_file(text in shuffled_config_lines()) {
         if let Err(e) = Register::parse("b", &text) {
             prop_assert!(e.line >= 1 && e.line <= text.lines().count().max(1));
         }
@@ -412,7 +415,7 @@
 #[case("3s", 3_000_000)]
 #[case("2 min", 120_000_000)]
 #[case("1 h", 3_600_000_000)]
-fn spans(#[case] text: &str, #[case] micros: u128) {
+fn durations_parse_with_units(#[case] text: &str, #[case] micros: u128) {
     assert_eq!(
         text.parse::<DurationSetting>().unwrap().0.as_micros(),
         micros
@@ -423,13 +426,13 @@
 #[case("80 GB", 80_000_000_000)]
 #[case("80 GiB", 80 << 30)]
 #[case("1 B", 1)]
-fn sizes(#[case] text: &str, #[case] bytes: u64) {
+fn sizes_parse_with_units(#[case] text: &str, #[case] bytes: u64) {
     assert_eq!(text.parse::<Size>(), Ok(Size(bytes)));
 }
 
 #[rstest]
 #[case("10 Gbit/s", 1_250_000_000)]
 #[case("200 MB/s", 200_000_000)]
-fn rates(#[case] text: &str, #[case] bytes: u64) {
+fn rates_parse_with_units(#[case] text: &str, #[case] bytes: u64) {
     assert_eq!(text.parse::<Rate>(), Ok(Rate(bytes)));
 }
--- a/crates/kelpworks/tests/contract/answer.rs
+++ b/crates/kelpworks/tests/contract/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller sees of an answer, as text.
+//! Text form of the parts of a response that callers rely on, for snapshots.
 
 use std::fmt::Write;
 
@@ -6,12 +6,13 @@
 
 use kelpworks_wire::ErrorBody;
 
-/// Headers that are part of the contract.
+/// Response headers that are part of the callers' API.
 const HEADERS: [&str; 4] = ["allow", "location", "retry-after", "kelpworks-verdict"];
-/// Longest body that is shown.
-const SHOWN: usize = 40;
+/// Longest part of a body that is shown, in bytes.
+const MAX_SHOWN_BYTES: usize = 40;
 
-/// Status, headers of the contract, and the kind of the error or the body itself.
+/// Returns the status, the [`HEADERS`], and the type and verdict of the error or the start of the
+/// body. Panics if an error names no request, has no message or contains an address.
 pub(crate) async fn describe(res: Response) -> String {
     let mut text = format!("  {}\n", res.status());
     for name in HEADERS {
@@ -34,15 +35,15 @@
         let _ = write!(text, "  error {}, {}", error.type_, error.verdict);
         assert!(names_request, "an error names its request");
         assert!(!error.message.is_empty(), "an error says something");
-        let tells_address = error.message.contains("127.0.0.1");
+        let contains_address = error.message.contains("127.0.0.1");
         assert!(
-            !tells_address,
+            !contains_address,
             "no caller learns an address: {}",
             error.message
         );
         return text;
     }
-    let shown = String::from_utf8_lossy(&body[..body.len().min(SHOWN)]).into_owned();
+    let shown = String::from_utf8_lossy(&body[..body.len().min(MAX_SHOWN_BYTES)]).into_owned();
     let _ = write!(text, "  {} bytes: {}", body.len(), shown.trim());
     text
 }
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -1,10 +1,10 @@
-//! A daemon between the stand-ins and servers that answer as a test wants.
+//! A daemon in front of fakes, of which a test may replace some by servers with scripted replies.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub(crate) mod answer;
-pub(crate) mod mangle;
-pub(crate) mod script;
+pub(crate) mod proxy;
+pub(crate) mod scripted_server;
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -31,19 +31,19 @@
 pub(crate) const MODEL: &str = "demo";
 pub(crate) const LAYERS: u32 = 12;
 pub(crate) const STAGES: u32 = 2;
-/// The plain service; its calls `PUT /certificates` may run only once.
+/// The plain service. The rules declare its calls `PUT /certificates` as non-idempotent.
 pub(crate) const SERVICE: &str = "jobs";
 pub(crate) const TEAM: &str = "merchandisers";
 pub(crate) const TOKEN: &str = "contract-token";
-/// Short deadlines, so that a silent engine is found soon.
+/// Timing settings with short timeouts, so that a silent engine is detected soon.
 const TIMING: &str = "step_floor = \"60 ms\"\nstep_ceiling = \"300 ms\"\nstate_poll = \"50 ms\"\n\
                       host_list_poll = \"50 ms\"\nbalancer_notice = \"1 ms\"";
-/// Bound on a wait; never what a verdict rests on.
-const BOUND: Duration = Duration::from_secs(20);
-/// Pause between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Timeout of [`wait_until`], so that a hanging test fails. No assertion depends on it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Stand-ins and a daemon whose register may name other addresses than theirs.
+/// Fakes and a daemon whose register may name other addresses than those of the fakes.
 #[derive(Debug)]
 pub(crate) struct Setup {
     pub(crate) fakes: FakeFleet,
@@ -52,8 +52,8 @@
 }
 
 impl Setup {
-    /// Starts them. `redirect` changes what the register says of the stand-ins; `timing` is added
-    /// to the daemon's settings.
+    /// Starts fakes and a daemon. `redirect` may change the addresses that the register gives for
+    /// the fakes; `timing` is added to the daemon's settings after [`TIMING`].
     pub(crate) async fn start(redirect: impl AsyncFnOnce(&mut FleetView), timing: &str) -> Setup {
         let model = Model::new(MODEL, "1", LAYERS);
         let cfg = FleetConfig::pipeline(&model, STAGES, 1);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Base URL for callers.
+    /// Returns the base URL for callers.
     pub(crate) fn base(&self) -> String {
         format!("http://{}", self.daemon.bound_addresses().callers)
     }
@@ -80,14 +80,14 @@
     }
 }
 
-/// One recorder for all tests of a process.
+/// Returns the metrics recorder, which all tests of a process share.
 fn metrics() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let make = || PrometheusBuilder::new().build_recorder().handle();
     HANDLE.get_or_init(make).clone()
 }
 
-/// Accepts a register and rules as an operator does.
+/// Stores a register and rules in the object API through the acceptance that operators use.
 async fn put_config(view: &FleetView, model: &Model) {
     let team = config_files::Team {
         name: TEAM,
@@ -96,27 +96,27 @@
         token_sha256: &digest_of(TOKEN).to_string(),
     };
     let register = config_files::register(view, std::slice::from_ref(model));
-    let once = config_files::NonIdempotentCall {
+    let non_idempotent = config_files::NonIdempotentCall {
         service: SERVICE,
         method: "PUT",
         path: "/certificates",
     };
-    let rules = config_files::rules(0.5, &[team], &[once]);
+    let rules = config_files::rules(0.5, &[team], &[non_idempotent]);
     let api = HttpObjectApi::new(&view.object_api, Deadlines::default()).expect("a URL");
-    for (which, text) in [(PartKind::Register, register), (PartKind::Rules, rules)] {
-        let proposal = Proposal::new(which, "contract", text);
+    for (kind, text) in [(PartKind::Register, register), (PartKind::Rules, rules)] {
+        let proposal = Proposal::new(kind, "contract", text);
         let accepted = accept::accept(&api, &proposal, RetryPolicy::default()).await;
         accepted.expect("a valid configuration");
     }
 }
 
-/// Waits, within a bound, until something is so.
-pub(crate) async fn until(what: &str, is_so: impl AsyncFn() -> bool) {
+/// Polls until the condition is true; panics after [`WAIT_TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let wait = async {
-        while !is_so().await {
-            tokio::time::sleep(LOOK).await;
+        while !condition().await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let waited = tokio::time::timeout(BOUND, wait).await;
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
     assert!(waited.is_ok(), "not within the bound: {what}");
 }
--- a/crates/kelpworks/tests/contract/scripted_server.rs
+++ b/crates/kelpworks/tests/contract/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A server that gives every call the same reply, right or wrong, and notes the calls.
+//! A server that gives every call the same reply, valid or not, and records the calls.
 
 use std::convert::Infallible;
 use std::io;
@@ -27,53 +27,53 @@
 use salvo::http::header::RETRY_AFTER;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Path of the health check of plain services; always answered, never noted.
+/// Path of the health check of plain services; always answered with success, never recorded.
 const HEALTH: &str = "/healthz";
-/// Where a redirect leads: to the same server.
-const ELSEWHERE: &str = "/elsewhere";
-/// Bytes of one piece of a huge body.
-const PIECE: usize = 1 << 16;
-/// Time between two bytes of a slow body.
-const DRIP: Duration = Duration::from_millis(20);
-
-/// What every call gets.
+/// Location of redirects, on the same server.
+const REDIRECT_PATH: &str = "/elsewhere";
+/// Size of one chunk of a huge body.
+const CHUNK_BYTES: usize = 1 << 16;
+/// Pause before each byte of an endless body, and before an interrupted body breaks off.
+const BYTE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Reply to every call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Reply {
     /// A status and a body.
-    Whole(u16, &'static str),
-    /// A refusal that says when to come back, in seconds.
-    ComeBack(u16, &'static str),
-    /// This status, with a location on the same server.
-    Moved(u16),
-    /// This status, with a location where nobody listens.
-    MovedToNowhere(u16),
-    /// JSON of so many bytes, most of them blank.
+    Complete(u16, &'static str),
+    /// A status and a `retry-after` header, in seconds.
+    RetryAfter(u16, &'static str),
+    /// A redirect with this status to the same server.
+    Redirect(u16),
+    /// A redirect with this status to a port that no server listens on.
+    RedirectToClosedPort(u16),
+    /// Valid JSON padded with blanks to about this number of bytes.
     Huge(usize),
-    /// A body that never ends, a byte at a time.
+    /// A body that is sent byte by byte and never ends.
     Trickle,
-    /// A body that breaks off.
+    /// A body during which the connection fails.
     Cut,
-    /// No reply on an open connection.
-    Silence,
+    /// No reply; the connection stays open.
+    Unanswered,
 }
 
-/// The server; dropping it stops it.
+/// A server with scripted replies; stops when dropped.
 #[derive(Debug)]
-pub(crate) struct Script {
+pub(crate) struct ScriptedServer {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<String>>>,
     _task: AbortOnDropHandle<()>,
 }
 
-impl Script {
-    pub(crate) async fn start(reply: Reply) -> Script {
+impl ScriptedServer {
+    pub(crate) async fn start(reply: Reply) -> ScriptedServer {
         let calls = Arc::default();
-        let show = Show {
+        let handler = ReplyHandler {
             reply,
             calls: Arc::clone(&calls),
         };
-        let (address, task) = serve(Router::with_path("{**rest}").goal(show)).await;
-        Script {
+        let (address, task) = serve(Router::with_path("{**rest}").goal(handler)).await;
+        ScriptedServer {
             address,
             calls,
             _task: task,
@@ -88,13 +88,13 @@
         format!("http://{}", self.address).into()
     }
 
-    /// Method and path of each call so far.
+    /// Returns method and path of each recorded call.
     pub(crate) fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("not poisoned").clone()
     }
 
-    /// Forgets the calls so far.
-    pub(crate) fn forget(&self) {
+    /// Clears the recorded calls.
+    pub(crate) fn clear_calls(&self) {
         self.calls.lock().expect("not poisoned").clear();
     }
 }
@@ -102,19 +102,23 @@
 /// Serves a router on a free loopback port.
 pub(crate) async fn serve(router: Router) -> (SocketAddr, AbortOnDropHandle<()>) {
     let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
-    let holding = acceptor.holdings().first().expect("bound");
-    let address = holding.local_addr.clone().into_std().expect("an address");
+    let listener_info = acceptor.holdings().first().expect("bound");
+    let address = listener_info
+        .local_addr
+        .clone()
+        .into_std()
+        .expect("an address");
     let serving = salvo::Server::new(acceptor).serve(router);
     (address, AbortOnDropHandle::new(tokio::spawn(serving)))
 }
 
-struct Show {
+struct ReplyHandler {
     reply: Reply,
     calls: Arc<Mutex<Vec<String>>>,
 }
 
 #[async_trait]
-impl Handler for Show {
+impl Handler for ReplyHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -135,59 +139,59 @@
 impl Reply {
     pub(crate) async fn write(self, res: &mut Response) {
         match self {
-            Reply::Whole(status, body) => whole(res, status, body),
-            Reply::ComeBack(status, after) => {
-                whole(res, status, "");
+            Reply::Complete(status, body) => complete(res, status, body),
+            Reply::RetryAfter(status, after) => {
+                complete(res, status, "");
                 let after = HeaderValue::from_static(after);
                 res.headers_mut().insert(RETRY_AFTER, after);
             }
-            Reply::Moved(status) => moved(res, status, ELSEWHERE.to_owned()),
-            Reply::MovedToNowhere(status) => moved(res, status, nowhere()),
-            Reply::Huge(size) => res.stream(huge(size)),
-            Reply::Trickle => res.stream(drip()),
-            Reply::Cut => res.stream(cut()),
-            Reply::Silence => std::future::pending().await,
+            Reply::Redirect(status) => redirect(res, status, REDIRECT_PATH.to_owned()),
+            Reply::RedirectToClosedPort(status) => redirect(res, status, closed_port_url()),
+            Reply::Huge(size) => res.stream(huge_body(size)),
+            Reply::Trickle => res.stream(endless_body()),
+            Reply::Cut => res.stream(interrupted_body()),
+            Reply::Unanswered => std::future::pending().await,
         }
     }
 }
 
-fn whole(res: &mut Response, status: u16, body: &'static str) {
+fn complete(res: &mut Response, status: u16, body: &'static str) {
     res.status_code(StatusCode::from_u16(status).expect("a status"));
     res.body(body);
 }
 
-fn moved(res: &mut Response, status: u16, to: String) {
-    whole(res, status, "");
+fn redirect(res: &mut Response, status: u16, to: String) {
+    complete(res, status, "");
     let to = HeaderValue::try_from(to).expect("a header");
     res.headers_mut().insert(LOCATION, to);
 }
 
-/// A URL where a port was free a moment ago.
-fn nowhere() -> String {
+/// Returns a URL with a port that was free a moment ago, so that connections to it are refused.
+fn closed_port_url() -> String {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     format!("http://{}/", listener.local_addr().expect("bound"))
 }
 
-fn huge(size: usize) -> impl Stream<Item = Result<Bytes, Infallible>> + Send {
-    let blank = Bytes::from_static(&[b' '; PIECE]);
-    let pieces = stream::iter(std::iter::repeat_n(blank, size / PIECE));
+fn huge_body(size: usize) -> impl Stream<Item = Result<Bytes, Infallible>> + Send {
+    let blank = Bytes::from_static(&[b' '; CHUNK_BYTES]);
+    let chunks = stream::iter(std::iter::repeat_n(blank, size / CHUNK_BYTES));
     let start = stream::iter([Bytes::from_static(br#"{"replies": []"#)]);
     let end = stream::iter([Bytes::from_static(b"}")]);
-    start.chain(pieces).chain(end).map(Ok)
+    start.chain(chunks).chain(end).map(Ok)
 }
 
-fn drip() -> impl Stream<Item = Result<Bytes, Infallible>> + Send {
+fn endless_body() -> impl Stream<Item = Result<Bytes, Infallible>> + Send {
     stream::repeat(Bytes::from_static(b" ")).then(async |byte| {
-        tokio::time::sleep(DRIP).await;
+        tokio::time::sleep(BYTE_INTERVAL).await;
         Ok(byte)
     })
 }
 
-fn cut() -> impl Stream<Item = io::Result<Bytes>> + Send {
+fn interrupted_body() -> impl Stream<Item = io::Result<Bytes>> + Send {
     let half = stream::iter([Ok(Bytes::from_static(b"{"))]);
     half.chain(stream::once(async {
-        // Lets the first half reach the client.
-        tokio::time::sleep(DRIP).await;
+        // The pause lets the first part reach the client.
+        tokio::time::sleep(BYTE_INTERVAL).await;
         Err(io::Error::other("cut"))
     }))
 }
--- a/crates/kelpworks/tests/contract_engine.rs
+++ b/crates/kelpworks/tests/contract_engine.rs
@@ -1,5 +1,5 @@
-//! The engine border from the daemon's side: what its client makes of each reply, and what a
-//! session makes of it when a stage answers wrongly once in the middle of an answer.
+//! Client of engines: its result for each reply of an engine, and the outcome of a session in which
+//! one stage sends one invalid reply.
 
 mod caller;
 mod contract;
@@ -18,10 +18,10 @@
 
 use caller::End;
 use contract::LAYERS;
-use contract::mangle::Mangle;
-use contract::mangle::MangledFleet;
-use contract::script::Reply;
-use contract::script::Script;
+use contract::proxy::ProxiedFleet;
+use contract::proxy::ReplyMutation;
+use contract::scripted_server::Reply;
+use contract::scripted_server::ScriptedServer;
 use kelpworks::clients::engine::Engine;
 use kelpworks::clients::engine::Error;
 use kelpworks::clients::engine::HttpEngine;
@@ -32,22 +32,23 @@
 use kelpworks_wire::StepBatch;
 use lineage::assert_exactly_once;
 
-/// Bound of calls that are meant to run into it.
-const SHORT: Duration = Duration::from_millis(200);
-/// Bound of calls that are meant to be answered, on however slow a machine.
-const LONG: Duration = Duration::from_secs(60);
-/// More than the client reads of a reply.
-const HUGE: usize = 100 << 20;
+/// Timeout of calls that are expected to time out.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of calls that are expected to complete; long enough for a heavily loaded machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Larger than the largest reply that the client reads.
+const HUGE_BYTES: usize = 100 << 20;
 const STATE: &str = r#"{"name": "e", "incarnation": 3, "draining": false, "highest_fence": 0,
     "loaded": [], "loading": [],
     "load": {"queued": 0, "running": 0, "queue_ms": 0, "kv_free": 9, "draining": false}}"#;
 
-fn whole(status: u16, body: &'static str) -> Reply {
-    Reply::Whole(status, body)
+fn complete_reply(status: u16, body: &'static str) -> Reply {
+    Reply::Complete(status, body)
 }
 
-/// What the client says of a call: its verdict too, where it failed.
-fn tell<T: std::fmt::Debug>(result: Result<T, Error>) -> String {
+/// Returns the value of a call, or its error with the verdict. Leaves out the texts of errors that
+/// come from libraries.
+fn describe_result<T: std::fmt::Debug>(result: Result<T, Error>) -> String {
     match result {
         Ok(value) => format!("{value:?}"),
         Err(e @ Error::Connect(_)) => format!("no connection, {}", e.verdict()),
@@ -58,69 +59,73 @@
 }
 
 #[rstest]
-#[case::empty_batch("steps_empty_batch", whole(200, r#"{"replies": []}"#))]
-#[case::later_field("steps_later_field", whole(200, r#"{"replies": [], "x-later": {}}"#))]
-#[case::not_json("steps_not_json", whole(200, "hello"))]
-#[case::half_json("steps_half_json", whole(200, r#"{"replies": ["#))]
-#[case::no_body("steps_no_body", whole(200, ""))]
-#[case::no_content("steps_no_content", whole(204, ""))]
-#[case::other_type("steps_other_type", whole(200, STATE))]
-#[case::bad_request("steps_bad_request", whole(400, "{}"))]
-#[case::not_found("steps_not_found", whole(404, ""))]
-#[case::over_rate("steps_over_rate", whole(429, ""))]
-#[case::internal("steps_internal", whole(500, "oops"))]
-#[case::gateway("steps_gateway", whole(502, ""))]
-#[case::unavailable("steps_unavailable", whole(503, ""))]
-#[case::moved("steps_moved", Reply::Moved(307))]
-#[case::see_other("steps_see_other", Reply::Moved(303))]
-#[case::huge("steps_huge", Reply::Huge(HUGE))]
+#[case::empty_batch("steps_empty_batch", complete_reply(200, r#"{"replies": []}"#))]
+#[case::later_field(
+    "steps_later_field",
+    complete_reply(200, r#"{"replies": [], "x-later": {}}"#)
+)]
+#[case::not_json("steps_not_json", complete_reply(200, "hello"))]
+#[case::half_json("steps_half_json", complete_reply(200, r#"{"replies": ["#))]
+#[case::no_body("steps_no_body", complete_reply(200, ""))]
+#[case::no_content("steps_no_content", complete_reply(204, ""))]
+#[case::other_type("steps_other_type", complete_reply(200, STATE))]
+#[case::bad_request("steps_bad_request", complete_reply(400, "{}"))]
+#[case::not_found("steps_not_found", complete_reply(404, ""))]
+#[case::over_rate("steps_over_rate", complete_reply(429, ""))]
+#[case::internal("steps_internal", complete_reply(500, "oops"))]
+#[case::gateway("steps_gateway", complete_reply(502, ""))]
+#[case::unavailable("steps_unavailable", complete_reply(503, ""))]
+#[case::moved("steps_moved", Reply::Redirect(307))]
+#[case::see_other("steps_see_other", Reply::Redirect(303))]
+#[case::huge("steps_huge", Reply::Huge(HUGE_BYTES))]
 #[case::trickle("steps_trickle", Reply::Trickle)]
-#[case::silence("steps_silence", Reply::Silence)]
+#[case::silence("steps_silence", Reply::Unanswered)]
 #[case::cut("steps_cut", Reply::Cut)]
 #[tokio::test]
-async fn a_step_is_told_whether_it_may_have_run(#[case] name: &str, #[case] reply: Reply) {
-    let bound = match reply {
-        Reply::Trickle | Reply::Silence => SHORT,
-        _ => LONG,
+async fn step_error_says_whether_it_may_have_run(#[case] name: &str, #[case] reply: Reply) {
+    let timeout = match reply {
+        Reply::Trickle | Reply::Unanswered => SHORT_TIMEOUT,
+        _ => LONG_TIMEOUT,
     };
-    let script = Script::start(reply).await;
-    let engine = HttpEngine::new(LONG);
+    let server = ScriptedServer::start(reply).await;
+    let engine = HttpEngine::new(LONG_TIMEOUT);
     let batch = StepBatch { steps: Vec::new() };
-    let result = engine.steps(&script.url(), &batch, bound).await;
-    assert_snapshot!(name, tell(result));
+    let result = engine.steps(&server.url(), &batch, timeout).await;
+    assert_snapshot!(name, describe_result(result));
     assert_eq!(
-        script.calls(),
+        server.calls(),
         ["POST /v1/steps"],
         "sent once and nowhere else"
     );
 }
 
 #[tokio::test]
-async fn a_refused_connection_sent_nothing() {
-    // Bound and never listened on, so that the port stays closed and goes to no other test.
+async fn refused_connection_is_reported_as_not_run() {
+    // A socket that is bound but not listening refuses connections and keeps other tests from
+    // getting the port.
     let closed = tokio::net::TcpSocket::new_v4().expect("a socket");
     let free = "127.0.0.1:0".parse().expect("an address");
     closed.bind(free).expect("a port");
     let url: Arc<str> = format!("http://{}", closed.local_addr().expect("bound")).into();
-    let engine = HttpEngine::new(LONG);
+    let engine = HttpEngine::new(LONG_TIMEOUT);
     let batch = StepBatch { steps: Vec::new() };
-    let result = engine.steps(&url, &batch, LONG).await;
-    assert_eq!(tell(result), "no connection, not-run");
+    let result = engine.steps(&url, &batch, LONG_TIMEOUT).await;
+    assert_eq!(describe_result(result), "no connection, not-run");
 }
 
-/// The other calls, over replies that are theirs and replies that are not.
+/// Calls other than steps, for valid replies and for replies of another type.
 #[rstest]
-#[case::state("calls_state", whole(200, STATE))]
-#[case::no_content("calls_no_content", whole(204, ""))]
-#[case::accepted("calls_accepted", whole(200, r#"{"accepted": 7}"#))]
-#[case::stale("calls_stale", whole(200, r#"{"stale": 9}"#))]
-#[case::later_outcome("calls_later_outcome", whole(200, r#"{"postponed": 9}"#))]
-#[case::unavailable("calls_unavailable", whole(503, ""))]
+#[case::state("calls_state", complete_reply(200, STATE))]
+#[case::no_content("calls_no_content", complete_reply(204, ""))]
+#[case::accepted("calls_accepted", complete_reply(200, r#"{"accepted": 7}"#))]
+#[case::stale("calls_stale", complete_reply(200, r#"{"stale": 9}"#))]
+#[case::later_outcome("calls_later_outcome", complete_reply(200, r#"{"postponed": 9}"#))]
+#[case::unavailable("calls_unavailable", complete_reply(503, ""))]
 #[tokio::test]
-async fn other_calls(#[case] name: &str, #[case] reply: Reply) {
-    let script = Script::start(reply).await;
-    let engine = HttpEngine::new(LONG);
-    let url = script.url();
+async fn state_probe_cancel_and_order_results(#[case] name: &str, #[case] reply: Reply) {
+    let server = ScriptedServer::start(reply).await;
+    let engine = HttpEngine::new(LONG_TIMEOUT);
+    let url = server.url();
     let cancel = CancelRequest {
         session: "s".to_owned(),
         attempt: 0,
@@ -132,61 +137,73 @@
             token: 7,
         },
     };
-    let told = [
-        format!("state: {}", tell(engine.state(&url, LONG).await)),
-        format!("probe: {}", tell(engine.probe(&url, LONG).await)),
-        format!("cancel: {}", tell(engine.cancel(&url, &cancel, LONG).await)),
-        format!("order: {}", tell(engine.order(&url, &order, LONG).await)),
+    let results = [
+        format!(
+            "state: {}",
+            describe_result(engine.state(&url, LONG_TIMEOUT).await)
+        ),
+        format!(
+            "probe: {}",
+            describe_result(engine.probe(&url, LONG_TIMEOUT).await)
+        ),
+        format!(
+            "cancel: {}",
+            describe_result(engine.cancel(&url, &cancel, LONG_TIMEOUT).await)
+        ),
+        format!(
+            "order: {}",
+            describe_result(engine.order(&url, &order, LONG_TIMEOUT).await)
+        ),
     ];
-    assert_snapshot!(name, told.join("\n"));
+    assert_snapshot!(name, results.join("\n"));
 }
 
-/// Sets one field of the only reply of a batch.
-fn set(field: &'static str, value: Value) -> Mangle {
-    Mangle::Field { field, value }
+/// Returns a mutation that replaces one field of the first reply of a batch.
+fn replace_field(field: &'static str, value: Value) -> ReplyMutation {
+    ReplyMutation::Field { field, value }
 }
 
-/// One wrong reply to one stage in the middle of an answer. The step ran; the caller still gets
-/// the whole answer, and each layer ran once and in order on the lineage that gave it.
+/// One stage sends an invalid reply to a step that it has run. The caller still gets the whole
+/// answer, and on the lineage that produced the answer each layer ran once and in order.
 #[rstest]
-#[case::session(set("session", json!("another")))]
-#[case::attempt(set("attempt", json!(77)))]
-#[case::position(set("position", json!(0)))]
-#[case::layers(set("layers", json!({ "first": 0, "end": 1 })))]
-#[case::model(set("model", json!("other")))]
-#[case::version(set("version", json!("0")))]
-#[case::incarnation(set("incarnation", json!(1)))]
-#[case::count(set("count", json!(2)))]
-#[case::empty_batch(Mangle::Replies(0))]
-#[case::two_replies(Mangle::Replies(2))]
-#[case::later_outcome(set("outcome", json!({ "postponed": 9 })))]
-#[case::two_outcomes(set("outcome", json!({ "token": 1, "rows": [1] })))]
-#[case::other_handle(set("outcome", json!({ "handle": "s/9/9/9" })))]
-#[case::rows_unasked(set("outcome", json!({ "rows": [1, 2, 3] })))]
-#[case::no_rows(set("outcome", json!({ "rows": [] })))]
-#[case::not_json(Mangle::Other(whole(200, "<html>")))]
-#[case::no_body(Mangle::Other(whole(200, "")))]
-#[case::huge(Mangle::Other(Reply::Huge(HUGE)))]
-#[case::trickle(Mangle::Other(Reply::Trickle))]
-#[case::cut(Mangle::Other(Reply::Cut))]
-#[case::not_found(Mangle::Other(whole(404, "")))]
-#[case::internal(Mangle::Other(whole(500, "")))]
-#[case::unavailable(Mangle::Other(whole(503, "")))]
+#[case::session(replace_field("session", json!("another")))]
+#[case::attempt(replace_field("attempt", json!(77)))]
+#[case::position(replace_field("position", json!(0)))]
+#[case::layers(replace_field("layers", json!({ "first": 0, "end": 1 })))]
+#[case::model(replace_field("model", json!("other")))]
+#[case::version(replace_field("version", json!("0")))]
+#[case::incarnation(replace_field("incarnation", json!(1)))]
+#[case::count(replace_field("count", json!(2)))]
+#[case::empty_batch(ReplyMutation::Replies(0))]
+#[case::two_replies(ReplyMutation::Replies(2))]
+#[case::later_outcome(replace_field("outcome", json!({ "postponed": 9 })))]
+#[case::two_outcomes(replace_field("outcome", json!({ "token": 1, "rows": [1] })))]
+#[case::other_handle(replace_field("outcome", json!({ "handle": "s/9/9/9" })))]
+#[case::rows_unasked(replace_field("outcome", json!({ "rows": [1, 2, 3] })))]
+#[case::no_rows(replace_field("outcome", json!({ "rows": [] })))]
+#[case::not_json(ReplyMutation::Replace(complete_reply(200, "<html>")))]
+#[case::no_body(ReplyMutation::Replace(complete_reply(200, "")))]
+#[case::huge(ReplyMutation::Replace(Reply::Huge(HUGE_BYTES)))]
+#[case::trickle(ReplyMutation::Replace(Reply::Trickle))]
+#[case::cut(ReplyMutation::Replace(Reply::Cut))]
+#[case::not_found(ReplyMutation::Replace(complete_reply(404, "")))]
+#[case::internal(ReplyMutation::Replace(complete_reply(500, "")))]
+#[case::unavailable(ReplyMutation::Replace(complete_reply(503, "")))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_wrong_reply_costs_no_answer(
-    #[case] mangle: Mangle,
+async fn answer_is_complete_after_one_invalid_step_reply(
+    #[case] mutation: ReplyMutation,
     #[values(0, 1)] stage: usize,
     #[values(1, 9)] step: usize,
 ) {
-    let fleet = MangledFleet::start().await;
+    let fleet = ProxiedFleet::start().await;
     let prompt = "a prompt";
     let tokens = 16;
-    fleet.mangle(stage, step, mangle);
+    fleet.mutate_reply(stage, step, mutation);
     let caller = fleet.caller();
     let answer = caller.complete(prompt, tokens).await.expect("an answer");
     assert!(matches!(answer.end, End::Whole(_)), "{answer:?}");
     assert_eq!(answer.text, fleet.setup.model.answer_text(prompt, tokens));
-    assert!(fleet.was_mangled(stage), "the wrong reply was sent");
+    assert!(fleet.was_mutated(stage), "the wrong reply was sent");
     let positions = prompt.len() as u32 + tokens - 1;
     assert_exactly_once(&fleet.setup.fakes, &answer.request, LAYERS, positions);
 }
--- a/crates/kelpworks/tests/contract_services.rs
+++ b/crates/kelpworks/tests/contract_services.rs
@@ -1,5 +1,5 @@
-//! The border to plain services: what a caller gets for each reply of a service, and how often
-//! the service was called.
+//! Calls of plain services: what a caller gets for each reply of a service, and how often the
+//! service is called.
 
 mod caller;
 mod contract;
@@ -20,53 +20,57 @@
 use contract::Setup;
 use contract::TOKEN;
 use contract::answer::describe;
-use contract::script::Reply;
-use contract::script::Script;
-use contract::until;
+use contract::scripted_server::Reply;
+use contract::scripted_server::ScriptedServer;
+use contract::wait_until;
 
-/// More than a daemon passes on of an answer.
-const HUGE: usize = 100 << 20;
-/// Bound of a whole request, for replies that never end.
-const SHORT: &str = "request = \"400 ms\"";
-/// Bound on what a client waits; never what a verdict rests on.
-const CLIENT_BOUND: Duration = Duration::from_secs(30);
+/// More than the daemon passes on of a response body.
+const HUGE_BYTES: usize = 100 << 20;
+/// Setting for a short request deadline, for replies that never end.
+const SHORT_DEADLINE: &str = "request = \"400 ms\"";
+/// Timeout of the client, so that a hanging test fails. No assertion depends on it.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon before two hosts of a plain service.
+/// A daemon in front of two hosts of a plain service.
 struct Services {
     setup: Setup,
-    hosts: Vec<Script>,
+    hosts: Vec<ScriptedServer>,
 }
 
 fn is_endless(reply: Reply) -> bool {
-    matches!(reply, Reply::Silence | Reply::Trickle)
+    matches!(reply, Reply::Unanswered | Reply::Trickle)
 }
 
 impl Services {
     async fn start(reply: Reply) -> Services {
-        let timing = if is_endless(reply) { SHORT } else { "" };
+        let timing = if is_endless(reply) {
+            SHORT_DEADLINE
+        } else {
+            ""
+        };
         let mut hosts = Vec::new();
         let redirect = async |view: &mut kelpworks_fakes::fleet::FleetView| {
             for service in &mut view.services {
-                let host = Script::start(reply).await;
+                let host = ScriptedServer::start(reply).await;
                 service.address = host.address();
                 hosts.push(host);
             }
         };
         let setup = Setup::start(redirect, timing).await;
         let services = Services { setup, hosts };
-        services.until_both_are_live().await;
+        services.wait_until_both_are_called().await;
         services
     }
 
-    /// Waits until calls have reached each of the hosts.
-    async fn until_both_are_live(&self) {
-        until("both hosts are called", async || {
-            let _any = self.call(Method::POST, "/warm-up").await;
+    /// Sends calls until each host has received one, then clears the recorded calls.
+    async fn wait_until_both_are_called(&self) {
+        wait_until("both hosts are called", async || {
+            let _response = self.call(Method::POST, "/warm-up").await;
             self.hosts.iter().all(|h| !h.calls().is_empty())
         })
         .await;
         for host in &self.hosts {
-            host.forget();
+            host.clear_calls();
         }
     }
 
@@ -74,7 +78,7 @@
         let client = reqwest::Client::builder()
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
-            .timeout(CLIENT_BOUND)
+            .timeout(CLIENT_TIMEOUT)
             .build()
             .expect("a client");
         let url = format!("{}/services/{SERVICE}{path}", self.setup.base());
@@ -82,7 +86,8 @@
         sent.await.expect("an answer")
     }
 
-    /// Sends a `PUT` with its path as it stands, and gives the whole reply.
+    /// Sends a `PUT` without normalizing the path, as HTTP clients would, and returns the whole
+    /// response as text.
     async fn put(&self, path: &str) -> String {
         let callers = self.setup.daemon.bound_addresses().callers;
         let mut stream = TcpStream::connect(callers).await.expect("connected");
@@ -102,46 +107,46 @@
 }
 
 #[rstest]
-#[case::ok("ok", Reply::Whole(200, "done"))]
-#[case::created("created", Reply::Whole(201, "made"))]
-#[case::no_content("no_content", Reply::Whole(204, ""))]
-#[case::not_found("not_found", Reply::Whole(404, "none"))]
-#[case::conflict("conflict", Reply::Whole(409, "exists"))]
-#[case::over_rate("over_rate", Reply::ComeBack(429, "7"))]
-#[case::internal("internal", Reply::Whole(500, "oops"))]
-#[case::unavailable("unavailable", Reply::ComeBack(503, "7"))]
-#[case::see_other("see_other", Reply::Moved(303))]
-#[case::see_nowhere("see_nowhere", Reply::MovedToNowhere(303))]
-#[case::moved("moved", Reply::Moved(307))]
-#[case::moved_nowhere("moved_nowhere", Reply::MovedToNowhere(307))]
-#[case::huge("huge", Reply::Huge(HUGE))]
+#[case::ok("ok", Reply::Complete(200, "done"))]
+#[case::created("created", Reply::Complete(201, "made"))]
+#[case::no_content("no_content", Reply::Complete(204, ""))]
+#[case::not_found("not_found", Reply::Complete(404, "none"))]
+#[case::conflict("conflict", Reply::Complete(409, "exists"))]
+#[case::over_rate("over_rate", Reply::RetryAfter(429, "7"))]
+#[case::internal("internal", Reply::Complete(500, "oops"))]
+#[case::unavailable("unavailable", Reply::RetryAfter(503, "7"))]
+#[case::see_other("see_other", Reply::Redirect(303))]
+#[case::see_nowhere("see_nowhere", Reply::RedirectToClosedPort(303))]
+#[case::moved("moved", Reply::Redirect(307))]
+#[case::moved_nowhere("moved_nowhere", Reply::RedirectToClosedPort(307))]
+#[case::huge("huge", Reply::Huge(HUGE_BYTES))]
 #[case::cut("cut", Reply::Cut)]
 #[case::trickle("trickle", Reply::Trickle)]
-#[case::silence("silence", Reply::Silence)]
+#[case::silence("silence", Reply::Unanswered)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn replies(#[case] name: &str, #[case] reply: Reply) {
+async fn service_reply_is_passed_on_with_verdict(#[case] name: &str, #[case] reply: Reply) {
     let services = Services::start(reply).await;
-    let mut told = String::new();
+    let mut transcript = String::new();
     for method in [Method::GET, Method::POST] {
         let before = services.calls();
         let res = services.call(method.clone(), "/thing").await;
         let described = describe(res).await;
         let calls = services.calls() - before;
-        // Whether a repeat still fits into the deadline is a matter of time.
+        // The number of retries that fit into the deadline depends on timing.
         let counted = match is_endless(reply) && method == Method::GET {
             true => String::new(),
             false => format!(", calls: {calls}"),
         };
-        told.push_str(&format!("{method}{counted}\n{described}\n"));
+        transcript.push_str(&format!("{method}{counted}\n{described}\n"));
         if method == Method::POST {
             assert!(calls <= 1, "a call that may not be repeated was repeated");
         }
     }
-    assert_snapshot!(format!("service_{name}"), told);
+    assert_snapshot!(format!("service_{name}"), transcript);
 }
 
-/// A `PUT` whose reply breaks off is sent again, unless a rule says that it may run only once.
-/// However the path is spelt, the service reads the same one, and so does the rule.
+/// A `PUT` whose reply is interrupted is retried, unless a rule declares it as non-idempotent. The
+/// rule must match every spelling that the service would read as the same path.
 #[rstest]
 #[case::no_rule("/things/1", true)]
 #[case::other_prefix("/things/certificates", true)]
@@ -156,16 +161,16 @@
 #[case::two_slashes("//certificates/1", false)]
 #[case::backslash("/things\\..\\certificates/1", false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_spelling_of_a_path_escapes_its_rule(#[case] path: &str, #[case] is_repeated: bool) {
+async fn non_idempotent_rule_matches_normalized_path(#[case] path: &str, #[case] is_retried: bool) {
     let services = Services::start(Reply::Cut).await;
     let reply = services.put(&format!("/services/{SERVICE}{path}")).await;
     assert!(reply.contains("kelpworks-verdict: may-have-run"), "{reply}");
     let calls = services.calls();
-    assert_eq!(calls > 1, is_repeated, "{:?}", services.hosts);
+    assert_eq!(calls > 1, is_retried, "{:?}", services.hosts);
     assert!(calls > 0, "it was sent");
 }
 
-/// The name of the service may be spelt in more ways too; what follows it is the path.
+/// The service name may be percent-encoded too. The service receives what follows the name.
 #[rstest]
 #[case::plain("/services/jobs/things/1", "PUT /things/1")]
 #[case::encoded("/services/j%6Fbs/things/1", "PUT /things/1")]
@@ -173,9 +178,13 @@
 #[case::bare("/services/jobs", "PUT /")]
 #[case::slash("/services/jobs/", "PUT /")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_follows_the_name_is_the_path(#[case] path: &str, #[case] call: &str) {
-    let services = Services::start(Reply::Whole(200, "done")).await;
+async fn service_receives_path_after_service_name(#[case] path: &str, #[case] call: &str) {
+    let services = Services::start(Reply::Complete(200, "done")).await;
     services.put(path).await;
-    let calls: Vec<String> = services.hosts.iter().flat_map(Script::calls).collect();
+    let calls: Vec<String> = services
+        .hosts
+        .iter()
+        .flat_map(ScriptedServer::calls)
+        .collect();
     assert_eq!(calls, [call]);
 }
