--- a/crates/kelpworks/tests/claims_support/mod.rs
+++ b/crates/kelpworks/tests/claims_support/mod.rs
@@ -189,7 +189,7 @@
     ) -> TestBed {
         let model = Model::new(MODEL, "1", 4);
         let fakes = FakeFleet::spawn(FleetConfig::pipeline(&model, 2, 2)).await;
-        let fakes = fakes.expect("stand-ins");
+        let fakes = fakes.expect("fakes must start");
         put_config(&fakes, &model, extra_services);
         let mut hosts = Vec::new();
         for n in 0..daemons {
@@ -346,7 +346,7 @@
         }
     };
     let found = tokio::time::timeout(WAIT_TIMEOUT, polling).await;
-    found.expect("it came about")
+    found.expect("condition not met within WAIT_TIMEOUT")
 }
 
 fn put_config(fakes: &FakeFleet, model: &Model, extra_services: &[ServiceView]) {
--- a/crates/kelpworks/tests/claims_without_daemon.rs
+++ b/crates/kelpworks/tests/claims_without_daemon.rs
@@ -133,7 +133,9 @@
     assert!(first.is_ok_and(|k| !k.replayed && k.reply == reply(body)));
     let again = bed.call(&node, "k", Ok(reply(b"other"))).await;
     match again {
-        Ok(kept) => assert!(is_recorded && kept.replayed && kept.reply == reply(body)),
+        Ok(keyed_reply) => {
+            assert!(is_recorded && keyed_reply.replayed && keyed_reply.reply == reply(body))
+        }
         Err(e) => assert!(
             !is_recorded && matches!(e, Error::MayHaveRun { .. }),
             "{e:?}"
@@ -326,6 +328,6 @@
     assert_eq!(bed.runs(), 1);
     assert!(
         bed.api.list(CLAIM_KIND).is_empty(),
-        "nothing is left behind"
+        "no claim object is left"
     );
 }
--- a/crates/kelpworks/tests/clients_era.rs
+++ b/crates/kelpworks/tests/clients_era.rs
@@ -78,7 +78,10 @@
         eras.observe(Era(1), EraSource::Peer);
     };
     let (reply, ()) = tokio::join!(timeout(LONG_TIMEOUT / 2, watch), observe_later_era);
-    assert_eq!(reply.expect("at once"), Err(Error::Expired));
+    assert_eq!(
+        reply.expect("the watch ends before its timeout"),
+        Err(Error::Expired)
+    );
 }
 
 #[tokio::test]
@@ -110,7 +113,11 @@
     assert_eq!(other.version, lost.revision);
     let condition = Condition::Version(lost);
     let written = api.put(KIND, "n", "3".to_owned(), condition).await;
-    assert_eq!(written, Err(Error::Lost), "not known to be ours");
+    assert_eq!(
+        written,
+        Err(Error::Lost),
+        "may be the write of another client"
+    );
     assert_eq!(eras.latest(), Era(1));
 }
 
@@ -126,7 +133,7 @@
     let eras = Eras::default();
     eras.observe(Era(3), EraSource::Answer);
     assert_eq!(eras.check_response_era(response_era), expected);
-    assert!(eras.latest() >= Era(3), "never falls");
+    assert!(eras.latest() >= Era(3), "the latest era never decreases");
 }
 
 /// The latest era never decreases and is spread to peers, so one response with a wrong era must not
@@ -137,25 +144,25 @@
     assert_eq!(
         eras.check_response_era(Some(Era(3))),
         Ok(Era(3)),
-        "the first is"
+        "the first era is accepted at once"
     );
     assert_eq!(eras.check_response_era(Some(Era(900))), Err(Error::Lost));
     assert_eq!(
         eras.check_response_era(Some(Era(3))),
         Ok(Era(3)),
-        "as before"
+        "the current era is still accepted"
     );
     assert_eq!(eras.check_response_era(Some(Era(900))), Err(Error::Lost));
     assert_eq!(eras.check_response_era(Some(Era(7))), Err(Error::Lost));
     assert!(
         !eras.observe(Era(3), EraSource::Peer),
-        "a peer that is behind"
+        "an earlier era from a peer is ignored"
     );
     assert_eq!(eras.check_response_era(Some(Era(7))), Ok(Era(7)));
     assert_eq!(
         eras.check_response_era(Some(Era(8))),
         Ok(Era(8)),
-        "the next one at once"
+        "the next era is accepted at once"
     );
 }
 
@@ -197,17 +204,17 @@
             }
         })
     };
-    wait_until_held(true).await.expect("it is free");
+    wait_until_held(true).await.expect("the lease is acquired");
     let first_token = handle.fencing_token().expect("held");
     fake.restore();
     eras.observe(Era(1), EraSource::Peer);
-    wait_until_held(false).await.expect("it ends");
+    wait_until_held(false).await.expect("the lease ends");
     wait_until_held(true)
         .await
-        .expect("taken again once its time is over");
+        .expect("the lease is acquired again after its TTL");
     assert!(
         handle.fencing_token().expect("held") > first_token,
-        "tokens rise"
+        "fencing tokens increase"
     );
     shutdown.cancel();
     keeper_task.await.expect("no panic");
--- a/crates/kelpworks/tests/clients_object_api.rs
+++ b/crates/kelpworks/tests/clients_object_api.rs
@@ -229,7 +229,7 @@
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         1,
-        "connections are kept"
+        "the connection is reused"
     );
 }
 
--- a/crates/kelpworks/tests/config_accept.rs
+++ b/crates/kelpworks/tests/config_accept.rs
@@ -307,7 +307,7 @@
     assert_eq!(
         api.head().generation.0,
         4,
-        "an old head is no ground to write on"
+        "nothing is written on the base of a stale head"
     );
 }
 
--- a/crates/kelpworks/tests/contract/answer.rs
+++ b/crates/kelpworks/tests/contract/answer.rs
@@ -34,11 +34,11 @@
     if let Ok(ErrorBody { error }) = serde_json::from_slice(&body) {
         let _ = write!(text, "  error {}, {}", error.type_, error.verdict);
         assert!(names_request, "an error names its request");
-        assert!(!error.message.is_empty(), "an error says something");
+        assert!(!error.message.is_empty(), "an error has a message");
         let contains_address = error.message.contains("127.0.0.1");
         assert!(
             !contains_address,
-            "no caller learns an address: {}",
+            "an error message contains an address: {}",
             error.message
         );
         return text;
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -57,7 +57,7 @@
     pub(crate) async fn start(redirect: impl AsyncFnOnce(&mut FleetView), timing: &str) -> Setup {
         let model = Model::new(MODEL, "1", LAYERS);
         let cfg = FleetConfig::pipeline(&model, STAGES, 1);
-        let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
+        let fakes = FakeFleet::spawn(cfg).await.expect("fakes must start");
         let mut view = fakes.view();
         redirect(&mut view).await;
         put_config(&view, &model).await;
@@ -118,5 +118,8 @@
         }
     };
     let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
-    assert!(waited.is_ok(), "not within the bound: {what}");
+    assert!(
+        waited.is_ok(),
+        "condition not met within WAIT_TIMEOUT: {what}"
+    );
 }
--- a/crates/kelpworks/tests/contract_callers.rs
+++ b/crates/kelpworks/tests/contract_callers.rs
@@ -94,7 +94,11 @@
     let req = client().post(format!("{}{COMPLETIONS}", setup.base()));
     let req = req.header("authorization", format!("{scheme} {TOKEN}"));
     let res = req.body("no JSON").send().await.expect("an answer");
-    assert_eq!(res.status(), 400, "past the token, up to the body");
+    assert_eq!(
+        res.status(),
+        400,
+        "the token is accepted and the body refused"
+    );
 }
 
 #[rstest]
--- a/crates/kelpworks/tests/contract_engine.rs
+++ b/crates/kelpworks/tests/contract_engine.rs
@@ -95,7 +95,7 @@
     assert_eq!(
         server.calls(),
         ["POST /v1/steps"],
-        "sent once and nowhere else"
+        "sent once, without retry or redirect"
     );
 }
 
@@ -203,7 +203,7 @@
     let answer = caller.complete(prompt, tokens).await.expect("an answer");
     assert!(matches!(answer.end, End::Whole(_)), "{answer:?}");
     assert_eq!(answer.text, fleet.setup.model.answer_text(prompt, tokens));
-    assert!(fleet.was_mutated(stage), "the wrong reply was sent");
+    assert!(fleet.was_mutated(stage), "the invalid reply was sent");
     let positions = prompt.len() as u32 + tokens - 1;
     assert_exactly_once(&fleet.setup.fakes, &answer.request, LAYERS, positions);
 }
--- a/crates/kelpworks/tests/contract_services.rs
+++ b/crates/kelpworks/tests/contract_services.rs
@@ -139,7 +139,7 @@
         };
         transcript.push_str(&format!("{method}{counted}\n{described}\n"));
         if method == Method::POST {
-            assert!(calls <= 1, "a call that may not be repeated was repeated");
+            assert!(calls <= 1, "a non-idempotent call was retried");
         }
     }
     assert_snapshot!(format!("service_{name}"), transcript);
@@ -167,7 +167,7 @@
     assert!(reply.contains("kelpworks-verdict: may-have-run"), "{reply}");
     let calls = services.calls();
     assert_eq!(calls > 1, is_retried, "{:?}", services.hosts);
-    assert!(calls > 0, "it was sent");
+    assert!(calls > 0, "the call was sent");
 }
 
 /// The service name may be percent-encoded too. The service receives what follows the name.
