--- a/crates/kelpworks/examples/demo.rs
+++ b/crates/kelpworks/examples/demo.rs
@@ -37,8 +37,8 @@
     let once = std::env::args().any(|a| a == "--once");
     match run(once).await {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(wrong) => {
-            eprintln!("demo: {wrong} answers differ from the model computed directly");
+        Ok(wrong_answers) => {
+            eprintln!("demo: {wrong_answers} answers differ from the model computed directly");
             ExitCode::FAILURE
         }
         Err(e) => {
@@ -51,11 +51,11 @@
 /// Returns how many answers were wrong.
 async fn run(once: bool) -> Result<u32> {
     let model = Model::new(MODEL, "1", 12);
-    let fakes = support::pipeline(&model, 3, 2).await?;
+    let fakes = support::spawn_pipeline(&model, 3, 2).await?;
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &TEAMS)?;
     let metrics = daemon::install_metrics()?;
-    let daemons = support::daemons(&fakes, 3, "balancer_notice = \"1 ms\"", &metrics).await?;
-    let wrong = if once {
+    let daemons = support::start_daemons(&fakes, 3, "balancer_notice = \"1 ms\"", &metrics).await?;
+    let wrong_answers = if once {
         check(&model, &daemons).await?
     } else {
         serve(&daemons).await?
@@ -63,7 +63,7 @@
     for daemon in daemons {
         daemon.stop().await;
     }
-    Ok(wrong)
+    Ok(wrong_answers)
 }
 
 async fn serve(daemons: &[Daemon]) -> Result<u32> {
@@ -85,28 +85,28 @@
 /// Sends requests of both kinds through every daemon.
 async fn check(model: &Model, daemons: &[Daemon]) -> Result<u32> {
     let client = reqwest::Client::new();
-    let (mut asked, mut wrong) = (0, 0);
+    let (mut requests, mut wrong_answers) = (0, 0);
     for (n, daemon) in daemons.iter().enumerate() {
         let base = format!("http://{}", daemon.bound_addresses().callers);
         for team in &TEAMS {
             let prompt = format!("shot {n} of {}", team.name);
-            asked += 2;
+            requests += 2;
             let text = complete(&client, &base, team.token, &prompt).await?;
-            wrong += u32::from(text != model.answer_text(&prompt, MAX_TOKENS));
+            wrong_answers += u32::from(text != model.answer_text(&prompt, MAX_TOKENS));
             let text = chat(&client, &base, team.token, &prompt).await?;
-            let whole = format!("user: {prompt}\nassistant:");
-            wrong += u32::from(text != model.answer_text(&whole, MAX_TOKENS));
+            let chat_prompt = format!("user: {prompt}\nassistant:");
+            wrong_answers += u32::from(text != model.answer_text(&chat_prompt, MAX_TOKENS));
         }
-        asked += 1;
+        requests += 1;
         let url = format!("{base}/services/jobs/jobs/7");
         let res = client.get(url).bearer_auth(TEAMS[0].token).send().await?;
-        wrong += u32::from(!res.status().is_success());
+        wrong_answers += u32::from(!res.status().is_success());
     }
     println!(
-        "{asked} requests through {} daemons, {wrong} wrong answers",
+        "{requests} requests through {} daemons, {wrong_answers} wrong answers",
         daemons.len()
     );
-    Ok(wrong)
+    Ok(wrong_answers)
 }
 
 async fn complete(
--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -9,10 +9,10 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::sim::Agenda;
+use crate::sim::EventQueue;
 use crate::sim::exponential;
+use crate::sim::format_min_median_max;
 use crate::sim::quantile;
-use crate::sim::spread;
 use crate::table::Table;
 use kelpworks::fleet::Counters;
 use kelpworks::fleet::DomainKey;
@@ -42,39 +42,45 @@
 const DAEMONS: usize = 7;
 /// Calls that each upstream runs at once; it refuses others.
 const SLOTS: [u32; 12] = [2, 2, 3, 3, 4, 4, 5, 5, 6, 6, 8, 12];
-const SERVICE: Duration = Duration::from_millis(200);
-const LINK: Duration = Duration::from_micros(500);
-const REPORT: Duration = Duration::from_millis(500);
-const END: Duration = Duration::from_secs(60);
+const MEAN_SERVICE_TIME: Duration = Duration::from_millis(200);
+const LINK_LATENCY: Duration = Duration::from_micros(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const ARRIVALS_END: Duration = Duration::from_secs(60);
 /// The callers' deadline.
 const DEADLINE: Duration = Duration::from_secs(5);
 /// How long a penalty lasts.
-const PENALTY: Duration = Duration::from_secs(5);
+const PENALTY_DURATION: Duration = Duration::from_secs(5);
 /// Part of the calls that may not run twice.
-const NON_IDEMPOTENT: f64 = 0.2;
+const NON_IDEMPOTENT_SHARE: f64 = 0.2;
 
 /// What a refusal means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum RefusalPolicy {
     /// Answered as busy; the upstream is put last for a while.
     Cooldown,
     /// Answered as busy; another upstream is tried, and that is all.
-    Plain,
+    NoCooldown,
     /// Answered as busy; the upstream counts as suspect.
-    Penalty,
+    MarkSuspect,
     /// Not answered; the step deadline ends the attempt, and it may have run.
-    Silence,
+    Timeout,
     /// Not answered, and the upstream counts as suspect after the deadline.
-    SilencePenalty,
+    TimeoutMarkSuspect,
 }
 
-impl Answer {
-    fn is_silent(self) -> bool {
-        matches!(self, Answer::Silence | Answer::SilencePenalty)
+impl RefusalPolicy {
+    fn times_out(self) -> bool {
+        matches!(
+            self,
+            RefusalPolicy::Timeout | RefusalPolicy::TimeoutMarkSuspect
+        )
     }
 
-    fn is_penalty(self) -> bool {
-        matches!(self, Answer::Penalty | Answer::SilencePenalty)
+    fn marks_suspect(self) -> bool {
+        matches!(
+            self,
+            RefusalPolicy::MarkSuspect | RefusalPolicy::TimeoutMarkSuspect
+        )
     }
 }
 
@@ -90,21 +96,21 @@
 /// A caller's request.
 struct Call {
     daemon: usize,
-    came: Duration,
+    arrived_at: Duration,
     idempotent: bool,
     attempts: u32,
     failed: Vec<UpstreamKey>,
 }
 
 #[derive(Clone, Copy)]
-enum Happening {
+enum SimEvent {
     Arrival,
     Attempt(u64),
     /// A call reaches an upstream.
     Reach(u64, usize),
     Served(u64, usize, Duration),
     Refused(u64, usize),
-    Forgiven(usize, usize),
+    PenaltyEnd(usize, usize),
     Report,
 }
 
@@ -116,11 +122,11 @@
     latencies: Vec<f64>,
 }
 
-struct World {
-    answer: Answer,
+struct Simulation {
+    policy: RefusalPolicy,
     load: f64,
     rng: StdRng,
-    agenda: Agenda<Happening>,
+    event_queue: EventQueue<SimEvent>,
     daemons: Vec<Daemon>,
     running: Vec<u32>,
     calls: HashMap<u64, Call>,
@@ -137,7 +143,7 @@
             versions: vec!["v1".to_owned()],
         }],
         links: vec![LinkCost {
-            latency: LINK,
+            latency: LINK_LATENCY,
             bytes_per_second: 1_000_000_000,
         }],
         ..Fleet::default()
@@ -147,7 +153,7 @@
         url: Arc::from(""),
         domain: DomainKey(0),
         health: Health::Live,
-        layer_rate: f64::from(slots) / SERVICE.as_secs_f64(),
+        layer_rate: f64::from(slots) / MEAN_SERVICE_TIME.as_secs_f64(),
         layer_assignments: vec![LayerAssignment {
             model: ModelKey(0),
             version: 0,
@@ -165,8 +171,8 @@
     (fleet.indexed(), keys)
 }
 
-impl World {
-    fn new(answer: Answer, load: f64, seed: u64) -> World {
+impl Simulation {
+    fn new(policy: RefusalPolicy, load: f64, seed: u64) -> Simulation {
         let daemon = |_| {
             let (fleet, keys) = fleet();
             Daemon {
@@ -177,11 +183,11 @@
                 deadlines: vec![StepDeadline::default(); SLOTS.len()],
             }
         };
-        World {
-            answer,
+        Simulation {
+            policy,
             load,
             rng: StdRng::seed_from_u64(seed),
-            agenda: Agenda::new(),
+            event_queue: EventQueue::new(),
             daemons: (0..DAEMONS).map(daemon).collect(),
             running: vec![0; SLOTS.len()],
             calls: HashMap::new(),
@@ -191,34 +197,34 @@
     }
 
     fn run(mut self) -> Outcome {
-        self.agenda.add(Duration::ZERO, Happening::Arrival);
-        self.agenda.add(REPORT, Happening::Report);
-        while let Some((now, happening)) = self.agenda.next() {
-            match happening {
-                Happening::Arrival => self.arrival(now),
-                Happening::Attempt(call) => self.attempt(now, call),
-                Happening::Reach(call, at) => self.reach(now, call, at),
-                Happening::Served(call, at, took) => self.served(now, call, at, took),
-                Happening::Refused(call, at) => self.refused(now, call, at),
-                Happening::Forgiven(daemon, at) => self.set_health(daemon, at, Health::Live),
-                Happening::Report => self.report(now),
+        self.event_queue.add(Duration::ZERO, SimEvent::Arrival);
+        self.event_queue.add(REPORT_INTERVAL, SimEvent::Report);
+        while let Some((now, event)) = self.event_queue.next() {
+            match event {
+                SimEvent::Arrival => self.arrival(now),
+                SimEvent::Attempt(call) => self.attempt(now, call),
+                SimEvent::Reach(call, at) => self.reach(now, call, at),
+                SimEvent::Served(call, at, took) => self.served(now, call, at, took),
+                SimEvent::Refused(call, at) => self.refused(now, call, at),
+                SimEvent::PenaltyEnd(daemon, at) => self.set_health(daemon, at, Health::Live),
+                SimEvent::Report => self.report(now),
             }
         }
         self.outcome
     }
 
     fn arrival(&mut self, now: Duration) {
-        if now > END {
+        if now > ARRIVALS_END {
             return;
         }
         let slots: u32 = SLOTS.iter().sum();
-        let gap = SERVICE.div_f64(f64::from(slots) * self.load);
-        self.agenda
-            .add(now + exponential(gap, &mut self.rng), Happening::Arrival);
+        let gap = MEAN_SERVICE_TIME.div_f64(f64::from(slots) * self.load);
+        self.event_queue
+            .add(now + exponential(gap, &mut self.rng), SimEvent::Arrival);
         let call = Call {
             daemon: self.rng.random_range(0..DAEMONS),
-            came: now,
-            idempotent: !self.rng.random_bool(NON_IDEMPOTENT),
+            arrived_at: now,
+            idempotent: !self.rng.random_bool(NON_IDEMPOTENT_SHARE),
             attempts: 0,
             failed: Vec::new(),
         };
@@ -251,24 +257,26 @@
         let at = daemon.keys.iter().position(|&k| k == key).unwrap_or(0);
         let counters = &daemon.fleet.upstreams[key].counters;
         counters.sent_since_report.fetch_add(1, Ordering::Relaxed);
-        self.agenda.add(now + LINK, Happening::Reach(id, at));
+        self.event_queue
+            .add(now + LINK_LATENCY, SimEvent::Reach(id, at));
     }
 
     fn reach(&mut self, now: Duration, id: u64, at: usize) {
         if self.running[at] < SLOTS[at] {
             self.running[at] += 1;
-            let took = exponential(SERVICE, &mut self.rng);
-            self.agenda.add(now + took, Happening::Served(id, at, took));
+            let took = exponential(MEAN_SERVICE_TIME, &mut self.rng);
+            self.event_queue
+                .add(now + took, SimEvent::Served(id, at, took));
             return;
         }
         self.outcome.refusals += 1;
         let daemon = &self.daemons[self.calls[&id].daemon];
-        let wait = if self.answer.is_silent() {
+        let wait = if self.policy.times_out() {
             daemon.deadlines[at].deadline(&DeadlineConfig::default(), 1)
         } else {
-            LINK
+            LINK_LATENCY
         };
-        self.agenda.add(now + wait, Happening::Refused(id, at));
+        self.event_queue.add(now + wait, SimEvent::Refused(id, at));
     }
 
     fn served(&mut self, now: Duration, id: u64, at: usize, took: Duration) {
@@ -279,11 +287,11 @@
         let daemon = &mut self.daemons[call.daemon];
         daemon.budget.record_success();
         daemon.deadlines[at].observe(took, 1);
-        if self.answer == Answer::Cooldown {
+        if self.policy == RefusalPolicy::Cooldown {
             let counters = &daemon.fleet.upstreams[daemon.keys[at]].counters;
             daemon.cooldowns.clear_cooldown(daemon.keys[at], counters);
         }
-        let latency = now + LINK - call.came;
+        let latency = now + LINK_LATENCY - call.arrived_at;
         if latency <= DEADLINE {
             self.outcome.latencies.push(latency.as_secs_f64() * 1e3);
         }
@@ -298,7 +306,7 @@
         let key = daemon.keys[at];
         call.failed.push(key);
         let now_ms = now.as_millis() as u64;
-        if self.answer == Answer::Cooldown {
+        if self.policy == RefusalPolicy::Cooldown {
             let counters = &daemon.fleet.upstreams[key].counters;
             let none = Duration::ZERO;
             daemon
@@ -306,25 +314,25 @@
                 .record_refusal(key, counters, none, now_ms, &mut self.rng);
         }
         let attempt = Attempt {
-            verdict: if self.answer.is_silent() {
+            verdict: if self.policy.times_out() {
                 Verdict::MayHaveRun
             } else {
                 Verdict::NotRun
             },
             idempotent: call.idempotent,
             attempts: call.attempts,
-            time_left: (call.came + DEADLINE).saturating_sub(now),
+            time_left: (call.arrived_at + DEADLINE).saturating_sub(now),
         };
         match daemon.budget.decide(now, &attempt, &mut self.rng) {
-            Decision::RetryAfter(delay) => self.agenda.add(now + delay, Happening::Attempt(id)),
+            Decision::RetryAfter(delay) => self.event_queue.add(now + delay, SimEvent::Attempt(id)),
             Decision::Abandon(_) => {
                 self.calls.remove(&id);
             }
         }
-        if self.answer.is_penalty() {
+        if self.policy.marks_suspect() {
             self.set_health(index, at, Health::Suspect);
-            self.agenda
-                .add(now + PENALTY, Happening::Forgiven(index, at));
+            self.event_queue
+                .add(now + PENALTY_DURATION, SimEvent::PenaltyEnd(index, at));
         }
     }
 
@@ -335,10 +343,11 @@
     }
 
     fn report(&mut self, now: Duration) {
-        if now > END {
+        if now > ARRIVALS_END {
             return;
         }
-        self.agenda.add(now + REPORT, Happening::Report);
+        self.event_queue
+            .add(now + REPORT_INTERVAL, SimEvent::Report);
         for daemon in &mut self.daemons {
             for (at, &key) in daemon.keys.iter().enumerate() {
                 let upstream = &mut daemon.fleet.upstreams[key];
@@ -350,22 +359,22 @@
     }
 }
 
-fn row(answer: Answer, name: &str, load: f64) -> Vec<String> {
-    let runs = (0..SEEDS).map(|seed| World::new(answer, load, seed).run());
+fn row(policy: RefusalPolicy, name: &str, load: f64) -> Vec<String> {
+    let runs = (0..SEEDS).map(|seed| Simulation::new(policy, load, seed).run());
     let mut runs: Vec<Outcome> = runs.collect();
     let completed = runs
         .iter()
         .map(|r| r.latencies.len() as f64 / f64::from(r.calls));
-    let completed = spread(completed.collect());
+    let completed = format_min_median_max(completed.collect());
     let refusals = runs
         .iter()
         .map(|r| f64::from(r.refusals) / f64::from(r.calls));
-    let refusals = spread(refusals.collect());
-    let mut latency = |part| {
+    let refusals = format_min_median_max(refusals.collect());
+    let mut latency = |q| {
         let values = runs
             .iter_mut()
-            .map(|r| quantile(&mut r.latencies, part) / 200.0);
-        spread(values.collect())
+            .map(|r| quantile(&mut r.latencies, q) / 200.0);
+        format_min_median_max(values.collect())
     };
     vec![
         format!("{load}"),
@@ -380,20 +389,23 @@
 
 /// Runs the measurement.
 pub(crate) fn table() -> Table {
-    let ways = [
-        (Answer::Cooldown, "busy, cooldown"),
-        (Answer::Plain, "busy, no cooldown (baseline)"),
-        (Answer::Penalty, "busy, suspect for 5 s (baseline)"),
-        (Answer::Silence, "silence (baseline)"),
+    let policies = [
+        (RefusalPolicy::Cooldown, "busy, cooldown"),
+        (RefusalPolicy::NoCooldown, "busy, no cooldown (baseline)"),
         (
-            Answer::SilencePenalty,
+            RefusalPolicy::MarkSuspect,
+            "busy, suspect for 5 s (baseline)",
+        ),
+        (RefusalPolicy::Timeout, "silence (baseline)"),
+        (
+            RefusalPolicy::TimeoutMarkSuspect,
             "silence, suspect for 5 s (baseline)",
         ),
     ];
     let mut rows = Vec::new();
     for load in [0.7, 0.9, 1.2] {
-        for (answer, name) in ways {
-            rows.push(row(answer, name, load));
+        for (policy, name) in policies {
+            rows.push(row(policy, name, load));
         }
     }
     Table {
--- a/crates/kelpworks/examples/measure/capacity.rs
+++ b/crates/kelpworks/examples/measure/capacity.rs
@@ -7,7 +7,7 @@
 //! connection in it and is an upper bound where the row says so. The page `docs/CAPACITY.md` takes
 //! its slopes from here.
 
-mod border;
+mod clients;
 mod cost;
 mod path;
 mod state;
@@ -21,16 +21,16 @@
     /// Role of the daemon.
     role: &'static str,
     /// What was measured, with its unit.
-    what: String,
+    quantity: String,
     /// What the size counts.
-    by: &'static str,
+    size_unit: &'static str,
     /// Size and measured value; at least two different sizes.
     points: Vec<(f64, f64)>,
 }
 
 /// A least-squares line.
 #[derive(Clone, Copy, Debug)]
-struct Line {
+struct LinearFit {
     slope: f64,
     intercept: f64,
     /// Greatest distance of a point from the line, as a share of the greatest value.
@@ -38,11 +38,11 @@
 }
 
 impl Series {
-    fn new(role: &'static str, what: impl Into<String>, by: &'static str) -> Series {
+    fn new(role: &'static str, quantity: impl Into<String>, size_unit: &'static str) -> Series {
         Series {
             role,
-            what: what.into(),
-            by,
+            quantity: quantity.into(),
+            size_unit,
             points: Vec::new(),
         }
     }
@@ -51,7 +51,7 @@
         self.points.push((size, value));
     }
 
-    fn line(&self) -> Line {
+    fn fit(&self) -> LinearFit {
         let n = self.points.len() as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| self.points.iter().map(f).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
@@ -60,10 +60,14 @@
         let slope = covariance / variance;
         let intercept = y - slope * x;
         let distance = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
-        let far = self.points.iter().map(distance).fold(0.0, f64::max);
-        let most = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-        let residual = if most > 0.0 { far / most } else { 0.0 };
-        Line {
+        let max_distance = self.points.iter().map(distance).fold(0.0, f64::max);
+        let max_value = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
+        let residual = if max_value > 0.0 {
+            max_distance / max_value
+        } else {
+            0.0
+        };
+        LinearFit {
             slope,
             intercept,
             residual,
@@ -71,19 +75,19 @@
     }
 
     fn row(&self) -> Vec<String> {
-        let line = self.line();
+        let fit = self.fit();
         let points = self.points.iter();
         let points: Vec<String> = points
             .map(|p| format!("{:.0}: {}", p.0, number(p.1)))
             .collect();
         vec![
             self.role.to_owned(),
-            self.what.clone(),
-            self.by.to_owned(),
+            self.quantity.clone(),
+            self.size_unit.to_owned(),
             points.join(", "),
-            number(line.slope),
-            number(line.intercept),
-            format!("{:.1}%", 100.0 * line.residual),
+            number(fit.slope),
+            number(fit.intercept),
+            format!("{:.1}%", 100.0 * fit.residual),
         ]
     }
 }
--- a/crates/kelpworks/examples/measure/capacity/border.rs
+++ b/crates/kelpworks/examples/measure/capacity/clients.rs
@@ -6,10 +6,10 @@
 
 use crate::capacity::Series;
 use crate::capacity::cost;
-use crate::capacity::path::DAEMON;
+use crate::capacity::path::DAEMON_THREAD_NAME;
 use crate::capacity::path::LAYERS;
-use crate::capacity::path::MICROS;
-use crate::capacity::path::Threads;
+use crate::capacity::path::MICROS_PER_SECOND;
+use crate::capacity::path::Runtimes;
 use crate::capacity::path::model;
 use crate::capacity::tap::Tap;
 use crate::support::Result;
@@ -33,14 +33,14 @@
 use kelpworks_wire::StepInput;
 use kelpworks_wire::StepOutcome;
 
-const BATCHES: [u32; 4] = [1, 8, 32, 64];
+const BATCH_SIZES: [u32; 4] = [1, 8, 32, 64];
 const SENDERS: u32 = 8;
 const STEPS_PER_SENDER: u32 = 2_000;
-const POSITIONS: [u32; 3] = [1, 16, 64];
+const POSITION_COUNTS: [u32; 3] = [1, 16, 64];
 const SESSION_ID: &str = "0123456789abcdef0123456789abcdef";
 const DEADLINE: Duration = Duration::from_secs(10);
 /// Hosts on the platform's list; the last is the target's, daemons and upstreams together.
-const HOSTS: [usize; 3] = [100, 400, 970];
+const HOST_COUNTS: [usize; 3] = [100, 400, 970];
 const LIST_READS: u32 = 200;
 
 /// Measures all of them.
@@ -48,32 +48,32 @@
 /// # Errors
 ///
 /// When a stand-in can't be started or refuses.
-pub(super) fn all(threads: &Threads) -> Result<Vec<Series>> {
-    let mut series = messages(threads)?;
-    series.extend(step_bytes(threads)?);
-    series.extend(poll_bytes(threads)?);
-    series.extend(host_list(threads)?);
+pub(super) fn all(runtimes: &Runtimes) -> Result<Vec<Series>> {
+    let mut series = step_messages(runtimes)?;
+    series.extend(step_bytes(runtimes)?);
+    series.extend(poll_bytes(runtimes)?);
+    series.extend(host_list(runtimes)?);
     Ok(series)
 }
 
 /// Processor time of one message of steps, by the steps in it.
-fn messages(threads: &Threads) -> Result<Vec<Series>> {
+fn step_messages(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut time = Series::new("driver", "us a step message, border only", "steps in it");
     let mut bytes = Series::new("driver", "bytes a step message, both ways", "steps in it");
     let model = model();
-    for steps in BATCHES {
-        let fakes = threads.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
-        let tap = Tap::spawn(&threads.fakes, fakes.engines[0].addr())?;
+    for steps in BATCH_SIZES {
+        let fakes = runtimes.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
+        let tap = Tap::spawn(&runtimes.fakes, fakes.engines[0].addr())?;
         let direct: Arc<str> = fakes.engines[0].url().into();
         let engine = Arc::new(HttpEngine::new(DEADLINE));
         let turns = (STEPS_PER_SENDER / steps).max(60);
-        send(threads, &engine, &direct, "warm", steps, 8)?;
-        let before = cost::of_threads(DAEMON);
-        send(threads, &engine, &direct, "timed", steps, turns)?;
-        let spent = (cost::of_threads(DAEMON) - before).as_secs_f64();
+        send(runtimes, &engine, &direct, "warm", steps, 8)?;
+        let before = cost::cpu_time_of_threads(DAEMON_THREAD_NAME);
+        send(runtimes, &engine, &direct, "timed", steps, turns)?;
+        let spent = (cost::cpu_time_of_threads(DAEMON_THREAD_NAME) - before).as_secs_f64();
         let count = f64::from(turns * SENDERS);
-        time.add(f64::from(steps), spent * MICROS / count);
-        send(threads, &engine, &tap.url(), "tapped", steps, 10)?;
+        time.add(f64::from(steps), spent * MICROS_PER_SECOND / count);
+        send(runtimes, &engine, &tap.url(), "tapped", steps, 10)?;
         let count = f64::from(10 * SENDERS);
         bytes.add(f64::from(steps), tap.bytes() as f64 / count);
     }
@@ -82,7 +82,7 @@
 
 /// Sends messages of so many steps, each of another session, from several senders at once.
 fn send(
-    threads: &Threads,
+    runtimes: &Runtimes,
     engine: &Arc<HttpEngine>,
     url: &Arc<str>,
     run: &'static str,
@@ -92,7 +92,7 @@
     let senders: Vec<_> = (0..SENDERS)
         .map(|sender| {
             let (engine, url) = (Arc::clone(engine), Arc::clone(url));
-            threads.daemon.spawn(async move {
+            runtimes.daemon.spawn(async move {
                 for turn in 0..turns {
                     let step = |n| {
                         let session = format!("{SESSION_ID}-{run}-{sender}-{n}");
@@ -110,7 +110,7 @@
         })
         .collect();
     for sender in senders {
-        threads.daemon.block_on(sender)??;
+        runtimes.daemon.block_on(sender)??;
     }
     Ok(())
 }
@@ -145,23 +145,25 @@
 }
 
 /// Bytes of one step of a middle stage, by the positions in it and the form of its input.
-fn step_bytes(threads: &Threads) -> Result<Vec<Series>> {
+fn step_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     let model = model();
     for (name, form) in [
         ("handle", OutputForm::Handle),
         ("inline", OutputForm::Inline),
     ] {
-        let what = format!("bytes a step by {name}, both ways");
-        let mut bytes = Series::new("driver", what, "positions");
-        for count in POSITIONS {
-            let fakes = threads.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
-            let tap = Tap::spawn(&threads.fakes, fakes.engines[1].addr())?;
+        let quantity = format!("bytes a step by {name}, both ways");
+        let mut bytes = Series::new("driver", quantity, "positions");
+        for count in POSITION_COUNTS {
+            let fakes = runtimes.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
+            let tap = Tap::spawn(&runtimes.fakes, fakes.engines[1].addr())?;
             let first: Arc<str> = fakes.engines[0].url().into();
             let engine = HttpEngine::new(DEADLINE);
             let tokens = StepInput::Tokens(vec![7; count as usize]);
-            let made = step(SESSION_ID.to_owned(), 0, 0, tokens, form);
-            let reply = threads.daemon.block_on(one(&engine, &first, made))?;
+            let first_step = step(SESSION_ID.to_owned(), 0, 0, tokens, form);
+            let reply = runtimes
+                .daemon
+                .block_on(run_step(&engine, &first, first_step))?;
             let input = match reply {
                 StepOutcome::Rows(rows) => StepInput::Rows(rows),
                 StepOutcome::Handle(handle) => StepInput::Handle(HandleRef {
@@ -172,7 +174,9 @@
                 other => return Err(format!("no output: {other:?}").into()),
             };
             let next = step(SESSION_ID.to_owned(), 1, 0, input, form);
-            threads.daemon.block_on(one(&engine, &tap.url(), next))?;
+            runtimes
+                .daemon
+                .block_on(run_step(&engine, &tap.url(), next))?;
             bytes.add(f64::from(count), tap.bytes() as f64);
         }
         all.push(bytes);
@@ -180,7 +184,7 @@
     Ok(all)
 }
 
-async fn one(engine: &HttpEngine, url: &Arc<str>, step: Step) -> Result<StepOutcome> {
+async fn run_step(engine: &HttpEngine, url: &Arc<str>, step: Step) -> Result<StepOutcome> {
     let batch = StepBatch { steps: vec![step] };
     let mut reply = engine.steps(url, &batch, DEADLINE).await?;
     check(&reply)?;
@@ -189,17 +193,17 @@
 }
 
 /// Bytes of state polls.
-fn poll_bytes(threads: &Threads) -> Result<Vec<Series>> {
+fn poll_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let model = model();
     let mut bytes = Series::new("state polls", "bytes of polls, both ways", "polls");
-    let fakes = threads.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
-    let tap = Tap::spawn(&threads.fakes, fakes.engines[0].addr())?;
+    let fakes = runtimes.fakes(&model, FleetConfig::pipeline(&model, 4, 1))?;
+    let tap = Tap::spawn(&runtimes.fakes, fakes.engines[0].addr())?;
     let (engine, url) = (HttpEngine::new(DEADLINE), tap.url());
     let mut polled = 0;
     for polls in [10, 20, 40] {
         while polled < polls {
             let state = engine.state(&url, DEADLINE);
-            threads.daemon.block_on(state)?;
+            runtimes.daemon.block_on(state)?;
             polled += 1;
         }
         bytes.add(f64::from(polls), tap.bytes() as f64);
@@ -208,33 +212,36 @@
 }
 
 /// Reads of the platform's host list.
-fn host_list(threads: &Threads) -> Result<Vec<Series>> {
+fn host_list(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut time = Series::new("host list", "us of processor a read", "hosts");
     let mut bytes = Series::new("host list", "bytes a read, both ways", "hosts");
-    for size in HOSTS {
+    for size in HOST_COUNTS {
         let cfg = HostListConfig {
-            hosts: (0..size).map(listed).collect(),
+            hosts: (0..size).map(host_entry).collect(),
             ..HostListConfig::default()
         };
-        let list = threads.fakes.block_on(FakeHostList::spawn(cfg))?;
-        let tap = Tap::spawn(&threads.fakes, address_of(&list)?)?;
+        let list = runtimes.fakes.block_on(FakeHostList::spawn(cfg))?;
+        let tap = Tap::spawn(&runtimes.fakes, address_of(&list)?)?;
         let api = HttpHostList::new(&tap.url(), host_list::Deadlines::default())?;
-        let before = cost::of_threads(DAEMON);
-        let reads = threads.daemon.spawn(async move {
+        let before = cost::cpu_time_of_threads(DAEMON_THREAD_NAME);
+        let reads = runtimes.daemon.spawn(async move {
             for _ in 0..LIST_READS {
                 api.hosts().await?;
             }
             host_list::Result::Ok(())
         });
-        threads.daemon.block_on(reads)??;
-        let spent = (cost::of_threads(DAEMON) - before).as_secs_f64();
-        time.add(size as f64, spent * MICROS / f64::from(LIST_READS));
+        runtimes.daemon.block_on(reads)??;
+        let spent = (cost::cpu_time_of_threads(DAEMON_THREAD_NAME) - before).as_secs_f64();
+        time.add(
+            size as f64,
+            spent * MICROS_PER_SECOND / f64::from(LIST_READS),
+        );
         bytes.add(size as f64, tap.bytes() as f64 / f64::from(LIST_READS));
     }
     Ok(vec![time, bytes])
 }
 
-fn listed(n: usize) -> HostEntry {
+fn host_entry(n: usize) -> HostEntry {
     HostEntry {
         name: format!("engine-host-{n}"),
         address: format!("10.0.{}.{}:8000", n / 250, n % 250 + 1),
--- a/crates/kelpworks/examples/measure/capacity/path.rs
+++ b/crates/kelpworks/examples/measure/capacity/path.rs
@@ -11,7 +11,7 @@
 use tokio::runtime::Runtime;
 
 use crate::capacity::Series;
-use crate::capacity::border;
+use crate::capacity::clients;
 use crate::capacity::cost;
 use crate::support;
 use crate::support::ExampleTeam;
@@ -23,8 +23,8 @@
 use kelpworks_fakes::FleetConfig;
 use kelpworks_fakes::Model;
 
-pub(super) const DAEMON: &str = "cap-daemon";
-const THREADS: usize = 2;
+pub(super) const DAEMON_THREAD_NAME: &str = "cap-daemon";
+const THREADS_PER_RUNTIME: usize = 2;
 pub(super) const LAYERS: u32 = 24;
 const PROMPT: &str = "a red chair by the window";
 const TEAM: ExampleTeam = ExampleTeam {
@@ -35,39 +35,39 @@
 };
 const CALLERS: usize = 16;
 /// Length of an answer, and answers that each caller asks for.
-const ANSWERS: [(u32, u32); 3] = [(8, 40), (32, 16), (128, 6)];
-const STAGES: [u32; 4] = [1, 2, 4, 8];
+const ANSWER_SIZES: [(u32, u32); 3] = [(8, 40), (32, 16), (128, 6)];
+const STAGE_COUNTS: [u32; 4] = [1, 2, 4, 8];
 /// Runs of which the cheapest counts: others on the machine make a step dearer, not cheaper.
 const RUNS: usize = 3;
 /// Polls so rare that they do not count.
 const RARE_POLLS: &str = "state_poll = \"60 s\"";
-const ENGINES: [u32; 3] = [20, 60, 150];
+const ENGINE_COUNTS: [u32; 3] = [20, 60, 150];
 const IDLE_TIME: Duration = Duration::from_secs(5);
-const SETTLE: Duration = Duration::from_secs(2);
-const CONNECTIONS: [usize; 4] = [200, 400, 800, 1_200];
-const SESSIONS: [usize; 3] = [100, 200, 400];
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+const CONNECTION_COUNTS: [usize; 4] = [200, 400, 800, 1_200];
+const SESSION_COUNTS: [usize; 3] = [100, 200, 400];
 const DEADLINE: Duration = Duration::from_secs(10);
-pub(super) const MICROS: f64 = 1e6;
+pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Threads of their own for daemon, stand-ins and callers, so that each one's time is known.
-pub(super) struct Threads {
+pub(super) struct Runtimes {
     pub(super) daemon: Runtime,
     pub(super) fakes: Runtime,
     callers: Runtime,
     metrics: PrometheusHandle,
 }
 
-impl Threads {
-    fn new() -> Result<Threads> {
+impl Runtimes {
+    fn new() -> Result<Runtimes> {
         let named = |name: &str| {
             Builder::new_multi_thread()
-                .worker_threads(THREADS)
+                .worker_threads(THREADS_PER_RUNTIME)
                 .thread_name(name)
                 .enable_all()
                 .build()
         };
-        Ok(Threads {
-            daemon: named(DAEMON)?,
+        Ok(Runtimes {
+            daemon: named(DAEMON_THREAD_NAME)?,
             fakes: named("cap-fakes")?,
             callers: named("cap-callers")?,
             metrics: daemon::install_metrics()?,
@@ -81,7 +81,7 @@
     }
 
     fn daemon(&self, fakes: &FakeFleet, timing: &str) -> Result<Daemon> {
-        let started = support::daemons(fakes, 1, timing, &self.metrics);
+        let started = support::start_daemons(fakes, 1, timing, &self.metrics);
         let mut daemons = self.daemon.block_on(started)?;
         daemons.pop().ok_or_else(|| "no daemon".into())
     }
@@ -97,44 +97,44 @@
 ///
 /// When daemon or stand-ins can't be started, or an answer is wrong.
 pub(super) fn all() -> Result<Vec<Series>> {
-    let threads = Threads::new()?;
+    let runtimes = Runtimes::new()?;
     // Memory first, before freed memory of other runs is used again.
-    let mut series = upstreams(&threads)?;
-    series.extend(connections(&threads)?);
-    series.extend(sessions(&threads)?);
-    series.extend(caller_bytes(&threads)?);
-    series.extend(polls(&threads)?);
-    series.extend(border::all(&threads)?);
+    let mut series = upstreams(&runtimes)?;
+    series.extend(connections(&runtimes)?);
+    series.extend(sessions(&runtimes)?);
+    series.extend(caller_bytes(&runtimes)?);
+    series.extend(polls(&runtimes)?);
+    series.extend(clients::all(&runtimes)?);
     Ok(series)
 }
 
 /// Processor time of the daemon by length of the answer, and how that grows with the stages.
-fn sessions(threads: &Threads) -> Result<Vec<Series>> {
+fn sessions(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     let mut token = Series::new("driver", "us a token (slopes above)", "stages");
     let mut request = Series::new("caller side", "us a request (intercepts above)", "stages");
-    for stages in STAGES {
-        let what = format!("us a request, {stages} stages");
-        let mut time = Series::new("caller side and driver", what, "tokens");
-        let fakes = threads.fakes(&model(), FleetConfig::pipeline(&model(), stages, 1))?;
-        let daemon = threads.daemon(&fakes, RARE_POLLS)?;
+    for stages in STAGE_COUNTS {
+        let quantity = format!("us a request, {stages} stages");
+        let mut time = Series::new("caller side and driver", quantity, "tokens");
+        let fakes = runtimes.fakes(&model(), FleetConfig::pipeline(&model(), stages, 1))?;
+        let daemon = runtimes.daemon(&fakes, RARE_POLLS)?;
         let base = format!("http://{}", daemon.bound_addresses().callers);
-        answers(threads, &base, 8, 8)?;
-        for (tokens, turns) in ANSWERS {
+        request_answers(runtimes, &base, 8, 8)?;
+        for (tokens, turns) in ANSWER_SIZES {
             let requests = f64::from(turns) * CALLERS as f64;
-            let mut told = 0;
-            let mut least = f64::INFINITY;
+            let mut received_tokens = 0;
+            let mut min_us = f64::INFINITY;
             for _ in 0..RUNS {
-                let before = cost::of_threads(DAEMON);
-                told = answers(threads, &base, tokens, turns)?;
-                let spent = (cost::of_threads(DAEMON) - before).as_secs_f64();
-                least = least.min(spent * MICROS / requests);
+                let before = cost::cpu_time_of_threads(DAEMON_THREAD_NAME);
+                received_tokens = request_answers(runtimes, &base, tokens, turns)?;
+                let spent = (cost::cpu_time_of_threads(DAEMON_THREAD_NAME) - before).as_secs_f64();
+                min_us = min_us.min(spent * MICROS_PER_SECOND / requests);
             }
-            time.add(told as f64 / requests, least);
+            time.add(received_tokens as f64 / requests, min_us);
         }
-        let line = time.line();
-        token.add(f64::from(stages), line.slope);
-        request.add(f64::from(stages), line.intercept);
+        let fit = time.fit();
+        token.add(f64::from(stages), fit.slope);
+        request.add(f64::from(stages), fit.intercept);
         all.push(time);
         daemon.kill();
     }
@@ -143,13 +143,13 @@
 }
 
 /// Has every caller ask so many times; returns the tokens of all answers, each of which is right.
-fn answers(threads: &Threads, base: &str, max_tokens: u32, turns: u32) -> Result<usize> {
+fn request_answers(runtimes: &Runtimes, base: &str, max_tokens: u32, turns: u32) -> Result<usize> {
     let client = reqwest::Client::builder().no_proxy().build()?;
     let callers: Vec<_> = (0..CALLERS)
         .map(|n| {
             let (base, client) = (base.to_owned(), client.clone());
-            threads.callers.spawn(async move {
-                let mut told = 0;
+            runtimes.callers.spawn(async move {
+                let mut received_tokens = 0;
                 for turn in 0..turns {
                     let call = Call {
                         base: base.clone(),
@@ -162,37 +162,37 @@
                     if answer.text != model().answer_text(&call.prompt, max_tokens) {
                         return Err("an answer is wrong".into());
                     }
-                    told += answer.at.len();
+                    received_tokens += answer.token_times.len();
                 }
-                Ok::<usize, Box<dyn std::error::Error + Send + Sync>>(told)
+                Ok::<usize, Box<dyn std::error::Error + Send + Sync>>(received_tokens)
             })
         })
         .collect();
-    let mut told = 0;
+    let mut received_tokens = 0;
     for caller in callers {
-        told += threads.callers.block_on(caller)??;
+        received_tokens += runtimes.callers.block_on(caller)??;
     }
-    Ok(told)
+    Ok(received_tokens)
 }
 
 /// Bytes between a caller and the daemon, HTTP's heads with them.
-fn caller_bytes(threads: &Threads) -> Result<Vec<Series>> {
+fn caller_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut bytes = Series::new("caller side", "bytes to the caller, streamed", "tokens");
-    let fakes = threads.fakes(&model(), FleetConfig::pipeline(&model(), 2, 1))?;
-    let daemon = threads.daemon(&fakes, RARE_POLLS)?;
-    for (tokens, _) in ANSWERS {
-        let mut stream = ask(daemon.bound_addresses().callers, PROMPT, tokens)?;
+    let fakes = runtimes.fakes(&model(), FleetConfig::pipeline(&model(), 2, 1))?;
+    let daemon = runtimes.daemon(&fakes, RARE_POLLS)?;
+    for (tokens, _) in ANSWER_SIZES {
+        let mut stream = send_request(daemon.bound_addresses().callers, PROMPT, tokens)?;
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer)?;
-        let told = model().answer(&kelpworks_fakes::tokenize(PROMPT.as_bytes()), tokens);
-        bytes.add(told.len() as f64, answer.len() as f64);
+        let received_tokens = model().answer(&kelpworks_fakes::tokenize(PROMPT.as_bytes()), tokens);
+        bytes.add(received_tokens.len() as f64, answer.len() as f64);
     }
     daemon.kill();
     Ok(vec![bytes])
 }
 
 /// Asks for a streamed answer on a connection of its own.
-fn ask(daemon: SocketAddr, prompt: &str, max_tokens: u32) -> Result<TcpStream> {
+fn send_request(daemon: SocketAddr, prompt: &str, max_tokens: u32) -> Result<TcpStream> {
     let model = model();
     let body = serde_json::json!({
         "model": model.name(), "prompt": prompt, "max_tokens": max_tokens, "stream": true,
@@ -211,26 +211,29 @@
 }
 
 /// What upstreams take of a daemon's memory; no daemon ends before the last has been measured.
-fn upstreams(threads: &Threads) -> Result<Vec<Series>> {
-    let what = "bytes, with the stand-ins' ends";
-    let mut memory = Series::new("upstream connections", what, "upstreams");
+fn upstreams(runtimes: &Runtimes) -> Result<Vec<Series>> {
+    let quantity = "bytes, with the stand-ins' ends";
+    let mut memory = Series::new("upstream connections", quantity, "upstreams");
     let mut kept = Vec::new();
-    for engines in ENGINES {
-        let fakes = threads.fakes(&model(), FleetConfig::pipeline(&model(), 4, engines / 4))?;
+    for engines in ENGINE_COUNTS {
+        let fakes = runtimes.fakes(&model(), FleetConfig::pipeline(&model(), 4, engines / 4))?;
         let upstreams = (fakes.engines.len() + fakes.services.len()) as f64;
-        let before = cost::memory();
-        let daemon = threads.daemon(&fakes, "")?;
-        std::thread::sleep(SETTLE);
-        memory.add(upstreams, cost::memory().saturating_sub(before) as f64);
+        let before = cost::resident_bytes();
+        let daemon = runtimes.daemon(&fakes, "")?;
+        std::thread::sleep(SETTLE_TIME);
+        memory.add(
+            upstreams,
+            cost::resident_bytes().saturating_sub(before) as f64,
+        );
         kept.push((fakes, daemon));
     }
     kept.into_iter().for_each(|(_, daemon)| daemon.kill());
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     Ok(vec![memory])
 }
 
 /// State polls of an idle daemon.
-fn polls(threads: &Threads) -> Result<Vec<Series>> {
+fn polls(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let role = "state polls";
     let mut time = Series::new(
         role,
@@ -238,25 +241,28 @@
         "upstreams",
     );
     let model = model();
-    for engines in ENGINES {
-        let fakes = threads.fakes(&model, FleetConfig::pipeline(&model, 4, engines / 4))?;
+    for engines in ENGINE_COUNTS {
+        let fakes = runtimes.fakes(&model, FleetConfig::pipeline(&model, 4, engines / 4))?;
         let upstreams = (fakes.engines.len() + fakes.services.len()) as f64;
-        let daemon = threads.daemon(&fakes, "")?;
-        std::thread::sleep(SETTLE);
-        let before = cost::of_threads(DAEMON);
+        let daemon = runtimes.daemon(&fakes, "")?;
+        std::thread::sleep(SETTLE_TIME);
+        let before = cost::cpu_time_of_threads(DAEMON_THREAD_NAME);
         std::thread::sleep(IDLE_TIME);
-        let spent = (cost::of_threads(DAEMON) - before).as_secs_f64();
-        time.add(upstreams, spent * MICROS / IDLE_TIME.as_secs_f64());
+        let spent = (cost::cpu_time_of_threads(DAEMON_THREAD_NAME) - before).as_secs_f64();
+        time.add(
+            upstreams,
+            spent * MICROS_PER_SECOND / IDLE_TIME.as_secs_f64(),
+        );
         daemon.kill();
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
     }
     Ok(vec![time])
 }
 
 /// Memory of connections without a request, and of sessions under way.
-fn connections(threads: &Threads) -> Result<Vec<Series>> {
-    let mut idle = Series::new("caller side", "bytes of idle connections", "connections");
-    let mut held = Series::new(
+fn connections(runtimes: &Runtimes) -> Result<Vec<Series>> {
+    let mut idle_memory = Series::new("caller side", "bytes of idle connections", "connections");
+    let mut session_memory = Series::new(
         "driver",
         "bytes of sessions, with the stand-ins' state",
         "sessions",
@@ -266,43 +272,49 @@
         engine.iteration_base = Duration::from_millis(200);
         engine.max_batch = 1_024;
     }
-    let fakes = threads.fakes(&model(), cfg)?;
-    let daemon = threads.daemon(&fakes, RARE_POLLS)?;
+    let fakes = runtimes.fakes(&model(), cfg)?;
+    let daemon = runtimes.daemon(&fakes, RARE_POLLS)?;
     let address = daemon.bound_addresses().callers;
-    let before = cost::memory();
+    let before = cost::resident_bytes();
     let mut kept = Vec::new();
-    for count in CONNECTIONS {
+    for count in CONNECTION_COUNTS {
         while kept.len() < count {
             kept.push(idle_connection(address)?);
         }
-        idle.add(count as f64, cost::memory().saturating_sub(before) as f64);
+        idle_memory.add(
+            count as f64,
+            cost::resident_bytes().saturating_sub(before) as f64,
+        );
     }
-    let before = cost::memory();
+    let before = cost::resident_bytes();
     let mut running = Vec::new();
-    for count in SESSIONS {
+    for count in SESSION_COUNTS {
         while running.len() < count {
-            running.push(ask(
+            running.push(send_request(
                 address,
                 &format!("{PROMPT} {:04}", running.len()),
                 200,
             )?);
         }
         std::thread::sleep(Duration::from_secs(4));
-        held.add(count as f64, cost::memory().saturating_sub(before) as f64);
+        session_memory.add(
+            count as f64,
+            cost::resident_bytes().saturating_sub(before) as f64,
+        );
     }
-    let mut begun = 0;
+    let mut answering = 0;
     for stream in &mut running {
         stream.set_read_timeout(Some(Duration::from_millis(1)))?;
-        begun += usize::from(stream.read(&mut [0; 512]).is_ok_and(|n| n > 0));
+        answering += usize::from(stream.read(&mut [0; 512]).is_ok_and(|n| n > 0));
     }
     eprintln!(
-        "{begun} of {} held sessions had begun to answer",
+        "{answering} of {} held sessions had begun to answer",
         running.len()
     );
     drop(running);
     drop(kept);
     daemon.kill();
-    Ok(vec![idle, held])
+    Ok(vec![idle_memory, session_memory])
 }
 
 /// A connection that has had one small answer and is kept open.
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -7,7 +7,7 @@
 use crate::capacity::Series;
 use crate::capacity::cost;
 use crate::decision;
-use crate::decision::Cuts;
+use crate::decision::LayerSplit;
 use crate::fleets;
 use kelpworks::placement;
 use kelpworks::placement::FailureScope;
@@ -31,14 +31,14 @@
 use kelpworks_fakes::fleet::EngineView;
 use kelpworks_fakes::fleet::FleetView;
 
-const UPSTREAMS: [usize; 3] = [40, 150, 600];
-const TEAMS: [usize; 3] = [10, 500, 2_100];
-const HOSTS: [usize; 3] = [100, 300, 600];
-const ENTRIES: [usize; 3] = [250, 1_000, 4_000];
+const UPSTREAM_COUNTS: [usize; 3] = [40, 150, 600];
+const TEAM_COUNTS: [usize; 3] = [10, 500, 2_100];
+const HOST_COUNTS: [usize; 3] = [100, 300, 600];
+const ENTRY_COUNTS: [usize; 3] = [250, 1_000, 4_000];
 /// Processor time spent on each figure, at least.
-const LEAST: Duration = Duration::from_millis(200);
-const MICROS: f64 = 1e6;
-const MILLIS: f64 = 1e3;
+const MIN_CPU_TIME: Duration = Duration::from_millis(200);
+const MICROS_PER_SECOND: f64 = 1e6;
+const MILLIS_PER_SECOND: f64 = 1e3;
 
 /// Measures all of them.
 pub(super) fn all() -> Vec<Series> {
@@ -58,24 +58,24 @@
     let Some(target) = fleets::FLEETS.last() else {
         return Vec::new();
     };
-    for hosts in HOSTS {
+    for hosts in HOST_COUNTS {
         let mut input = fleets::draw(target, 1);
         input.hosts.truncate(hosts);
         let size = hosts as f64;
-        let start = cost::of_this_thread();
+        let start = cost::cpu_time_of_this_thread();
         let plan = black_box(placement::plan(&input));
         time.add(
             size,
-            (cost::of_this_thread() - start).as_secs_f64() * MILLIS,
+            (cost::cpu_time_of_this_thread() - start).as_secs_f64() * MILLIS_PER_SECOND,
         );
-        let held = cost::memory_of(|| (input.clone(), plan.clone()));
-        memory.add(size, held);
+        let bytes = cost::resident_bytes_per_value(|| (input.clone(), plan.clone()));
+        memory.add(size, bytes);
         input.loaded_ranges = plan.host_ranges(&input);
         let lost = FailureScope::Host(HostKey(0));
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(placement::repair(&input, &plan, lost));
         });
-        repair.add(size, seconds * MILLIS);
+        repair.add(size, seconds * MILLIS_PER_SECOND);
     }
     vec![time, repair, memory]
 }
@@ -85,31 +85,40 @@
     let mut publish = Series::new(role, "us a snapshot", "upstreams");
     let mut index = Series::new(role, "us an index rebuild", "upstreams");
     let mut memory = Series::new(role, "bytes of a snapshot with index", "upstreams");
-    for size in UPSTREAMS {
-        let fleet = decision::fleet(size, Cuts::Mixed, 1);
+    for size in UPSTREAM_COUNTS {
+        let fleet = decision::fleet(size, LayerSplit::Mixed, 1);
         let x = size as f64;
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(fleet.clone());
         });
-        publish.add(x, seconds * MICROS);
-        let both = cost::per_call(LEAST, || {
+        publish.add(x, seconds * MICROS_PER_SECOND);
+        let both = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(fleet.clone().indexed());
         });
-        index.add(x, (both - seconds) * MICROS);
-        memory.add(x, cost::memory_of(|| fleet.clone().indexed()));
+        index.add(x, (both - seconds) * MICROS_PER_SECOND);
+        memory.add(
+            x,
+            cost::resident_bytes_per_value(|| fleet.clone().indexed()),
+        );
     }
     vec![publish, index, memory]
 }
 
 fn decisions() -> Vec<Series> {
     let mut path = Series::new("routing", "us a path decision, mixed cuts", "upstreams");
-    for size in UPSTREAMS {
-        let fleet = decision::fleet(size, Cuts::Mixed, 1);
-        path.add(size as f64, decision::sampled_path(&fleet, 1) * MICROS);
+    for size in UPSTREAM_COUNTS {
+        let fleet = decision::fleet(size, LayerSplit::Mixed, 1);
+        path.add(
+            size as f64,
+            decision::sampled_path(&fleet, 1) * MICROS_PER_SECOND,
+        );
     }
     let mut admit = Series::new("admission", "us a request", "teams");
-    for teams in TEAMS {
-        admit.add(teams as f64, decision::fair_admission(teams, 1) * MICROS);
+    for teams in TEAM_COUNTS {
+        admit.add(
+            teams as f64,
+            decision::fair_admission(teams, 1) * MICROS_PER_SECOND,
+        );
     }
     vec![path, admit]
 }
@@ -119,30 +128,30 @@
     let mut register_time = Series::new(role, "us to read a register", "upstreams");
     let mut register_bytes = Series::new(role, "bytes of a register", "upstreams");
     let mut register_memory = Series::new(role, "bytes of a register in memory", "upstreams");
-    for size in UPSTREAMS {
+    for size in UPSTREAM_COUNTS {
         let text = register_text(size);
         let read = || Register::parse("register", &text).expect("a valid register");
         let x = size as f64;
         register_bytes.add(x, text.len() as f64);
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(read());
         });
-        register_time.add(x, seconds * MICROS);
-        register_memory.add(x, cost::memory_of(read));
+        register_time.add(x, seconds * MICROS_PER_SECOND);
+        register_memory.add(x, cost::resident_bytes_per_value(read));
     }
     let mut rules_time = Series::new(role, "us to read rules", "teams");
     let mut rules_bytes = Series::new(role, "bytes of rules", "teams");
     let mut rules_memory = Series::new(role, "bytes of rules in memory", "teams");
-    for teams in TEAMS {
+    for teams in TEAM_COUNTS {
         let text = rules_text(teams);
         let read = || Rules::parse_alone("rules", &text).expect("valid rules");
         let x = teams as f64;
         rules_bytes.add(x, text.len() as f64);
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(read());
         });
-        rules_time.add(x, seconds * MICROS);
-        rules_memory.add(x, cost::memory_of(read));
+        rules_time.add(x, seconds * MICROS_PER_SECOND);
+        rules_memory.add(x, cost::resident_bytes_per_value(read));
     }
     vec![
         register_time,
@@ -203,23 +212,23 @@
     let mut fact_memory = Series::new("facts", "bytes held", "facts");
     let mut check_time = Series::new("poison", "us a check", "suspects");
     let mut poison_memory = Series::new("poison", "bytes held", "suspects");
-    for size in ENTRIES {
+    for size in ENTRY_COUNTS {
         let x = size as f64;
         let mut facts = facts_of(size, now);
         while !facts.take_delta(now, 1_000_000, 370).is_empty() {}
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(facts.take_delta(now, 1_000, 370));
         });
-        fact_time.add(x, seconds * MICROS);
-        fact_memory.add(x, cost::memory_of(|| facts.clone()));
+        fact_time.add(x, seconds * MICROS_PER_SECOND);
+        fact_memory.add(x, cost::resident_bytes_per_value(|| facts.clone()));
         let poison = poison_of(size, now);
         let mut at = 0;
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             at = (at + 1) % (2 * size as u64);
             black_box(poison.check(now, Fingerprint(at)));
         });
-        check_time.add(x, seconds * MICROS);
-        poison_memory.add(x, cost::memory_of(|| poison.clone()));
+        check_time.add(x, seconds * MICROS_PER_SECOND);
+        poison_memory.add(x, cost::resident_bytes_per_value(|| poison.clone()));
     }
     vec![fact_time, fact_memory, check_time, poison_memory]
 }
--- a/crates/kelpworks/examples/measure/capacity/traffic.rs
+++ b/crates/kelpworks/examples/measure/capacity/traffic.rs
@@ -36,7 +36,7 @@
 use kelpworks_coord::rendezvous;
 use kelpworks_coord::time::Instant;
 
-const DAEMONS: [usize; 4] = [30, 100, 200, 370];
+const DAEMON_COUNTS: [usize; 4] = [30, 100, 200, 370];
 /// Virtual time of a run of membership, and between two ticks.
 const RUN_MS: u64 = 60_000;
 const TICK_MS: u64 = 100;
@@ -46,9 +46,9 @@
 const SILENT_FROM_MS: u64 = 10_000;
 const WATCHERS: usize = 2;
 const DOMAINS: u64 = 4;
-const OUTCOMES: [usize; 3] = [100, 1_000, 10_000];
-const LEAST: Duration = Duration::from_millis(200);
-const MICROS: f64 = 1e6;
+const OUTCOME_SIZES: [usize; 3] = [100, 1_000, 10_000];
+const MIN_CPU_TIME: Duration = Duration::from_millis(200);
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Measures all of them.
 pub(super) fn all() -> Vec<Series> {
@@ -69,18 +69,18 @@
     );
     let mut time = Series::new(role, "us/s of processor a daemon, quiet", "daemons");
     let mut memory = Series::new(role, "bytes held", "daemons");
-    for size in DAEMONS {
+    for size in DAEMON_COUNTS {
         let x = size as f64;
         let seconds = RUN_MS as f64 / 1_000.0;
         let share = seconds * x;
         let mut net = Net::new(size);
-        let start = cost::of_this_thread();
+        let start = cost::cpu_time_of_this_thread();
         net.run(None);
-        let spent = (cost::of_this_thread() - start).as_secs_f64();
+        let spent = (cost::cpu_time_of_this_thread() - start).as_secs_f64();
         quiet.add(x, net.bytes as f64 / share);
         messages.add(x, net.messages as f64 / share);
-        time.add(x, spent * MICROS / share);
-        memory.add(x, cost::memory_of(|| net.nodes[0].clone()));
+        time.add(x, spent * MICROS_PER_SECOND / share);
+        memory.add(x, cost::resident_bytes_per_value(|| net.nodes[0].clone()));
         let mut net = Net::new(size);
         net.run(Some(0));
         loss.add(x, net.bytes as f64 / share);
@@ -142,13 +142,13 @@
             for n in 0..self.nodes.len() {
                 if self.silent != Some(n) {
                     let actions = self.nodes[n].on_event(now, Event::Tick);
-                    self.take(now, n, actions);
+                    self.handle_actions(now, n, actions);
                 }
             }
         }
     }
 
-    fn take(&mut self, now: Instant, n: usize, actions: Vec<Action>) {
+    fn handle_actions(&mut self, now: Instant, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Probe { target, view } => self.probe(now, n, target.0 as usize, view),
@@ -182,11 +182,11 @@
             {
                 self.send(now, to, from, view);
                 let from_id = NodeId(to as u64);
-                let heard = Event::Contact {
+                let contact = Event::Contact {
                     from: from_id,
                     incarnation,
                 };
-                self.nodes[from].on_event(now, heard);
+                self.nodes[from].on_event(now, contact);
             }
         }
     }
@@ -217,9 +217,9 @@
     let mut rounds = Series::new(role, "rounds of pushes a change", "daemons");
     let mut missed = Series::new(role, "daemons left to heartbeats", "daemons");
     let mut watches = Series::new(role, "waiting watches", "daemons");
-    for size in DAEMONS {
+    for size in DAEMON_COUNTS {
         let x = size as f64;
-        let change = Change::run(size);
+        let change = GenerationChange::run(size);
         pushes.add(x, change.pushes as f64);
         rounds.add(x, change.rounds as f64);
         missed.add(x, change.missed as f64);
@@ -229,15 +229,15 @@
 }
 
 /// What one change took, from the watchers on.
-struct Change {
+struct GenerationChange {
     watchers: usize,
     pushes: usize,
     rounds: usize,
     missed: usize,
 }
 
-impl Change {
-    fn run(size: usize) -> Change {
+impl GenerationChange {
+    fn run(size: usize) -> GenerationChange {
         let members: Vec<(NodeId, DomainId)> = (0..size as u64)
             .map(|n| (NodeId(n), DomainId(n % DOMAINS)))
             .collect();
@@ -246,7 +246,7 @@
             .iter()
             .map(|&(node, _)| Dissemination::new(dissemination::Config::default(), node))
             .collect();
-        let mut known = vec![false; size];
+        let mut has_generation = vec![false; size];
         let mut next = watchers.clone();
         let (mut pushes, mut rounds) = (0, 0);
         while !next.is_empty() {
@@ -257,7 +257,7 @@
                     .map(|m| m.0)
                     .filter(|&peer| peer != node)
                     .collect();
-                known[node.0 as usize] = true;
+                has_generation[node.0 as usize] = true;
                 let learned = dissemination::Event::Learned(Generation(1));
                 for action in daemons[node.0 as usize].on_event(learned, &peers) {
                     if let dissemination::Action::Push(to) = action {
@@ -267,16 +267,16 @@
             }
             pushes += pushed.len();
             rounds += usize::from(!pushed.is_empty());
-            pushed.retain(|to| !known[to.0 as usize]);
+            pushed.retain(|to| !has_generation[to.0 as usize]);
             pushed.sort_unstable();
             pushed.dedup();
             next = pushed;
         }
-        Change {
+        GenerationChange {
             watchers: watchers.len(),
             pushes,
             rounds,
-            missed: known.iter().filter(|k| !**k).count(),
+            missed: has_generation.iter().filter(|k| !**k).count(),
         }
     }
 }
@@ -286,15 +286,15 @@
     let mut writes = Series::new(role, "writes a keyed call", "outcome bytes");
     let mut bytes = Series::new(role, "bytes written a keyed call", "outcome bytes");
     let mut time = Series::new(role, "us a keyed call, state machine", "outcome bytes");
-    for size in OUTCOMES {
+    for size in OUTCOME_SIZES {
         let x = size as f64;
         let records = claim(size);
         writes.add(x, records.len() as f64);
         bytes.add(x, records.iter().map(json_bytes).sum::<u64>() as f64);
-        let seconds = cost::per_call(LEAST, || {
+        let seconds = cost::cpu_seconds_per_call(MIN_CPU_TIME, || {
             black_box(claim(size));
         });
-        time.add(x, seconds * MICROS);
+        time.add(x, seconds * MICROS_PER_SECOND);
     }
     vec![writes, bytes, time]
 }
--- a/crates/kelpworks/examples/measure/control.rs
+++ b/crates/kelpworks/examples/measure/control.rs
@@ -15,21 +15,21 @@
 use kelpworks_coord::time::Span;
 
 /// Sizes with real sockets.
-const REAL: [usize; 3] = [7, 30, 100];
+const SOCKET_FLEETS: [usize; 3] = [7, 30, 100];
 /// Sizes by the state machines alone.
-const VIRTUAL: [usize; 4] = [7, 30, 100, 370];
+const VIRTUAL_FLEETS: [usize; 4] = [7, 30, 100, 370];
 /// Time to get to know each other, and time measured.
 const WARM_UP: Duration = Duration::from_secs(10);
-const MEASURED: Duration = Duration::from_secs(30);
+const MEASURED_TIME: Duration = Duration::from_secs(30);
 const VIRTUAL_MS: u64 = 60_000;
 /// Steps of a run; a step holds what a 400th of a day brings.
 const STEPS: u64 = 40;
 /// A tenth of a day: what the steps of a run stand for.
 const TENTH_OF_DAY_MS: f64 = 8_640_000.0;
 /// Aim of the two-year target, in bytes a second a daemon.
-const AIM: f64 = 2_000.0;
+const TARGET_BYTES_PER_SECOND: f64 = 2_000.0;
 /// Rows of the fit.
-const TARGET: f64 = 370.0;
+const TARGET_DAEMONS: f64 = 370.0;
 
 /// What happens meanwhile.
 #[derive(Clone, Copy)]
@@ -43,17 +43,17 @@
 pub(crate) fn run() -> Table {
     let mut rows = Vec::new();
     let mut points = Vec::new();
-    for daemons in REAL {
-        let rates = real(daemons);
+    for daemons in SOCKET_FLEETS {
+        let rates = socket_rates(daemons);
         let mean = rates.iter().sum::<f64>() / rates.len() as f64;
-        let most = rates.iter().copied().fold(0.0, f64::max);
+        let max_rate = rates.iter().copied().fold(0.0, f64::max);
         points.push((daemons as f64, mean));
-        rows.push(line(daemons, "real sockets, quiet", mean, Some(most)));
+        rows.push(row(daemons, "real sockets, quiet", mean, Some(max_rate)));
     }
     let (slope, at_target) = fit(&points);
     let what = format!("fit of real sockets, {slope:+.2} B/s for each daemon");
-    rows.push(line(TARGET as usize, &what, at_target, None));
-    for daemons in VIRTUAL {
+    rows.push(row(TARGET_DAEMONS as usize, &what, at_target, None));
+    for daemons in VIRTUAL_FLEETS {
         // Side by side: each has its own clock.
         let [quiet, demand, packed] = std::thread::scope(|scope| {
             let started = [Load::Quiet, Load::Demand, Load::Day]
@@ -67,12 +67,12 @@
             ("state machines, a day's events over the day", day),
             ("state machines, a tenth of a day's events in 60 s", packed),
         ];
-        rows.extend(rates.map(|(case, rate)| line(daemons, case, rate, None)));
+        rows.extend(rates.map(|(case, rate)| row(daemons, case, rate, None)));
     }
     Table {
         title: format!(
             "control: bytes a second that a daemon sends and receives for peers; sockets over \
-             {MEASURED:?}, state machines over {} s; aim {AIM} sent",
+             {MEASURED_TIME:?}, state machines over {} s; aim {TARGET_BYTES_PER_SECOND} sent",
             VIRTUAL_MS / 1_000
         ),
         head: vec![
@@ -88,14 +88,14 @@
 }
 
 /// `both` is what a daemon sends and receives a second.
-fn line(daemons: usize, case: &str, both: f64, most: Option<f64>) -> Vec<String> {
+fn row(daemons: usize, case: &str, both: f64, max_rate: Option<f64>) -> Vec<String> {
     vec![
         daemons.to_string(),
         case.to_owned(),
         format!("{both:.0}"),
         format!("{:.0}", both / 2.0),
-        format!("{:.2}", both / 2.0 / AIM),
-        most.map_or(String::new(), |m| format!("{:.0}", m / 2.0)),
+        format!("{:.2}", both / 2.0 / TARGET_BYTES_PER_SECOND),
+        max_rate.map_or(String::new(), |m| format!("{:.0}", m / 2.0)),
     ]
 }
 
@@ -107,11 +107,11 @@
     let over = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y));
     let under = points.iter().map(|p| (p.0 - mean_x).powi(2));
     let slope = over.sum::<f64>() / under.sum::<f64>();
-    (slope, mean_y + slope * (TARGET - mean_x))
+    (slope, mean_y + slope * (TARGET_DAEMONS - mean_x))
 }
 
 /// Bytes a second, sent and received, of each of so many daemons over loopback.
-fn real(daemons: usize) -> Vec<f64> {
+fn socket_rates(daemons: usize) -> Vec<f64> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let stop = CancellationToken::new();
@@ -133,11 +133,11 @@
         }
         tokio::time::sleep(WARM_UP).await;
         let before: Vec<TrafficTotals> = all.iter().map(Peers::traffic).collect();
-        tokio::time::sleep(MEASURED).await;
+        tokio::time::sleep(MEASURED_TIME).await;
         let bytes = |(peers, before): (&Peers, &TrafficTotals)| {
             let now = peers.traffic();
             let bytes = now.sent + now.received - before.sent - before.received;
-            bytes as f64 / MEASURED.as_secs_f64()
+            bytes as f64 / MEASURED_TIME.as_secs_f64()
         };
         let rates = all.iter().zip(&before).map(bytes).collect();
         stop.cancel();
--- a/crates/kelpworks/examples/measure/decision.rs
+++ b/crates/kelpworks/examples/measure/decision.rs
@@ -14,8 +14,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
+use crate::sim::format_min_median_max;
 use crate::sim::quantile;
-use crate::sim::spread;
 use crate::table::Table;
 use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
@@ -48,7 +48,7 @@
 
 /// How the layers are cut.
 #[derive(Clone, Copy)]
-pub(crate) enum Cuts {
+pub(crate) enum LayerSplit {
     /// The same four ranges everywhere.
     Four,
     /// Ranges of many lengths that overlap, from ten starts.
@@ -58,7 +58,7 @@
 }
 
 /// A fleet of three speeds over four failure domains.
-pub(crate) fn fleet(size: usize, cuts: Cuts, seed: u64) -> Fleet {
+pub(crate) fn fleet(size: usize, split: LayerSplit, seed: u64) -> Fleet {
     let mut rng = StdRng::seed_from_u64(seed);
     let link = |from: usize, to: usize| LinkCost {
         latency: Duration::from_micros(if from == to { 100 } else { 800 }),
@@ -80,15 +80,15 @@
     };
     let mut keys = Vec::new();
     for i in 0..size {
-        let layers = match cuts {
-            Cuts::Four => LayerRange {
+        let layers = match split {
+            LayerSplit::Four => LayerRange {
                 first: (i % 4) as u32 * 20,
                 end: (i % 4) as u32 * 20 + 20,
             },
-            Cuts::Mixed | Cuts::Any => {
+            LayerSplit::Mixed | LayerSplit::Any => {
                 let len = [10, 16, 20, 28, 40][rng.random_range(0..5)];
-                let first = match cuts {
-                    Cuts::Any if i >= 10 => rng.random_range(0..LAYERS),
+                let first = match split {
+                    LayerSplit::Any if i >= 10 => rng.random_range(0..LAYERS),
                     _ => (i as u32 * 8) % LAYERS,
                 };
                 LayerRange {
@@ -185,13 +185,13 @@
     });
     let mut rng = StdRng::seed_from_u64(seed);
     let mut step = |queue: &mut Queue, at: u64, team: usize| {
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             team: &names[team],
             class: Class::Paying,
             weight: 1 + team as u32 % 4,
             cost: rng.random_range(50..350),
         };
-        queue.offer(Duration::from_micros(at), &ask).is_ok()
+        queue.offer(Duration::from_micros(at), &request).is_ok()
     };
     for team in (0..teams).cycle().take(teams * 3 + 64) {
         step(&mut queue, 0, team);
@@ -225,7 +225,7 @@
         decision.to_owned(),
         way.to_owned(),
         format!("{} -> {}", sizes.0, sizes.1),
-        spread(pairs.iter().map(|(small, large)| large / small).collect()),
+        format_min_median_max(pairs.iter().map(|(small, large)| large / small).collect()),
     ]
 }
 
@@ -233,12 +233,12 @@
 pub(crate) fn table() -> Table {
     let mut rows = Vec::new();
     let sizes = (SMALL_FLEET, LARGE_FLEET);
-    for (name, cuts) in [
-        ("path, four stages", Cuts::Four),
-        ("path, mixed cuts", Cuts::Mixed),
-        ("path, any cuts", Cuts::Any),
+    for (name, split) in [
+        ("path, four stages", LayerSplit::Four),
+        ("path, mixed cuts", LayerSplit::Mixed),
+        ("path, any cuts", LayerSplit::Any),
     ] {
-        let fleets = |seed| (fleet(sizes.0, cuts, seed), fleet(sizes.1, cuts, seed));
+        let fleets = |seed| (fleet(sizes.0, split, seed), fleet(sizes.1, split, seed));
         let sampled = (0..SEEDS).map(|seed| {
             let (small, large) = fleets(seed);
             (sampled_path(&small, seed), sampled_path(&large, seed))
--- a/crates/kelpworks/examples/measure/fairness.rs
+++ b/crates/kelpworks/examples/measure/fairness.rs
@@ -8,10 +8,10 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::sim::Agenda;
+use crate::sim::EventQueue;
 use crate::sim::exponential;
+use crate::sim::format_min_median_max;
 use crate::sim::jain;
-use crate::sim::spread;
 use crate::table::Table;
 use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
@@ -22,19 +22,19 @@
 
 const SEEDS: u64 = 7;
 const TEAMS: usize = 10;
-const GREEDY: usize = 0;
+const GREEDY_TEAM: usize = 0;
 /// What the greedy team offers, over its share.
-const EXCESS: f64 = 20.0;
+const GREEDY_LOAD_FACTOR: f64 = 20.0;
 const SLOTS: usize = 32;
 /// Positions a second that a slot runs.
-const SPEED: f64 = 1000.0;
+const POSITIONS_PER_SECOND: f64 = 1000.0;
 const WARM_UP: Duration = Duration::from_secs(10);
-const END: Duration = Duration::from_secs(130);
+const RUN_END: Duration = Duration::from_secs(130);
 /// Requests waiting, at most, under every policy.
-const QUEUE: usize = 1024;
+const MAX_WAITING: usize = 1024;
 /// Mean positions of a request: the greedy team sends batches with long ones.
-const COST: u32 = 200;
-const GREEDY_COST: u32 = 800;
+const MEAN_COST: u32 = 200;
+const GREEDY_MEAN_COST: u32 = 800;
 
 #[derive(Clone, Copy)]
 struct Job {
@@ -42,7 +42,7 @@
     cost: u32,
 }
 
-enum Happening {
+enum SimEvent {
     Arrival(usize),
     End(u64),
 }
@@ -68,7 +68,7 @@
     fn new(seed: u64, weights: Vec<u32>) -> Fair {
         let slots = SLOTS as u32;
         let cfg = Config {
-            max_waiting: QUEUE as u32,
+            max_waiting: MAX_WAITING as u32,
             initial_limit: slots,
             min_limit: slots,
             max_limit: slots,
@@ -87,13 +87,13 @@
 
 impl Policy for Fair {
     fn offer(&mut self, now: Duration, id: u64, job: Job) {
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             team: &self.names[job.team],
             class: Class::Paying,
             weight: self.weights[job.team],
             cost: job.cost,
         };
-        if let Ok(ticket) = self.queue.offer(now, &ask) {
+        if let Ok(ticket) = self.queue.offer(now, &request) {
             self.ids.insert(ticket, id);
             self.tickets.insert(id, ticket);
         }
@@ -123,7 +123,7 @@
 
 impl Policy for Fifo {
     fn offer(&mut self, _now: Duration, id: u64, _job: Job) {
-        if self.waiting.len() < QUEUE {
+        if self.waiting.len() < MAX_WAITING {
             self.waiting.push_back(id);
         }
     }
@@ -151,7 +151,7 @@
 
 impl Policy for RoundRobin {
     fn offer(&mut self, _now: Duration, id: u64, job: Job) {
-        if self.waiting[job.team].len() < QUEUE / TEAMS {
+        if self.waiting[job.team].len() < MAX_WAITING / TEAMS {
             self.waiting[job.team].push_back(id);
         }
     }
@@ -179,55 +179,59 @@
 /// What one run gave, by team: cost served over the lesser of its fair share and what it offered.
 fn run<P: Policy>(policy: &mut P, weights: &[u32], seed: u64) -> Vec<f64> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut agenda = Agenda::new();
-    let capacity = SLOTS as f64 * SPEED;
+    let mut event_queue = EventQueue::new();
+    let capacity = SLOTS as f64 * POSITIONS_PER_SECOND;
     let total: u32 = weights.iter().sum();
     let share = |team: usize| capacity * f64::from(weights[team]) / f64::from(total);
     let gap = |team: usize| {
         let (cost, rate) = match team {
-            GREEDY => (GREEDY_COST, share(team) * EXCESS),
-            _ => (COST, share(team)),
+            GREEDY_TEAM => (GREEDY_MEAN_COST, share(team) * GREEDY_LOAD_FACTOR),
+            _ => (MEAN_COST, share(team)),
         };
         Duration::from_secs_f64(f64::from(cost) / rate)
     };
     for team in 0..TEAMS {
-        agenda.add(exponential(gap(team), &mut rng), Happening::Arrival(team));
+        event_queue.add(exponential(gap(team), &mut rng), SimEvent::Arrival(team));
     }
     let mut jobs = HashMap::new();
     let mut offered = [0.0; TEAMS];
     let mut served = [0.0; TEAMS];
     let mut next_id = 0;
-    while let Some((now, happening)) = agenda.next() {
-        if now > END {
+    while let Some((now, event)) = event_queue.next() {
+        if now > RUN_END {
             break;
         }
         let counts = now > WARM_UP;
-        match happening {
-            Happening::Arrival(team) => {
-                let mean = if team == GREEDY { GREEDY_COST } else { COST };
+        match event {
+            SimEvent::Arrival(team) => {
+                let mean = if team == GREEDY_TEAM {
+                    GREEDY_MEAN_COST
+                } else {
+                    MEAN_COST
+                };
                 let cost = rng.random_range(mean / 4..mean * 7 / 4);
                 let job = Job { team, cost };
                 jobs.insert(next_id, job);
                 policy.offer(now, next_id, job);
                 next_id += 1;
                 offered[team] += if counts { f64::from(cost) } else { 0.0 };
-                agenda.add(
+                event_queue.add(
                     now + exponential(gap(team), &mut rng),
-                    Happening::Arrival(team),
+                    SimEvent::Arrival(team),
                 );
             }
-            Happening::End(id) => {
+            SimEvent::End(id) => {
                 policy.end(now, id);
                 let job: Job = jobs[&id];
                 served[job.team] += if counts { f64::from(job.cost) } else { 0.0 };
             }
         }
         while let Some(id) = policy.start() {
-            let took = Duration::from_secs_f64(f64::from(jobs[&id].cost) / SPEED);
-            agenda.add(now + took, Happening::End(id));
+            let took = Duration::from_secs_f64(f64::from(jobs[&id].cost) / POSITIONS_PER_SECOND);
+            event_queue.add(now + took, SimEvent::End(id));
         }
     }
-    let window = (END - WARM_UP).as_secs_f64();
+    let window = (RUN_END - WARM_UP).as_secs_f64();
     (0..TEAMS)
         .map(|t| served[t] / offered[t].min(share(t) * window))
         .collect()
@@ -246,15 +250,15 @@
     let mean = runs
         .iter()
         .map(|r| r[1..].iter().sum::<f64>() / (TEAMS - 1) as f64);
-    let greedy = runs.iter().map(|r| r[GREEDY]);
+    let greedy = runs.iter().map(|r| r[GREEDY_TEAM]);
     let index = runs.iter().map(|r| jain(r));
     vec![
         weighting.to_owned(),
         policy.to_owned(),
-        spread(worst.collect()),
-        spread(mean.collect()),
-        spread(greedy.collect()),
-        spread(index.collect()),
+        format_min_median_max(worst.collect()),
+        format_min_median_max(mean.collect()),
+        format_min_median_max(greedy.collect()),
+        format_min_median_max(index.collect()),
     ]
 }
 
@@ -282,7 +286,7 @@
     }
     Table {
         title: format!(
-            "fairness: {TEAMS} paying teams, one at {EXCESS} times its share with requests 4 times \
+            "fairness: {TEAMS} paying teams, one at {GREEDY_LOAD_FACTOR} times its share with requests 4 times \
              as long, the others at 1 time theirs; virtual time, 120 s, {SEEDS} seeds; \
              served / min(fair share, offered), min / median / max"
         ),
--- a/crates/kelpworks/examples/measure/fleets.rs
+++ b/crates/kelpworks/examples/measure/fleets.rs
@@ -316,14 +316,14 @@
         rng.random_range(0..domains)
     };
     let count = shape.models.len();
-    let sure = rng.random_range(0..count);
-    let may = (0..count).filter(|&m| m == sure || rng.random_bool(shape.allowed));
+    let guaranteed = rng.random_range(0..count);
+    let allowed_models = (0..count).filter(|&m| m == guaranteed || rng.random_bool(shape.allowed));
     HostSpec {
         name: Arc::from(format!("host-{index}")),
         domain: DomainKey(domain),
         memory: Size(kind.memory * u64::from(shape.accelerators) * GB),
         layer_rate: kind.rate * f64::from(shape.accelerators),
-        models: may.map(|m| ModelKey(m as u16)).collect(),
+        models: allowed_models.map(|m| ModelKey(m as u16)).collect(),
         live: true,
     }
 }
@@ -339,11 +339,11 @@
     let mut links = Vec::new();
     for a in 0..domains {
         for b in 0..domains {
-            let [within, near, far] = shape.latency_us;
+            let [same_domain, same_region, other_region] = shape.latency_us;
             let us = match (a == b, region(a) == region(b)) {
-                (true, _) => within,
-                (false, true) => near,
-                (false, false) => far,
+                (true, _) => same_domain,
+                (false, true) => same_region,
+                (false, false) => other_region,
             };
             links.push(LinkCost {
                 latency: Duration::from_micros(us),
--- a/crates/kelpworks/examples/measure/net.rs
+++ b/crates/kelpworks/examples/measure/net.rs
@@ -29,25 +29,25 @@
 /// Interval of ticks, as in the daemon.
 const TICK_MS: u64 = 100;
 /// One-way latency between daemons of one region, and of two.
-const NEAR_MS: u64 = 1;
-const FAR_MS: u64 = 15;
+const SAME_REGION_LATENCY_MS: u64 = 1;
+const CROSS_REGION_LATENCY_MS: u64 = 15;
 /// The object API's answer.
-const API_MS: u64 = 4;
+const API_LATENCY_MS: u64 = 4;
 /// Checking and reading a register and rules.
-const READ_MS: u64 = 10;
+const CONFIG_CHECK_MS: u64 = 10;
 /// Wait for a text from a peer before another is asked.
-const TEXT_WAIT_MS: u64 = 2_000;
+const TEXT_TIMEOUT_MS: u64 = 2_000;
 /// Pause before a failed fetch is made again.
 const RETRY_MS: u64 = 500;
 /// Failure domains of a region.
-const DOMAINS: usize = 2;
+const DOMAINS_PER_REGION: usize = 2;
 /// JSON of a head, for the count of bytes.
 const HEAD_BYTES: usize = 260;
 
 /// What a daemon holds of the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 struct Configuration {
-    in_force: u64,
+    active_generation: u64,
     /// Being fetched; above `in_force`.
     pending: Option<Fetch>,
 }
@@ -163,7 +163,7 @@
     /// Generation of the head in the object API.
     head: u64,
     /// Reads of a generation that the object API still answers before it is out.
-    api_left: Option<u64>,
+    api_reads_left: Option<u64>,
     pub(crate) counts: Counts,
     rng: StdRng,
 }
@@ -181,7 +181,7 @@
             index: BTreeMap::new(),
             cut: BTreeSet::new(),
             head: 0,
-            api_left: None,
+            api_reads_left: None,
             counts: Counts::default(),
             rng: StdRng::seed_from_u64(cfg.seed),
         };
@@ -224,7 +224,7 @@
         let domains = if self.cfg.regions == 1 {
             3
         } else {
-            DOMAINS * self.cfg.regions
+            DOMAINS_PER_REGION * self.cfg.regions
         };
         at % domains
     }
@@ -234,7 +234,7 @@
         if self.cfg.regions == 1 {
             0
         } else {
-            self.domain(at) / DOMAINS
+            self.domain(at) / DOMAINS_PER_REGION
         }
     }
 
@@ -265,7 +265,7 @@
         }
         let actions = call(&mut self.daemons[at].node, now);
         for action in actions {
-            self.carry_out(at, action);
+            self.perform(at, action);
         }
     }
 
@@ -312,21 +312,22 @@
     /// Swaps the head; the object API is out after so many daemons have read it all.
     pub(crate) fn swap(&mut self, readers_before_outage: Option<u64>) {
         self.head += 1;
-        self.api_left = readers_before_outage;
+        self.api_reads_left = readers_before_outage;
         for at in self.watchers() {
-            let late = self.rng.random_range(0..API_MS);
-            self.after(API_MS + late, Event::ApiHead { at });
+            let late = self.rng.random_range(0..API_LATENCY_MS);
+            self.after(API_LATENCY_MS + late, Event::ApiHead { at });
         }
     }
 
     /// Daemons that are up and have the newest head in force.
-    pub(crate) fn in_force(&self) -> usize {
+    pub(crate) fn daemons_up_to_date(&self) -> usize {
         let up = self.daemons.iter().filter(|d| d.up);
-        up.filter(|d| d.config.in_force == self.head).count()
+        up.filter(|d| d.config.active_generation == self.head)
+            .count()
     }
 
     /// Daemons that are up.
-    pub(crate) fn up(&self) -> usize {
+    pub(crate) fn daemons_up(&self) -> usize {
         self.daemons.iter().filter(|d| d.up).count()
     }
 
@@ -361,7 +362,7 @@
         };
         self.now_ms = at;
         if let Some(event) = self.events.remove(&serial) {
-            self.happen(event);
+            self.handle(event);
         }
     }
 
@@ -374,12 +375,19 @@
     /// Sends over a link, unless it is cut.
     fn send(&mut self, from: usize, to: usize, event: Event) {
         if !self.cut.contains(&(from, to)) {
-            let near = self.region(from) == self.region(to);
-            self.after(if near { NEAR_MS } else { FAR_MS }, event);
+            let same_region = self.region(from) == self.region(to);
+            self.after(
+                if same_region {
+                    SAME_REGION_LATENCY_MS
+                } else {
+                    CROSS_REGION_LATENCY_MS
+                },
+                event,
+            );
         }
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) {
+    fn perform(&mut self, at: usize, action: Action) {
         let find = |net: &Net, node| net.index.get(&node).copied();
         match action {
             Action::Heartbeat { to, message } => {
@@ -446,7 +454,7 @@
     fn push(&mut self, from: usize, to: usize) {
         self.counts.config_calls += 1;
         self.counts.bytes += HEAD_BYTES as u64 + exchange_bytes(&(), &());
-        let generation = self.daemons[from].config.in_force;
+        let generation = self.daemons[from].config.active_generation;
         self.send(
             from,
             to,
@@ -458,7 +466,7 @@
         );
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick { at, run } => {
                 if self.daemons[at].run == run && self.daemons[at].up {
@@ -490,7 +498,7 @@
                 to,
                 from,
                 generation,
-            } => self.seen(to, generation, Some(from)),
+            } => self.on_head_seen(to, generation, Some(from)),
             Event::Pull { to, from } => {
                 if self.daemons[to].up {
                     self.push(to, from);
@@ -502,7 +510,7 @@
                 attempt,
             } => self.text(at, generation, attempt),
             Event::TextTimeout { at, attempt } => self.text_timeout(at, attempt),
-            Event::ApiHead { at } => self.seen(at, self.head, None),
+            Event::ApiHead { at } => self.on_head_seen(at, self.head, None),
         }
     }
 
@@ -563,9 +571,9 @@
     }
 
     /// A head was seen; as the daemon's follower, only a higher generation is fetched.
-    fn seen(&mut self, at: usize, generation: u64, holder: Option<usize>) {
+    fn on_head_seen(&mut self, at: usize, generation: u64, holder: Option<usize>) {
         let config = self.daemons[at].config;
-        if !self.daemons[at].up || generation <= config.in_force {
+        if !self.daemons[at].up || generation <= config.active_generation {
             return;
         }
         match config.pending {
@@ -596,20 +604,24 @@
                 self.counts.config_calls += 1;
                 let cut = self.cut.contains(&(at, holder)) || self.cut.contains(&(holder, at));
                 if self.daemons[holder].up && !cut {
-                    let near = self.region(at) == self.region(holder);
-                    let latency = if near { NEAR_MS } else { FAR_MS };
-                    self.after(2 * latency + READ_MS, event);
+                    let same_region = self.region(at) == self.region(holder);
+                    let latency = if same_region {
+                        SAME_REGION_LATENCY_MS
+                    } else {
+                        CROSS_REGION_LATENCY_MS
+                    };
+                    self.after(2 * latency + CONFIG_CHECK_MS, event);
                 }
             }
-            None if self.api_left != Some(0) => {
-                self.api_left = self.api_left.map(|n| n - 1);
+            None if self.api_reads_left != Some(0) => {
+                self.api_reads_left = self.api_reads_left.map(|n| n - 1);
                 self.counts.api_reads += 1;
-                self.after(API_MS + READ_MS, event);
+                self.after(API_LATENCY_MS + CONFIG_CHECK_MS, event);
             }
             None => {}
         }
         let wait = if holder.is_some() {
-            TEXT_WAIT_MS
+            TEXT_TIMEOUT_MS
         } else {
             RETRY_MS
         };
@@ -619,7 +631,7 @@
     fn text(&mut self, at: usize, generation: u64, attempt: u64) {
         let config = &mut self.daemons[at].config;
         if config.pending.is_some_and(|p| p.attempt == attempt) {
-            config.in_force = generation;
+            config.active_generation = generation;
             config.pending = None;
             self.act(at, |node, _| node.on_config_activated(generation));
         }
--- a/crates/kelpworks/examples/measure/overload.rs
+++ b/crates/kelpworks/examples/measure/overload.rs
@@ -42,9 +42,9 @@
 const LAYER_RATE: f64 = 400.0;
 const TOKENS: u32 = 16;
 /// Bytes of a prompt, each a position.
-const PROMPT: u32 = 6;
+const PROMPT_TOKENS: u32 = 6;
 /// Positions of a request: the last token is not run.
-const COST: f64 = (PROMPT + TOKENS - 1) as f64;
+const REQUEST_POSITIONS: f64 = (PROMPT_TOKENS + TOKENS - 1) as f64;
 const PAYING_LOAD: f64 = 0.8;
 const TRIAL_LOAD: f64 = 10.0;
 const TRIAL_CALLERS: u32 = 400;
@@ -54,7 +54,7 @@
 const WARM_UP: Duration = Duration::from_secs(8);
 const WINDOW: Duration = Duration::from_secs(20);
 /// Longest wait for the answers under way at the end.
-const LAST_ANSWERS: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// The defaults; with a token target of 1 s trials get their share, and the first token is later:
 /// see docs/design/overload.md.
 const SETTINGS: &str = "";
@@ -73,7 +73,7 @@
 
 /// Who asks beside the paying callers, and how they are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Scenario {
     /// Nobody.
     NoTrials,
     /// Trials, as trials.
@@ -82,21 +82,21 @@
     OneClass,
 }
 
-const WAYS: [Way; 3] = [Way::NoTrials, Way::Trials, Way::OneClass];
+const SCENARIOS: [Scenario; 3] = [Scenario::NoTrials, Scenario::Trials, Scenario::OneClass];
 
-impl Way {
+impl Scenario {
     fn name(self) -> &'static str {
         match self {
-            Way::NoTrials => "reference: no trials",
-            Way::Trials => "admission by class",
-            Way::OneClass => "baseline: one class",
+            Scenario::NoTrials => "reference: no trials",
+            Scenario::Trials => "admission by class",
+            Scenario::OneClass => "baseline: one class",
         }
     }
 
     fn teams(self) -> [ExampleTeam; 2] {
         let class = match self {
-            Way::OneClass => PAYING.class,
-            Way::NoTrials | Way::Trials => TRIAL.class,
+            Scenario::OneClass => PAYING.class,
+            Scenario::NoTrials | Scenario::Trials => TRIAL.class,
         };
         [PAYING, ExampleTeam { class, ..TRIAL }]
     }
@@ -113,24 +113,24 @@
 /// What became of the requests of one class that came in the window.
 #[derive(Clone, Debug, Default)]
 struct Tally {
-    asked: u64,
-    whole: u64,
+    requests: u64,
+    complete: u64,
     /// Refused with the verdict that nothing ran.
     refused: u64,
     /// Refused otherwise, cut off or wrong.
-    broken: u64,
+    failed: u64,
     /// Seconds to the first token, and between tokens.
     first: Vec<f64>,
     gaps: Vec<f64>,
 }
 
 /// One class of callers.
-struct Load {
+struct CallerGroup {
     team: ExampleTeam,
     bases: Vec<String>,
     model: Model,
     client: reqwest::Client,
-    begin: Instant,
+    window_start: Instant,
     positions: AtomicU64,
     tally: Mutex<Tally>,
 }
@@ -142,13 +142,13 @@
     let mut rows = Vec::new();
     for seed in 0..RUNS {
         let mut reference = None;
-        for way in WAYS {
-            match rt.block_on(one(way, seed, &metrics)) {
+        for scenario in SCENARIOS {
+            match rt.block_on(measure_once(scenario, seed, &metrics)) {
                 Ok(run) => {
                     let reference = reference.get_or_insert_with(|| run.paying.clone());
-                    rows.push(row(way, seed, &run, reference));
+                    rows.push(row(scenario, seed, &run, reference));
                 }
-                Err(e) => eprintln!("{}: {e}", way.name()),
+                Err(e) => eprintln!("{}: {e}", scenario.name()),
             }
         }
     }
@@ -157,7 +157,7 @@
             "overload: paying callers at {PAYING_LOAD} of capacity ({} positions/s), trials asking \
              for {TRIAL_LOAD} times capacity by {TRIAL_CALLERS} callers, share {TRIAL_SHARE}; \
              {STAGES} stages x {REPLICAS} replicas, {DAEMONS} daemons, window {} s",
-            bound(),
+            capacity(),
             WINDOW.as_secs()
         ),
         head: vec![
@@ -179,35 +179,35 @@
     }
 }
 
-fn row(way: Way, seed: u64, run: &Run, reference: &Tally) -> Vec<String> {
+fn row(scenario: Scenario, seed: u64, run: &Run, reference: &Tally) -> Vec<String> {
     let over = |of: fn(&Tally) -> &Vec<f64>, q: f64| {
         let value = stats::quantile(of(&run.paying), q);
-        if way == Way::NoTrials {
+        if scenario == Scenario::NoTrials {
             return format!("({:.0} ms)", value * 1_000.0);
         }
         format!("{:.2}", value / stats::quantile(of(reference), q))
     };
     let [paying, trial] = run.rates;
-    let may_take = (TRIAL_SHARE * bound()).min(bound() - paying);
-    let sent = run.trial.asked as f64 * COST / WINDOW.as_secs_f64() / bound();
+    let trial_allowance = (TRIAL_SHARE * capacity()).min(capacity() - paying);
+    let sent = run.trial.requests as f64 * REQUEST_POSITIONS / WINDOW.as_secs_f64() / capacity();
     vec![
-        way.name().to_owned(),
+        scenario.name().to_owned(),
         (seed + 1).to_string(),
-        run.paying.asked.to_string(),
-        (run.paying.asked - run.paying.whole).to_string(),
+        run.paying.requests.to_string(),
+        (run.paying.requests - run.paying.complete).to_string(),
         over(|t| &t.first, 0.5),
         over(|t| &t.first, 0.95),
         over(|t| &t.gaps, 0.95),
-        format!("{:.2}", paying / bound()),
+        format!("{:.2}", paying / capacity()),
         format!("{sent:.1}"),
-        format!("{:.2}", trial / may_take),
-        run.trial.whole.to_string(),
+        format!("{:.2}", trial / trial_allowance),
+        run.trial.complete.to_string(),
         run.trial.refused.to_string(),
-        run.trial.broken.to_string(),
+        run.trial.failed.to_string(),
     ]
 }
 
-async fn one(way: Way, seed: u64, metrics: &PrometheusHandle) -> Result<Run> {
+async fn measure_once(scenario: Scenario, seed: u64, metrics: &PrometheusHandle) -> Result<Run> {
     let model = Model::new(MODEL, "1", LAYERS);
     let mut cfg = FleetConfig::pipeline(&model, STAGES, REPLICAS);
     for engine in &mut cfg.engines {
@@ -218,11 +218,11 @@
         &fakes,
         std::slice::from_ref(&model),
         TRIAL_SHARE,
-        &way.teams(),
+        &scenario.teams(),
     )?;
-    let daemons = support::daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
+    let daemons = support::start_daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
     let load = |team| {
-        Arc::new(Load {
+        Arc::new(CallerGroup {
             team,
             bases: daemons
                 .iter()
@@ -230,7 +230,7 @@
                 .collect(),
             model: model.clone(),
             client: reqwest::Client::new(),
-            begin: Instant::now() + WARM_UP,
+            window_start: Instant::now() + WARM_UP,
             positions: AtomicU64::new(0),
             tally: Mutex::default(),
         })
@@ -238,20 +238,20 @@
     let (paying, trial) = (load(PAYING), load(TRIAL));
     let mut callers = JoinSet::new();
     callers.spawn(arrivals(Arc::clone(&paying), seed));
-    if way != Way::NoTrials {
+    if scenario != Scenario::NoTrials {
         for n in 0..TRIAL_CALLERS {
             callers.spawn(trial_caller(Arc::clone(&trial), seed, n));
         }
     }
-    let before = tokio::time::Instant::from_std(paying.begin);
+    let before = tokio::time::Instant::from_std(paying.window_start);
     tokio::time::sleep_until(before).await;
     let at_begin = [&paying, &trial].map(|l| l.positions.load(Ordering::Relaxed));
     tokio::time::sleep(WINDOW).await;
-    let seconds = paying.begin.elapsed().as_secs_f64();
+    let seconds = paying.window_start.elapsed().as_secs_f64();
     let at_end = [&paying, &trial].map(|l| l.positions.load(Ordering::Relaxed));
     let rates = [0, 1].map(|n| (at_end[n] - at_begin[n]) as f64 / seconds);
     let ended = async { while callers.join_next().await.is_some() {} };
-    tokio::time::timeout(LAST_ANSWERS, ended).await?;
+    tokio::time::timeout(DRAIN_TIMEOUT, ended).await?;
     daemons.into_iter().for_each(daemon::Daemon::kill);
     Ok(Run {
         paying: paying.tally(),
@@ -261,42 +261,42 @@
 }
 
 /// Paying callers, at random moments until the end of the window.
-async fn arrivals(load: Arc<Load>, seed: u64) {
+async fn arrivals(load: Arc<CallerGroup>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let rate = PAYING_LOAD * bound() / COST;
+    let rate = PAYING_LOAD * capacity() / REQUEST_POSITIONS;
     let mut at = Instant::now();
     let mut answers = JoinSet::new();
     for n in 0.. {
         at += exponential(Duration::from_secs_f64(1.0 / rate), &mut rng);
-        if at > load.begin + WINDOW {
+        if at > load.window_start + WINDOW {
             break;
         }
         tokio::time::sleep_until(at.into()).await;
         let load = Arc::clone(&load);
-        answers.spawn(async move { load.ask(n as usize, format!("p{n:05x}")).await });
+        answers.spawn(async move { load.send(n as usize, format!("p{n:05x}")).await });
     }
     while answers.join_next().await.is_some() {}
 }
 
 /// One of the trial callers: asks at its pace, and keeps away when it is told to.
-async fn trial_caller(load: Arc<Load>, seed: u64, caller: u32) {
+async fn trial_caller(load: Arc<CallerGroup>, seed: u64, caller: u32) {
     let mut rng = StdRng::seed_from_u64(seed ^ (u64::from(caller) << 32));
-    let pace = f64::from(TRIAL_CALLERS) * COST / (TRIAL_LOAD * bound());
+    let pace = f64::from(TRIAL_CALLERS) * REQUEST_POSITIONS / (TRIAL_LOAD * capacity());
     let mut at = Instant::now() + Duration::from_secs_f64(rng.random_range(0.0..pace));
     for turn in 0.. {
-        if at > load.begin + WINDOW {
+        if at > load.window_start + WINDOW {
             return;
         }
         tokio::time::sleep_until(at.into()).await;
         let prompt = format!("{caller:03x}{turn:03x}");
-        let wait = load.ask((caller + turn) as usize, prompt).await;
+        let wait = load.send((caller + turn) as usize, prompt).await;
         at = (at + exponential(Duration::from_secs_f64(pace), &mut rng)).max(Instant::now() + wait);
     }
 }
 
-impl Load {
+impl CallerGroup {
     /// Asks once and returns for how long to keep away.
-    async fn ask(&self, n: usize, prompt: String) -> Duration {
+    async fn send(&self, n: usize, prompt: String) -> Duration {
         let call = Call {
             base: self.bases[n % self.bases.len()].clone(),
             token: self.team.token.to_owned(),
@@ -304,10 +304,10 @@
             prompt,
             max_tokens: TOKENS,
         };
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let on_token = |_: &str, n: usize| {
             // The first token takes a run of the whole prompt.
-            let positions = if n == 1 { u64::from(PROMPT) } else { 1 };
+            let positions = if n == 1 { u64::from(PROMPT_TOKENS) } else { 1 };
             self.positions.fetch_add(positions, Ordering::Relaxed);
             true
         };
@@ -317,22 +317,22 @@
             .err()
             .and_then(|e| e.downcast_ref::<Refused>());
         let wait = refused.and_then(|r| r.retry_after).unwrap_or_default();
-        if asked < self.begin {
+        if sent_at < self.window_start {
             return wait;
         }
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
-        tally.asked += 1;
+        tally.requests += 1;
         match &answer {
-            Ok(a) if a.whole && a.text == self.model.answer_text(&call.prompt, TOKENS) => {
-                tally.whole += 1;
-                tally.first.push((a.at[0] - asked).as_secs_f64());
-                tally.gaps.extend(stats::gaps(&a.at));
+            Ok(a) if a.complete && a.text == self.model.answer_text(&call.prompt, TOKENS) => {
+                tally.complete += 1;
+                tally.first.push((a.token_times[0] - sent_at).as_secs_f64());
+                tally.gaps.extend(stats::gaps(&a.token_times));
             }
             _ if refused.is_some_and(|r| r.not_run && r.retry_after.is_some()) => {
                 tally.refused += 1
             }
             other => {
-                tally.broken += 1;
+                tally.failed += 1;
                 eprintln!("{}: {other:?}", self.team.name);
             }
         }
@@ -348,6 +348,6 @@
 }
 
 /// Positions a second that the engines of a stage allow.
-fn bound() -> f64 {
+fn capacity() -> f64 {
     f64::from(REPLICAS) * LAYER_RATE / f64::from(LAYERS / STAGES)
 }
--- a/crates/kelpworks/examples/measure/overload_policy.rs
+++ b/crates/kelpworks/examples/measure/overload_policy.rs
@@ -9,10 +9,10 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::sim::Agenda;
+use crate::sim::EventQueue;
 use crate::sim::exponential;
+use crate::sim::format_min_median_max;
 use crate::sim::quantile;
-use crate::sim::spread;
 use crate::table::Table;
 use kelpworks::admission::AdmissionRequest;
 use kelpworks::admission::Config;
@@ -23,15 +23,15 @@
 
 const SEEDS: u64 = 5;
 /// Tokens that the pipeline runs at once; others wait there.
-const WIDTH: usize = 32;
-const TOKEN: Duration = Duration::from_millis(20);
+const PIPELINE_WIDTH: usize = 32;
+const TOKEN_TIME: Duration = Duration::from_millis(20);
 const PAYING_LOAD: f64 = 0.8;
 const TRIAL_LOAD: f64 = 10.0;
 /// Tokens of an answer, evenly from the first to the second.
 const TOKENS: (u32, u32) = (20, 80);
 const WARM_UP: Duration = Duration::from_secs(10);
-const END: Duration = Duration::from_secs(70);
-const POLL: Duration = Duration::from_millis(50);
+const ARRIVALS_END: Duration = Duration::from_secs(70);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Who starts, and when.
 trait Policy {
@@ -41,10 +41,10 @@
     /// The next request that starts, or goes on, now.
     fn next(&mut self, now: Duration) -> Option<u64>;
     /// How long a request must hold before its next token, at most.
-    fn hold(&self, id: u64) -> Option<Duration>;
+    fn max_pause(&self, id: u64) -> Option<Duration>;
     fn observe(&mut self, now: Duration, class: Class, token: Duration);
     /// Whether the request gives up, having waited this long.
-    fn gives_up(&mut self, now: Duration, id: u64) -> bool;
+    fn expire(&mut self, now: Duration, id: u64) -> bool;
 }
 
 /// The daemon's admission.
@@ -66,7 +66,7 @@
 
 impl Policy for Admission {
     fn offer(&mut self, now: Duration, id: u64, class: Class, tokens: u32) -> bool {
-        let ask = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             team: if class == Class::Paying {
                 "paying"
             } else {
@@ -76,7 +76,7 @@
             weight: 1,
             cost: tokens,
         };
-        let Ok(ticket) = self.queue.offer(now, &ask) else {
+        let Ok(ticket) = self.queue.offer(now, &admission_request) else {
             return false;
         };
         self.ids.insert(ticket, id);
@@ -97,7 +97,7 @@
         self.ids.get(&ticket).copied()
     }
 
-    fn hold(&self, id: u64) -> Option<Duration> {
+    fn max_pause(&self, id: u64) -> Option<Duration> {
         let may_run = self.queue.may_run(*self.tickets.get(&id)?);
         (!may_run).then(|| self.queue.trial_pause())
     }
@@ -106,7 +106,7 @@
         self.queue.observe_token(now, class, token);
     }
 
-    fn gives_up(&mut self, now: Duration, id: u64) -> bool {
+    fn expire(&mut self, now: Duration, id: u64) -> bool {
         let Some(&ticket) = self.tickets.get(&id) else {
             return false;
         };
@@ -156,7 +156,7 @@
     }
 
     fn next(&mut self, _now: Duration) -> Option<u64> {
-        if self.running == WIDTH {
+        if self.running == PIPELINE_WIDTH {
             return None;
         }
         let id = self.paying.pop_front().or_else(|| self.trial.pop_front())?;
@@ -164,32 +164,32 @@
         Some(id)
     }
 
-    fn hold(&self, _id: u64) -> Option<Duration> {
+    fn max_pause(&self, _id: u64) -> Option<Duration> {
         None
     }
 
     fn observe(&mut self, _now: Duration, _class: Class, _token: Duration) {}
 
-    fn gives_up(&mut self, _now: Duration, _id: u64) -> bool {
+    fn expire(&mut self, _now: Duration, _id: u64) -> bool {
         false
     }
 }
 
 struct Request {
     class: Class,
-    came: Duration,
+    arrived_at: Duration,
     tokens: u32,
     done: u32,
     /// Whether a token is in progress.
     active: bool,
 }
 
-enum Happening {
+enum SimEvent {
     Arrival(Class),
     Token(u64, Duration),
     /// A held request goes on, if it still holds at this token.
     Release(u64, u32),
-    GiveUp(u64),
+    Timeout(u64),
     Poll,
 }
 
@@ -212,13 +212,13 @@
     first: Vec<f64>,
 }
 
-struct World<P> {
+struct Simulation<P> {
     policy: P,
     engine: Engine,
     trials: bool,
     /// One a class, so that paying requests are the same with trials and without.
     rngs: [StdRng; 2],
-    agenda: Agenda<Happening>,
+    event_queue: EventQueue<SimEvent>,
     requests: HashMap<u64, Request>,
     next_id: u64,
     /// Tokens that the pipeline runs.
@@ -226,26 +226,28 @@
     /// Tokens that wait there, with the time since when. Without priorities only the first is used.
     queues: [VecDeque<(Duration, u64)>; 2],
     outcome: Outcome,
-    patience: (Duration, Duration),
+    max_wait: (Duration, Duration),
 }
 
-impl<P: Policy> World<P> {
+impl<P: Policy> Simulation<P> {
     fn run(mut self) -> Outcome {
-        self.agenda
-            .add(Duration::ZERO, Happening::Arrival(Class::Paying));
+        self.event_queue
+            .add(Duration::ZERO, SimEvent::Arrival(Class::Paying));
         if self.trials {
-            self.agenda
-                .add(Duration::ZERO, Happening::Arrival(Class::Trial));
+            self.event_queue
+                .add(Duration::ZERO, SimEvent::Arrival(Class::Trial));
         }
-        self.agenda.add(POLL, Happening::Poll);
-        while let Some((now, happening)) = self.agenda.next() {
-            match happening {
-                Happening::Arrival(class) => self.arrival(now, class),
-                Happening::Token(id, took) => self.token(now, id, took),
-                Happening::Release(id, done) => self.release(now, id, done),
-                Happening::GiveUp(id) => self.give_up(now, id),
-                Happening::Poll if now < END * 2 => self.agenda.add(now + POLL, Happening::Poll),
-                Happening::Poll => {}
+        self.event_queue.add(POLL_INTERVAL, SimEvent::Poll);
+        while let Some((now, event)) = self.event_queue.next() {
+            match event {
+                SimEvent::Arrival(class) => self.arrival(now, class),
+                SimEvent::Token(id, took) => self.token(now, id, took),
+                SimEvent::Release(id, done) => self.release(now, id, done),
+                SimEvent::Timeout(id) => self.time_out_request(now, id),
+                SimEvent::Poll if now < ARRIVALS_END * 2 => {
+                    self.event_queue.add(now + POLL_INTERVAL, SimEvent::Poll)
+                }
+                SimEvent::Poll => {}
             }
             while let Some(id) = self.policy.next(now) {
                 self.begin(now, id);
@@ -257,7 +259,7 @@
     }
 
     fn arrival(&mut self, now: Duration, class: Class) {
-        if now > END {
+        if now > ARRIVALS_END {
             return;
         }
         let [paying, trial] = &mut self.rngs;
@@ -265,30 +267,30 @@
             Class::Paying => (PAYING_LOAD, paying),
             Class::Trial => (TRIAL_LOAD, trial),
         };
-        let mean = TOKEN * (TOKENS.0 + TOKENS.1) / 2;
-        let gap = mean.div_f64(WIDTH as f64 * load);
-        self.agenda
-            .add(now + exponential(gap, rng), Happening::Arrival(class));
+        let mean = TOKEN_TIME * (TOKENS.0 + TOKENS.1) / 2;
+        let gap = mean.div_f64(PIPELINE_WIDTH as f64 * load);
+        self.event_queue
+            .add(now + exponential(gap, rng), SimEvent::Arrival(class));
         let id = self.next_id;
         self.next_id += 1;
         let request = Request {
             class,
-            came: now,
+            arrived_at: now,
             tokens: rng.random_range(TOKENS.0..=TOKENS.1),
             done: 0,
             active: false,
         };
-        let taken = self.policy.offer(now, id, class, request.tokens);
+        let accepted = self.policy.offer(now, id, class, request.tokens);
         let paying = class == Class::Paying && now > WARM_UP;
         self.outcome.paying += u32::from(paying);
-        if !taken {
+        if !accepted {
             self.outcome.paying_lost += u32::from(paying);
             return;
         }
         self.requests.insert(id, request);
-        let (long, short) = self.patience;
-        let patience = if class == Class::Paying { long } else { short };
-        self.agenda.add(now + patience, Happening::GiveUp(id));
+        let (long, short) = self.max_wait;
+        let max_wait = if class == Class::Paying { long } else { short };
+        self.event_queue.add(now + max_wait, SimEvent::Timeout(id));
     }
 
     /// Starts the next token of a request, unless one is in progress.
@@ -306,14 +308,14 @@
     }
 
     fn run_tokens(&mut self, now: Duration) {
-        while self.running < WIDTH {
+        while self.running < PIPELINE_WIDTH {
             let next = self.queues.iter_mut().find_map(VecDeque::pop_front);
             let Some((since, id)) = next else {
                 return;
             };
             self.running += 1;
-            let end = now + TOKEN;
-            self.agenda.add(end, Happening::Token(id, end - since));
+            let end = now + TOKEN_TIME;
+            self.event_queue.add(end, SimEvent::Token(id, end - since));
         }
     }
 
@@ -326,13 +328,15 @@
         request.active = false;
         request.done += 1;
         let (class, done, ended) = (request.class, request.done, request.done == request.tokens);
-        let counts = now > WARM_UP && now <= END;
+        let counts = now > WARM_UP && now <= ARRIVALS_END;
         match class {
             Class::Paying => self.outcome.paying_tokens += u32::from(counts),
             Class::Trial => self.outcome.trial_tokens += u32::from(counts),
         }
         if class == Class::Paying && done == 1 && counts {
-            self.outcome.first.push((now - request.came).as_secs_f64());
+            self.outcome
+                .first
+                .push((now - request.arrived_at).as_secs_f64());
         }
         self.policy.observe(now, class, took);
         if ended {
@@ -340,8 +344,10 @@
             self.policy.end(now, id);
             return;
         }
-        match self.policy.hold(id) {
-            Some(longest) => self.agenda.add(now + longest, Happening::Release(id, done)),
+        match self.policy.max_pause(id) {
+            Some(longest) => self
+                .event_queue
+                .add(now + longest, SimEvent::Release(id, done)),
             None => self.begin(now, id),
         }
     }
@@ -352,8 +358,8 @@
         }
     }
 
-    fn give_up(&mut self, now: Duration, id: u64) {
-        if !self.policy.gives_up(now, id) {
+    fn time_out_request(&mut self, now: Duration, id: u64) {
+        if !self.policy.expire(now, id) {
             return;
         }
         let request = self.requests.remove(&id);
@@ -365,43 +371,44 @@
 fn runs<P: Policy>(engine: Engine, trials: bool, policy: impl Fn(u64) -> P) -> Vec<Outcome> {
     let run = |seed| {
         let cfg = Config::default();
-        let world = World {
+        let simulation = Simulation {
             policy: policy(seed),
             engine,
             trials,
             rngs: [seed, seed + 1000].map(StdRng::seed_from_u64),
-            agenda: Agenda::new(),
+            event_queue: EventQueue::new(),
             requests: HashMap::new(),
             next_id: 0,
             running: 0,
             queues: Default::default(),
             outcome: Outcome::default(),
-            patience: (
+            max_wait: (
                 cfg.max_paying_delay * cfg.max_wait_factor,
                 cfg.max_trial_delay * cfg.max_wait_factor,
             ),
         };
-        world.run()
+        simulation.run()
     };
     (0..SEEDS).map(run).collect()
 }
 
-fn row(engine: Engine, name: &str, alone: &[f64], mut runs: Vec<Outcome>) -> Vec<String> {
-    let capacity = WIDTH as f64 / TOKEN.as_secs_f64() * (END - WARM_UP).as_secs_f64();
+fn row(engine: Engine, name: &str, reference: &[f64], mut runs: Vec<Outcome>) -> Vec<String> {
+    let capacity =
+        PIPELINE_WIDTH as f64 / TOKEN_TIME.as_secs_f64() * (ARRIVALS_END - WARM_UP).as_secs_f64();
     let lost = runs
         .iter()
         .map(|r| f64::from(r.paying_lost) / f64::from(r.paying));
-    let lost = spread(lost.collect());
+    let lost = format_min_median_max(lost.collect());
     let fill = runs
         .iter()
         .map(|r| f64::from(r.trial_tokens) / (capacity - f64::from(r.paying_tokens)));
-    let fill = spread(fill.collect());
+    let fill = format_min_median_max(fill.collect());
     let cut: usize = runs.iter().map(|r| r.trials_cut).sum();
-    let mut first = |part| {
-        let ratios = runs.iter_mut().zip(alone);
-        spread(
+    let mut first = |q| {
+        let ratios = runs.iter_mut().zip(reference);
+        format_min_median_max(
             ratios
-                .map(|(r, alone)| quantile(&mut r.first, part) / alone)
+                .map(|(r, reference)| quantile(&mut r.first, q) / reference)
                 .collect(),
         )
     };
@@ -424,13 +431,13 @@
 }
 
 fn rows(engine: Engine, rows: &mut Vec<Vec<String>>) {
-    let mut alone = runs(engine, false, admission);
-    let first: Vec<f64> = alone
+    let mut reference = runs(engine, false, admission);
+    let first: Vec<f64> = reference
         .iter_mut()
         .map(|r| quantile(&mut r.first, 0.95))
         .collect();
     let mut add = |name, runs| rows.push(row(engine, name, &first, runs));
-    add("admission, no trials (reference)", alone);
+    add("admission, no trials (reference)", reference);
     let trials = runs(engine, true, admission);
     add("admission", trials);
     let slots = runs(engine, true, |_| Slots::new(true));
--- a/crates/kelpworks/examples/measure/path_policy.rs
+++ b/crates/kelpworks/examples/measure/path_policy.rs
@@ -7,12 +7,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::decision::Cuts;
 use crate::decision::LAYERS;
+use crate::decision::LayerSplit;
 use crate::decision::fleet;
-use crate::sim::Agenda;
+use crate::sim::EventQueue;
+use crate::sim::format_min_median_max;
 use crate::sim::quantile;
-use crate::sim::spread;
 use crate::table::Table;
 use kelpworks::fleet::DomainKey;
 use kelpworks::fleet::Fleet;
@@ -32,13 +32,13 @@
 /// Tokens of a session, evenly from the first to the second.
 const TOKENS: (u32, u32) = (20, 200);
 const WARM_UP: Duration = Duration::from_secs(2);
-const END: Duration = Duration::from_secs(12);
+const RUN_END: Duration = Duration::from_secs(12);
 /// Weight of a new step time in the smoothed one.
-const GAIN: f64 = 0.125;
+const STEP_TIME_GAIN: f64 = 0.125;
 
 /// How a session's path is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum PathPolicy {
     /// As the daemon does.
     Shortest,
     /// For each stage, the holder with the least load as reported and sent since.
@@ -53,41 +53,41 @@
 struct Session {
     daemon: usize,
     hops: Vec<Hop>,
-    assignment: Option<PathGuard>,
+    path_guard: Option<PathGuard>,
     /// Index of the hop that runs next.
     at: usize,
-    left: u32,
+    tokens_left: u32,
     /// When the step under way was sent, and the token begun.
-    sent: Duration,
-    begun: Duration,
+    sent_at: Duration,
+    token_started: Duration,
 }
 
-struct World {
-    way: Way,
+struct Simulation {
+    policy: PathPolicy,
     rng: StdRng,
     /// The view of each daemon; keys are the same in all.
     daemons: Vec<Fleet>,
     /// When each upstream has run what it has; by the key's place in `keys`.
-    free: Vec<Duration>,
+    idle_at: Vec<Duration>,
     keys: Vec<UpstreamKey>,
     sessions: Vec<Session>,
-    turn: usize,
+    next_holder: usize,
     tokens: u32,
     token_times: Vec<f64>,
 }
 
 #[derive(Clone, Copy)]
-enum Happening {
+enum SimEvent {
     /// A step reaches its upstream.
     Step(usize),
     /// Its reply reaches the daemon.
     Reply(usize),
 }
 
-impl World {
-    fn new(way: Way, sessions: usize, seed: u64) -> World {
+impl Simulation {
+    fn new(policy: PathPolicy, sessions: usize, seed: u64) -> Simulation {
         let daemon = |_| {
-            let mut fleet = fleet(UPSTREAMS, Cuts::Four, seed);
+            let mut fleet = fleet(UPSTREAMS, LayerSplit::Four, seed);
             for (_, upstream) in &mut fleet.upstreams {
                 upstream.counters.reported.store(0, Ordering::Relaxed);
             }
@@ -97,43 +97,43 @@
         let session = |i| Session {
             daemon: i % DAEMONS,
             hops: Vec::new(),
-            assignment: None,
+            path_guard: None,
             at: 0,
-            left: 0,
-            sent: Duration::ZERO,
-            begun: Duration::ZERO,
+            tokens_left: 0,
+            sent_at: Duration::ZERO,
+            token_started: Duration::ZERO,
         };
-        World {
-            way,
+        Simulation {
+            policy,
             rng: StdRng::seed_from_u64(seed),
             keys: daemons[0].by_model[0].clone(),
             daemons,
-            free: vec![Duration::ZERO; UPSTREAMS],
+            idle_at: vec![Duration::ZERO; UPSTREAMS],
             sessions: (0..sessions).map(session).collect(),
-            turn: 0,
+            next_holder: 0,
             tokens: 0,
             token_times: Vec::new(),
         }
     }
 
-    fn run(mut self) -> World {
-        let mut agenda = Agenda::new();
+    fn run(mut self) -> Simulation {
+        let mut event_queue = EventQueue::new();
         for id in 0..self.sessions.len() {
             self.begin(id, Duration::ZERO);
-            agenda.add(Duration::from_micros(id as u64 * 100), Happening::Step(id));
+            event_queue.add(Duration::from_micros(id as u64 * 100), SimEvent::Step(id));
         }
-        while let Some((now, happening)) = agenda.next() {
-            if now > END {
+        while let Some((now, event)) = event_queue.next() {
+            if now > RUN_END {
                 break;
             }
-            match happening {
-                Happening::Step(id) => {
+            match event {
+                SimEvent::Step(id) => {
                     let end = self.step(id, now);
-                    agenda.add(end, Happening::Reply(id));
+                    event_queue.add(end, SimEvent::Reply(id));
                 }
-                Happening::Reply(id) => {
+                SimEvent::Reply(id) => {
                     let at = now + self.reply(id, now);
-                    agenda.add(at, Happening::Step(id));
+                    event_queue.add(at, SimEvent::Step(id));
                 }
             }
         }
@@ -143,22 +143,22 @@
     /// A new session in place of one that ended.
     fn begin(&mut self, id: usize, now: Duration) {
         let daemon = self.sessions[id].daemon;
-        self.sessions[id].assignment = None;
+        self.sessions[id].path_guard = None;
         let hops = self.path(daemon);
-        let assignment = PathGuard::new(&self.daemons[daemon], &hops);
-        let left = self.rng.random_range(TOKENS.0..=TOKENS.1);
+        let path_guard = PathGuard::new(&self.daemons[daemon], &hops);
+        let tokens_left = self.rng.random_range(TOKENS.0..=TOKENS.1);
         let session = &mut self.sessions[id];
         session.hops = hops;
-        session.assignment = Some(assignment);
-        session.left = left;
+        session.path_guard = Some(path_guard);
+        session.tokens_left = tokens_left;
         session.at = 0;
-        session.begun = now;
+        session.token_started = now;
         self.send(id, now);
     }
 
     fn send(&mut self, id: usize, now: Duration) {
         let session = &mut self.sessions[id];
-        session.sent = now;
+        session.sent_at = now;
         let key = session.hops[session.at].upstream;
         let counters = &self.daemons[session.daemon].upstreams[key].counters;
         counters.sent_since_report.fetch_add(1, Ordering::Relaxed);
@@ -170,9 +170,10 @@
         let hop = &session.hops[session.at];
         let upstream = &self.daemons[session.daemon].upstreams[hop.upstream];
         let layers = f64::from(hop.layers.end - hop.layers.first);
-        let place = self.place(hop.upstream);
-        let end = self.free[place].max(now) + Duration::from_secs_f64(layers / upstream.layer_rate);
-        self.free[place] = end;
+        let index_of = self.index_of(hop.upstream);
+        let end =
+            self.idle_at[index_of].max(now) + Duration::from_secs_f64(layers / upstream.layer_rate);
+        self.idle_at[index_of] = end;
         end
     }
 
@@ -181,18 +182,19 @@
         let session = &mut self.sessions[id];
         let daemon = session.daemon;
         let hop = session.hops[session.at].clone();
-        let took = (now - session.sent).as_secs_f64() * 1e6;
+        let took = (now - session.sent_at).as_secs_f64() * 1e6;
         session.at += 1;
         if session.at == session.hops.len() {
             session.at = 0;
-            session.left -= 1;
+            session.tokens_left -= 1;
             if now > WARM_UP {
                 self.tokens += 1;
-                self.token_times.push((now - session.begun).as_secs_f64());
+                self.token_times
+                    .push((now - session.token_started).as_secs_f64());
             }
-            session.begun = now;
+            session.token_started = now;
         }
-        let ended = session.left == 0;
+        let ended = session.tokens_left == 0;
         self.report(daemon, &hop, took, now);
         if ended {
             self.begin(id, now);
@@ -207,10 +209,10 @@
     }
 
     fn report(&mut self, daemon: usize, hop: &Hop, took: f64, now: Duration) {
-        let place = self.place(hop.upstream);
+        let index_of = self.index_of(hop.upstream);
         let upstream = &mut self.daemons[daemon].upstreams[hop.upstream];
         let layers = f64::from(hop.layers.end - hop.layers.first);
-        let waiting = self.free[place].saturating_sub(now).as_secs_f64();
+        let waiting = self.idle_at[index_of].saturating_sub(now).as_secs_f64();
         let queued = (waiting * upstream.layer_rate / layers).round() as u32;
         let counters = &upstream.counters;
         counters.reported.store(queued, Ordering::Relaxed);
@@ -219,13 +221,13 @@
         let smoothed = if before == 0.0 {
             took
         } else {
-            before + (took - before) * GAIN
+            before + (took - before) * STEP_TIME_GAIN
         };
         counters.step_us.store(smoothed as u64, Ordering::Relaxed);
     }
 
     fn path(&mut self, daemon: usize) -> Vec<Hop> {
-        if self.way != Way::Shortest {
+        if self.policy != PathPolicy::Shortest {
             return (0..4).map(|stage| self.stage_hop(daemon, stage)).collect();
         }
         let query = PathQuery {
@@ -251,7 +253,7 @@
         let holds =
             |key: &&UpstreamKey| fleet.upstreams[**key].layer_assignments[0].layers == layers;
         let holders: Vec<UpstreamKey> = self.keys.iter().filter(holds).copied().collect();
-        self.turn += 1;
+        self.next_holder += 1;
         let rng = &mut self.rng;
         let mut least = |load: fn(&Upstream) -> u32| {
             // Ties are broken at random, or all would take the first.
@@ -261,13 +263,13 @@
             });
             loads.min().map(|(_, key)| key)
         };
-        let upstream = match self.way {
-            Way::LeastLoaded => least(|u| {
+        let upstream = match self.policy {
+            PathPolicy::LeastLoaded => least(|u| {
                 u.counters.reported.load(Ordering::Relaxed)
                     + u.counters.sent_since_report.load(Ordering::Relaxed)
             }),
-            Way::FewestSessions => least(|u| u.counters.sessions.load(Ordering::Relaxed)),
-            _ => holders.get(self.turn / 4 % holders.len()).copied(),
+            PathPolicy::FewestSessions => least(|u| u.counters.sessions.load(Ordering::Relaxed)),
+            _ => holders.get(self.next_holder / 4 % holders.len()).copied(),
         };
         Hop {
             upstream: upstream.unwrap_or(self.keys[0]),
@@ -275,7 +277,7 @@
         }
     }
 
-    fn place(&self, key: UpstreamKey) -> usize {
+    fn index_of(&self, key: UpstreamKey) -> usize {
         self.keys.iter().position(|&k| k == key).unwrap_or(0)
     }
 
@@ -291,23 +293,24 @@
     }
 }
 
-fn row(way: Way, name: &str, sessions: usize) -> Vec<String> {
-    let runs = (0..SEEDS).map(|seed| World::new(way, sessions, seed).run());
-    let mut runs: Vec<World> = runs.collect();
-    let seconds = (END - WARM_UP).as_secs_f64();
+fn row(policy: PathPolicy, name: &str, sessions: usize) -> Vec<String> {
+    let runs = (0..SEEDS).map(|seed| Simulation::new(policy, sessions, seed).run());
+    let mut runs: Vec<Simulation> = runs.collect();
+    let seconds = (RUN_END - WARM_UP).as_secs_f64();
     let rates = runs
         .iter()
         .map(|w| f64::from(w.tokens) / seconds / w.bound());
-    let rates = spread(rates.collect());
+    let rates = format_min_median_max(rates.collect());
     // With all queues even, a token takes this long by Little's law.
-    let even: Vec<f64> = runs.iter().map(|w| sessions as f64 / w.bound()).collect();
-    let times = runs.iter_mut().zip(even);
-    let times = times.map(|(w, even)| quantile(&mut w.token_times, 0.95) / even);
+    let even_load_time: Vec<f64> = runs.iter().map(|w| sessions as f64 / w.bound()).collect();
+    let times = runs.iter_mut().zip(even_load_time);
+    let times =
+        times.map(|(w, even_load_time)| quantile(&mut w.token_times, 0.95) / even_load_time);
     vec![
         sessions.to_string(),
         name.to_owned(),
         rates,
-        spread(times.collect()),
+        format_min_median_max(times.collect()),
     ]
 }
 
@@ -315,14 +318,26 @@
 pub(crate) fn table() -> Table {
     let mut rows = Vec::new();
     for sessions in [70, 210, 700] {
-        rows.push(row(Way::Shortest, "shortest path, sampled", sessions));
-        rows.push(row(Way::LeastLoaded, "least loaded (baseline)", sessions));
         rows.push(row(
-            Way::FewestSessions,
+            PathPolicy::Shortest,
+            "shortest path, sampled",
+            sessions,
+        ));
+        rows.push(row(
+            PathPolicy::LeastLoaded,
+            "least loaded (baseline)",
+            sessions,
+        ));
+        rows.push(row(
+            PathPolicy::FewestSessions,
             "fewest sessions (baseline)",
             sessions,
         ));
-        rows.push(row(Way::RoundRobin, "round robin (baseline)", sessions));
+        rows.push(row(
+            PathPolicy::RoundRobin,
+            "round robin (baseline)",
+            sessions,
+        ));
     }
     Table {
         title: format!(
--- a/crates/kelpworks/examples/measure/placement.rs
+++ b/crates/kelpworks/examples/measure/placement.rs
@@ -31,7 +31,7 @@
 /// Longest time for a repair.
 const REPAIR_LIMIT: Duration = Duration::from_millis(100);
 /// Failure domains that a stage should stand in.
-const STANDING_DOMAINS: usize = 2;
+const MIN_STAGE_DOMAINS: usize = 2;
 
 /// Runs the measurement.
 pub(crate) fn run() -> Table {
@@ -126,9 +126,9 @@
     let moves = |m: &Moves| format!("{}/{}", m.done, m.least);
     vec![
         shape.name.to_owned(),
-        spread(&mut samples.planned),
-        spread(&mut samples.equal),
-        spread(&mut samples.greedy),
+        format_min_median_max(&mut samples.planned),
+        format_min_median_max(&mut samples.equal),
+        format_min_median_max(&mut samples.greedy),
         samples.hosts.text(),
         samples.domains.text(),
         samples.greedy_domains.text(),
@@ -140,15 +140,15 @@
         moves(&samples.domain_moves),
         samples.lacking.text(),
         format!("{}/{}", samples.still_lacking, samples.impossible),
-        spread(&mut samples.repaired),
-        spread(&mut samples.improved),
-        spread(&mut samples.improve_moves),
-        spread(&mut samples.latency),
+        format_min_median_max(&mut samples.repaired),
+        format_min_median_max(&mut samples.improved),
+        format_min_median_max(&mut samples.improve_moves),
+        format_min_median_max(&mut samples.latency),
     ]
 }
 
 /// `min/median/max`.
-fn spread(values: &mut [f64]) -> String {
+fn format_min_median_max(values: &mut [f64]) -> String {
     values.sort_by(f64::total_cmp);
     let at = |i: usize| values.get(i).copied().unwrap_or(f64::NAN);
     let (mid, last) = (values.len() / 2, values.len().saturating_sub(1));
@@ -175,13 +175,13 @@
         .latency
         .push(planned_latency / greedy.latency(&input));
     for lost in losses(&input) {
-        let stands = plan.survives_loss_of(|h| lost.covers(&input, h));
+        let survives = plan.survives_loss_of(|h| lost.covers(&input, h));
         match lost {
-            FailureScope::Host(_) => samples.hosts.count(stands),
+            FailureScope::Host(_) => samples.hosts.count(survives),
             FailureScope::FailureDomain(_) => {
-                samples.domains.count(stands);
-                let stands = greedy.survives_loss_of(|h| lost.covers(&input, h));
-                samples.greedy_domains.count(stands);
+                samples.domains.count(survives);
+                let survives = greedy.survives_loss_of(|h| lost.covers(&input, h));
+                samples.greedy_domains.count(survives);
             }
         }
     }
@@ -189,7 +189,7 @@
     for lost in losses(&input) {
         sample_loss(samples, &input, &plan, lost);
     }
-    roll(samples, input);
+    measure_new_version(samples, input);
 }
 
 /// Link latency of a token, summed over models by demand.
@@ -215,17 +215,17 @@
 fn sample_loss(samples: &mut Samples, input: &Input, plan: &Plan, lost: FailureScope) {
     let left = placement::without(input, lost);
     let repaired = timed(&mut samples.repair, || placement::repair(input, plan, lost));
-    let mended = repaired.shortfalls.is_empty();
-    samples.lacking.count(!mended);
+    let is_complete = repaired.shortfalls.is_empty();
+    samples.lacking.count(!is_complete);
     let moves = match lost {
         FailureScope::Host(_) => &mut samples.host_moves,
         FailureScope::FailureDomain(_) => &mut samples.domain_moves,
     };
-    if mended {
+    if is_complete {
         moves.done += repaired.moves(&left);
         moves.least += least_moves(&left, plan);
     }
-    if mended && matches!(lost, FailureScope::Host(_)) {
+    if is_complete && matches!(lost, FailureScope::Host(_)) {
         return;
     }
     let bound = left.bound();
@@ -264,9 +264,10 @@
 
 /// Hosts that stages lack for standing in two failure domains, or in as many as are left.
 fn least_moves(left: &Input, plan: &Plan) -> usize {
-    let wanted = live_domains(left, left.host_keys()).min(STANDING_DOMAINS);
+    let required_domains = live_domains(left, left.host_keys()).min(MIN_STAGE_DOMAINS);
     let stages = plan.models.iter().flat_map(|m| &m.stages);
-    let lacks = stages.map(|s| wanted.saturating_sub(live_domains(left, s.hosts.iter().copied())));
+    let lacks = stages
+        .map(|s| required_domains.saturating_sub(live_domains(left, s.hosts.iter().copied())));
     lacks.sum()
 }
 
@@ -278,7 +279,7 @@
 }
 
 /// Times a new version of the first model, and the orders to it.
-fn roll(samples: &mut Samples, mut input: Input) {
+fn measure_new_version(samples: &mut Samples, mut input: Input) {
     input.models[0].version = "v2".into();
     let next = timed(&mut samples.replan, || placement::plan(&input));
     timed(&mut samples.orders, || placement::orders(&input, &next));
--- a/crates/kelpworks/examples/measure/recovery.rs
+++ b/crates/kelpworks/examples/measure/recovery.rs
@@ -30,7 +30,7 @@
 const REPLICAS: u32 = 3;
 const TOKENS: u32 = 60;
 /// The failure comes after this token.
-const FAIL_AT: usize = 20;
+const FAIL_AFTER_TOKEN: usize = 20;
 const RUNS: u64 = 5;
 /// Time of an engine's iteration, and layers of a position that it runs a second.
 const ITERATION: Duration = Duration::from_millis(4);
@@ -82,7 +82,7 @@
         }
     }
 
-    fn strike(self, fakes: &FakeFleet, victim: &Engine) {
+    fn inject(self, fakes: &FakeFleet, victim: &Engine) {
         match self {
             Failure::None => {}
             Failure::Reset => victim.crash(),
@@ -107,7 +107,7 @@
 
 /// How the caller gets on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum RecoveryMethod {
     /// The daemon recovers.
     Recover,
     /// The daemon recovers, with a fixed timeout of 1 s.
@@ -122,39 +122,43 @@
     let metrics = daemon::install_metrics().expect("the first recorder");
     let mut rows = Vec::new();
     for failure in FAILURES {
-        for way in [Way::Recover, Way::FixedTimeout, Way::Resubmit] {
-            if failure == Failure::None && way != Way::Recover {
+        for method in [
+            RecoveryMethod::Recover,
+            RecoveryMethod::FixedTimeout,
+            RecoveryMethod::Resubmit,
+        ] {
+            if failure == Failure::None && method != RecoveryMethod::Recover {
                 continue;
             }
-            rows.push(rt.block_on(row(failure, way, &metrics)));
+            rows.push(rt.block_on(row(failure, method, &metrics)));
         }
     }
     Table {
         title: format!(
             "recovery: greatest gap over usual token time, {STAGES} stages x {REPLICAS} replicas, \
-             failure after token {FAIL_AT} of {TOKENS}, {RUNS} runs"
+             failure after token {FAIL_AFTER_TOKEN} of {TOKENS}, {RUNS} runs"
         ),
         head: vec!["failure", "way", "min", "median", "max", "answers whole"],
         rows,
     }
 }
 
-async fn row(failure: Failure, way: Way, metrics: &PrometheusHandle) -> Vec<String> {
+async fn row(failure: Failure, method: RecoveryMethod, metrics: &PrometheusHandle) -> Vec<String> {
     let mut gaps = Vec::new();
     let mut whole = 0;
     for seed in 0..RUNS {
-        match one(failure, way, seed, metrics).await {
+        match measure_once(failure, method, seed, metrics).await {
             Ok(gap) => {
                 whole += 1;
                 gaps.push(gap);
             }
-            Err(e) => eprintln!("{} {way:?}: {e}", failure.name()),
+            Err(e) => eprintln!("{} {method:?}: {e}", failure.name()),
         }
     }
-    let name = match way {
-        Way::Recover => "recover",
-        Way::FixedTimeout => "baseline: fixed timeout",
-        Way::Resubmit => "baseline: resubmit, told at once",
+    let name = match method {
+        RecoveryMethod::Recover => "recover",
+        RecoveryMethod::FixedTimeout => "baseline: fixed timeout",
+        RecoveryMethod::Resubmit => "baseline: resubmit, told at once",
     };
     let mut row = vec![failure.name().to_owned(), name.to_owned()];
     row.extend(stats::min_median_max(&gaps, 1));
@@ -163,7 +167,12 @@
 }
 
 /// One run; the greatest gap over the usual time of a token.
-async fn one(failure: Failure, way: Way, seed: u64, metrics: &PrometheusHandle) -> Result<f64> {
+async fn measure_once(
+    failure: Failure,
+    method: RecoveryMethod,
+    seed: u64,
+    metrics: &PrometheusHandle,
+) -> Result<f64> {
     let model = Model::new(MODEL, "1", LAYERS);
     let mut cfg = FleetConfig::pipeline(&model, STAGES, REPLICAS);
     for engine in &mut cfg.engines {
@@ -173,19 +182,19 @@
     }
     let fakes = Arc::new(FakeFleet::spawn(cfg).await?);
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &[TEAM])?;
-    let timing = if way == Way::FixedTimeout {
+    let timing = if method == RecoveryMethod::FixedTimeout {
         FIXED_TIMEOUT
     } else {
         ""
     };
-    let daemons = support::daemons(&fakes, 1, timing, metrics).await?;
+    let daemons = support::start_daemons(&fakes, 1, timing, metrics).await?;
     let call = call(&daemons[0], seed);
     let client = reqwest::Client::new();
     // Warm up: connections are open and step times observed.
     call.stream(&client, |_, _| true).await?;
-    let result = match way {
-        Way::Resubmit => resubmit(&call, &client, &fakes, failure).await,
-        _ => watch(&call, &client, &fakes, failure, &model).await,
+    let result = match method {
+        RecoveryMethod::Resubmit => measure_resubmission(&call, &client, &fakes, failure).await,
+        _ => measure_recovery(&call, &client, &fakes, failure, &model).await,
     };
     for daemon in daemons {
         daemon.kill();
@@ -212,7 +221,7 @@
     fakes.engines.iter().find(middle)
 }
 
-async fn watch(
+async fn measure_recovery(
     call: &Call,
     client: &reqwest::Client,
     fakes: &FakeFleet,
@@ -221,24 +230,24 @@
 ) -> Result<f64> {
     let answer = call
         .stream(client, |session, n| {
-            if n == FAIL_AT
+            if n == FAIL_AFTER_TOKEN
                 && let Some(victim) = victim(fakes, session)
             {
-                failure.strike(fakes, victim);
+                failure.inject(fakes, victim);
             }
             true
         })
         .await?;
-    if !answer.whole || answer.text != model.answer_text(&call.prompt, TOKENS) {
-        return Err(format!("answer broken after {} tokens", answer.at.len()).into());
+    if !answer.complete || answer.text != model.answer_text(&call.prompt, TOKENS) {
+        return Err(format!("answer broken after {} tokens", answer.token_times.len()).into());
     }
-    let usual = stats::median(&stats::gaps(&answer.at[..FAIL_AT]));
-    let after = stats::gaps(&answer.at[FAIL_AT - 1..]);
-    Ok(after.iter().copied().fold(0.0, f64::max) / usual)
+    let typical = stats::median(&stats::gaps(&answer.token_times[..FAIL_AFTER_TOKEN]));
+    let after = stats::gaps(&answer.token_times[FAIL_AFTER_TOKEN - 1..]);
+    Ok(after.iter().copied().fold(0.0, f64::max) / typical)
 }
 
 /// The time from the failure until the token after it has come by a new request.
-async fn resubmit(
+async fn measure_resubmission(
     call: &Call,
     client: &reqwest::Client,
     fakes: &FakeFleet,
@@ -248,15 +257,19 @@
     let before = call
         .stream(client, |id, n| {
             session = id.to_owned();
-            n < FAIL_AT
+            n < FAIL_AFTER_TOKEN
         })
         .await?;
     if let Some(victim) = victim(fakes, &session) {
-        failure.strike(fakes, victim);
+        failure.inject(fakes, victim);
     }
     let failed = Instant::now();
-    let again = call.stream(client, |_, n| n <= FAIL_AT).await?;
-    let usual = stats::median(&stats::gaps(&before.at));
-    let back = again.at.last().ok_or("no token")?.duration_since(failed);
-    Ok(back.as_secs_f64() / usual)
+    let again = call.stream(client, |_, n| n <= FAIL_AFTER_TOKEN).await?;
+    let typical = stats::median(&stats::gaps(&before.token_times));
+    let recovered_after = again
+        .token_times
+        .last()
+        .ok_or("no token")?
+        .duration_since(failed);
+    Ok(recovered_after.as_secs_f64() / typical)
 }
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -23,19 +23,19 @@
 const SEEDS: std::ops::Range<u64> = 1..8;
 const DAEMONS: usize = 7;
 /// What the rule lets trials take of the fleet, in positions a second.
-const RULE: f64 = 20_000.0;
+const TRIAL_RATE: f64 = 20_000.0;
 /// What trials ask for altogether, over the rule.
-const OFFERED: f64 = 1.5;
+const OFFERED_LOAD: f64 = 1.5;
 /// Positions of a request, at least and at most.
-const COST: std::ops::Range<u32> = 50..150;
+const COST_RANGE: std::ops::Range<u32> = 50..150;
 /// Service time of a request.
-const SERVICE: Duration = Duration::from_secs(2);
+const SERVICE_TIME: Duration = Duration::from_secs(2);
 /// Requests arrive and rates are looked at in steps of this.
 const STEP_MS: u64 = 10;
 /// Time until the balancer sends a dead daemon's callers elsewhere.
-const BALANCER_MS: u64 = 2_000;
+const BALANCER_DELAY_MS: u64 = 2_000;
 /// Phases: to settle, steady, and after a death.
-const SETTLE_S: u64 = 30;
+const WARM_UP_S: u64 = 30;
 const STEADY_S: u64 = 60;
 const DEATH_S: u64 = 60;
 /// Window for the worst case.
@@ -43,7 +43,7 @@
 
 /// How a daemon works out its part.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum SplitPolicy {
     ByDemand,
     Equal,
 }
@@ -52,8 +52,8 @@
 struct Gate {
     queue: Queue,
     demand: Demand,
-    asked: u64,
-    asked_before: u64,
+    offered: u64,
+    offered_before: u64,
     /// Part of all callers.
     skew: f64,
     /// Positions of callers that are not a whole request yet.
@@ -83,7 +83,7 @@
     }
 
     /// Greatest mean over a window.
-    fn most(&self, from: u64, to: u64) -> f64 {
+    fn greatest(&self, from: u64, to: u64) -> f64 {
         let part = &self.seconds[from as usize..to as usize];
         let means = part
             .windows(WINDOW_S)
@@ -95,16 +95,19 @@
 /// Runs the measurement.
 pub(crate) fn run() -> Table {
     let mut rows = Vec::new();
-    for (dies, name) in [(0, "least loaded dies"), (DAEMONS - 1, "most loaded dies")] {
-        for (way, baseline) in [(Way::ByDemand, "by demand"), (Way::Equal, "equal split")] {
-            let runs: Vec<Run> = SEEDS.map(|seed| one(way, dies, seed)).collect();
+    for (crashed, name) in [(0, "least loaded dies"), (DAEMONS - 1, "most loaded dies")] {
+        for (policy, baseline) in [
+            (SplitPolicy::ByDemand, "by demand"),
+            (SplitPolicy::Equal, "equal split"),
+        ] {
+            let runs: Vec<Run> = SEEDS.map(|seed| simulate(policy, crashed, seed)).collect();
             rows.push(row(name, baseline, &runs));
         }
     }
     Table {
         title: format!(
             "share: positions that trials started over the rule, {DAEMONS} daemons, balancer skew \
-             1:5, offered {OFFERED} times the rule (min/median/max of {} seeds, virtual clock)",
+             1:5, offered {OFFERED_LOAD} times the rule (min/median/max of {} seeds, virtual clock)",
             SEEDS.end - SEEDS.start
         ),
         head: vec![
@@ -119,8 +122,8 @@
     }
 }
 
-fn row(name: &str, way: &str, runs: &[Run]) -> Vec<String> {
-    let death = SETTLE_S + STEADY_S;
+fn row(name: &str, policy: &str, runs: &[Run]) -> Vec<String> {
+    let death = WARM_UP_S + STEADY_S;
     let end = death + DEATH_S;
     let show = |of: &dyn Fn(&Run) -> f64| {
         let values: Vec<f64> = runs.iter().map(of).collect();
@@ -128,15 +131,15 @@
     };
     vec![
         name.to_owned(),
-        way.to_owned(),
-        show(&|r| r.mean(SETTLE_S, death)),
+        policy.to_owned(),
+        show(&|r| r.mean(WARM_UP_S, death)),
         show(&|r| r.mean(death, end)),
-        show(&|r| r.worst(SETTLE_S, end)),
-        show(&|r| r.most(SETTLE_S, end)),
+        show(&|r| r.worst(WARM_UP_S, end)),
+        show(&|r| r.greatest(WARM_UP_S, end)),
     ]
 }
 
-fn one(way: Way, dies: usize, seed: u64) -> Run {
+fn simulate(policy: SplitPolicy, crashed: usize, seed: u64) -> Run {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut net = Net::new(NetConfig {
         daemons: DAEMONS,
@@ -147,24 +150,24 @@
         seed,
     });
     let mut gates: Vec<Gate> = (0..DAEMONS).map(|at| Gate::new(skew(at), seed)).collect();
-    let death = SETTLE_S + STEADY_S;
+    let death = WARM_UP_S + STEADY_S;
     let mut seconds = Vec::new();
     for second in 0..death + DEATH_S {
         if second == death {
-            net.crash(dies);
+            net.crash(crashed);
         }
         for (at, gate) in gates.iter_mut().enumerate() {
             if net.node(at).is_some() {
-                gate.set_rate(way, &mut net, at);
+                gate.set_rate(policy, &mut net, at);
             }
         }
         let mut started = 0;
         for _ in 0..1_000 / STEP_MS {
             net.run_for(STEP_MS);
-            let moved = net.now_ms() >= death * 1_000 + BALANCER_MS;
+            let moved = net.now_ms() >= death * 1_000 + BALANCER_DELAY_MS;
             started += step(&mut gates, &net, moved, &mut rng);
         }
-        seconds.push(started as f64 / RULE);
+        seconds.push(started as f64 / TRIAL_RATE);
     }
     Run { seconds }
 }
@@ -212,8 +215,8 @@
         Gate {
             queue: Queue::new(cfg),
             demand: Demand::default(),
-            asked: 0,
-            asked_before: 0,
+            offered: 0,
+            offered_before: 0,
             skew,
             pending: 0.0,
             running: Vec::new(),
@@ -222,37 +225,37 @@
     }
 
     /// What the daemon does once a second.
-    fn set_rate(&mut self, way: Way, net: &mut Net, at: usize) {
-        let own = self.demand.observe(self.asked - self.asked_before);
-        self.asked_before = self.asked;
+    fn set_rate(&mut self, policy: SplitPolicy, net: &mut Net, at: usize) {
+        let own = self.demand.observe(self.offered - self.offered_before);
+        self.offered_before = self.offered;
         let mut others = Vec::new();
         net.act(at, |node, _| {
             node.set_trial_demand(own);
             others = node.trial_demands();
             Vec::new()
         });
-        let rate = match way {
-            Way::ByDemand => fair_share(RULE, own, &others),
-            Way::Equal => RULE / (others.len() as f64 + 1.0),
+        let rate = match policy {
+            SplitPolicy::ByDemand => fair_share(TRIAL_RATE, own, &others),
+            SplitPolicy::Equal => TRIAL_RATE / (others.len() as f64 + 1.0),
         };
         let now = Duration::from_millis(net.now_ms());
         self.queue.set_trial_rate(now, rate);
     }
 
     fn arrive(&mut self, now: Duration, skew: f64, rng: &mut StdRng) {
-        let mean = RULE * OFFERED * skew * STEP_MS as f64 / 1_000.0;
+        let mean = TRIAL_RATE * OFFERED_LOAD * skew * STEP_MS as f64 / 1_000.0;
         self.pending += mean * rng.random_range(0.0..2.0);
         while self.pending > 0.0 {
-            let cost = rng.random_range(COST);
+            let cost = rng.random_range(COST_RANGE);
             self.pending -= f64::from(cost);
-            self.asked += u64::from(cost);
-            let ask = AdmissionRequest {
+            self.offered += u64::from(cost);
+            let request = AdmissionRequest {
                 team: "trial",
                 class: Class::Trial,
                 weight: 1,
                 cost,
             };
-            if let Ok(ticket) = self.queue.offer(now, &ask) {
+            if let Ok(ticket) = self.queue.offer(now, &request) {
                 self.costs.push((ticket, cost));
             }
         }
@@ -269,7 +272,7 @@
             let at = self.costs.iter().position(|c| c.0 == ticket);
             let (_, cost) = self.costs.swap_remove(at.expect("an offered request"));
             started += u64::from(cost);
-            self.running.push((now + SERVICE, ticket));
+            self.running.push((now + SERVICE_TIME, ticket));
         }
         let (done, running) = self.running.iter().partition(|r| r.0 <= now);
         self.running = running;
--- a/crates/kelpworks/examples/measure/sim.rs
+++ b/crates/kelpworks/examples/measure/sim.rs
@@ -7,22 +7,22 @@
 use rand::RngExt;
 
 /// Events in the order of their virtual time; those of one moment in the order they were put in.
-pub(crate) struct Agenda<E> {
+pub(crate) struct EventQueue<E> {
     events: BTreeMap<(Duration, u64), E>,
-    count: u64,
+    next_sequence: u64,
 }
 
-impl<E> Agenda<E> {
-    pub(crate) fn new() -> Agenda<E> {
-        Agenda {
+impl<E> EventQueue<E> {
+    pub(crate) fn new() -> EventQueue<E> {
+        EventQueue {
             events: BTreeMap::new(),
-            count: 0,
+            next_sequence: 0,
         }
     }
 
     pub(crate) fn add(&mut self, at: Duration, event: E) {
-        self.events.insert((at, self.count), event);
-        self.count += 1;
+        self.events.insert((at, self.next_sequence), event);
+        self.next_sequence += 1;
     }
 
     pub(crate) fn next(&mut self) -> Option<(Duration, E)> {
@@ -38,10 +38,10 @@
 }
 
 /// The value that this part of the values, 0 to 1, does not exceed; 0 without values.
-pub(crate) fn quantile(values: &mut [f64], part: f64) -> f64 {
+pub(crate) fn quantile(values: &mut [f64], q: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1) as f64;
-    let at = (last * part).round() as usize;
+    let at = (last * q).round() as usize;
     values.get(at).copied().unwrap_or(0.0)
 }
 
@@ -53,7 +53,7 @@
 }
 
 /// Least, median and greatest of the values of several seeds.
-pub(crate) fn spread(mut values: Vec<f64>) -> String {
+pub(crate) fn format_min_median_max(mut values: Vec<f64>) -> String {
     let median = quantile(&mut values, 0.5);
     let (min, max) = (values[0], values[values.len() - 1]);
     format!("{min:.3} / {median:.3} / {max:.3}")
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -31,10 +31,10 @@
 /// Time for daemons to get to know each other.
 const WARM_UP_MS: u64 = 5_000;
 /// Longest wait for a generation.
-const BOUND_MS: u64 = 60_000;
+const TIMEOUT_MS: u64 = 60_000;
 /// Generations on real daemons.
-const SWAPS: u64 = 7;
-const REAL: usize = 7;
+const REAL_SWAPS: u64 = 7;
+const REAL_DAEMONS: usize = 7;
 
 /// What goes wrong around the swap.
 #[derive(Clone, Copy)]
@@ -80,7 +80,7 @@
 
 /// Ways to spread a generation.
 #[derive(Clone, Copy)]
-enum Way {
+enum Propagation {
     Push,
     /// Push to peers drawn by hash alone.
     PushOnly,
@@ -104,13 +104,13 @@
             rows.push(row(daemons, case));
         }
     }
-    rows.push(real(None));
-    rows.push(real(Some(())));
+    rows.push(measure_daemons(None));
+    rows.push(measure_daemons(Some(())));
     Table {
         title: format!(
             "spread: ms until a generation is in force everywhere (min/median/max of {} seeds, \
-             virtual clock; last rows: real daemons, wall clock, {SWAPS} swaps); `-` is longer \
-             than {BOUND_MS}",
+             virtual clock; last rows: real daemons, wall clock, {REAL_SWAPS} swaps); `-` is longer \
+             than {TIMEOUT_MS}",
             SEEDS.end - SEEDS.start
         ),
         head: vec![
@@ -130,19 +130,19 @@
 
 fn row(daemons: usize, case: &Case) -> Vec<String> {
     // Seeds side by side: each run has its own clock.
-    let runs = |way| {
+    let runs = |propagation| {
         std::thread::scope(|scope| {
             let started: Vec<_> = SEEDS
-                .map(|seed| scope.spawn(move || one(daemons, case, way, seed)))
+                .map(|seed| scope.spawn(move || simulate(daemons, case, propagation, seed)))
                 .collect();
             let done = started.into_iter().map(|t| t.join().expect("a run"));
             done.collect::<Vec<Run>>()
         })
     };
-    let push: Vec<Run> = runs(Way::Push);
-    let hash: Vec<Run> = runs(Way::PushOnly);
-    let beats: Vec<Run> = runs(Way::HeartbeatsOnly);
-    let watch: Vec<Run> = runs(Way::AllWatch);
+    let push: Vec<Run> = runs(Propagation::Push);
+    let push_only: Vec<Run> = runs(Propagation::PushOnly);
+    let heartbeats: Vec<Run> = runs(Propagation::HeartbeatsOnly);
+    let watch: Vec<Run> = runs(Propagation::AllWatch);
     let times = |runs: &[Run]| show(runs.iter().map(|r| r.ms.unwrap_or(f64::INFINITY)), 0);
     let reads = |runs: &[Run]| show(runs.iter().map(|r| r.reads), 0);
     vec![
@@ -151,8 +151,8 @@
         times(&push),
         show(push.iter().map(|r| r.calls), 1),
         reads(&push),
-        times(&hash),
-        times(&beats),
+        times(&push_only),
+        times(&heartbeats),
         times(&watch),
         reads(&watch),
     ]
@@ -166,20 +166,20 @@
         .replace("inf", "-")
 }
 
-fn one(daemons: usize, case: &Case, way: Way, seed: u64) -> Run {
+fn simulate(daemons: usize, case: &Case, propagation: Propagation, seed: u64) -> Run {
     let mut node = Config::default();
-    if matches!(way, Way::HeartbeatsOnly) {
+    if matches!(propagation, Propagation::HeartbeatsOnly) {
         node.dissemination = dissemination::Config { fanout: 0 };
         node.ring_successors = 0;
     }
-    if matches!(way, Way::PushOnly) {
+    if matches!(propagation, Propagation::PushOnly) {
         node.ring_successors = 0;
     }
     let mut net = Net::new(NetConfig {
         daemons,
         regions: if daemons > 100 { 2 } else { 1 },
         node,
-        all_watch: matches!(way, Way::AllWatch),
+        all_watch: matches!(propagation, Propagation::AllWatch),
         count_bytes: false,
         seed,
     });
@@ -190,7 +190,9 @@
     if case.watcher_dies {
         net.crash(watchers[seed as usize % watchers.len()]);
     }
-    let done = net.run_until(BOUND_MS, |net| net.in_force() == net.up());
+    let done = net.run_until(TIMEOUT_MS, |net| {
+        net.daemons_up_to_date() == net.daemons_up()
+    });
     let ms = (net.now_ms() - start) as f64;
     // What is still on its way counts too.
     net.run_for(1_000);
@@ -209,28 +211,30 @@
 }];
 
 /// Real daemons over loopback; with an outage, the object API is out once one daemon is there.
-fn real(outage: Option<()>) -> Vec<String> {
+fn measure_daemons(outage: Option<()>) -> Vec<String> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let times = runtime.block_on(async {
         let model = Model::new("caption", "1", 4);
-        let fakes = support::pipeline(&model, 1, 1).await.expect("stand-ins");
+        let fakes = support::spawn_pipeline(&model, 1, 1)
+            .await
+            .expect("stand-ins");
         support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &TEAMS)
             .expect("a valid configuration");
         let metrics = daemon::build_metrics();
-        let daemons = support::daemons(&fakes, REAL, "", &metrics).await;
+        let daemons = support::start_daemons(&fakes, REAL_DAEMONS, "", &metrics).await;
         let daemons = daemons.expect("daemons");
-        until(&daemons, |s| s.members.len() == REAL - 1).await;
+        wait_until_all(&daemons, |s| s.members.len() == REAL_DAEMONS - 1).await;
         let mut times = Vec::new();
-        for generation in 2..2 + SWAPS {
+        for generation in 2..2 + REAL_SWAPS {
             fakes.object_api.set_mode(ApiMode::Up);
             tokio::time::sleep(Duration::from_millis(2_500)).await;
             let start = Instant::now();
             swap(&fakes, generation);
             if outage.is_some() {
-                until_any(&daemons, generation).await;
+                wait_until_any(&daemons, generation).await;
                 fakes.object_api.set_mode(ApiMode::Unavailable);
             }
-            until(&daemons, |s| s.generation == generation).await;
+            wait_until_all(&daemons, |s| s.generation == generation).await;
             times.push(start.elapsed().as_secs_f64() * 1_000.0);
         }
         times
@@ -239,7 +243,7 @@
         None => "real daemons, nothing fails",
         Some(()) => "real daemons, API out after 1",
     };
-    let mut row = vec![REAL.to_string(), case.to_owned()];
+    let mut row = vec![REAL_DAEMONS.to_string(), case.to_owned()];
     row.push(show(times.into_iter(), 0));
     row.resize(9, String::new());
     row
@@ -266,7 +270,7 @@
     fakes.object_api.put(HEAD_KIND, HEAD_NAME, &body);
 }
 
-async fn until(daemons: &[Daemon], holds: impl Fn(&status::Status) -> bool) {
+async fn wait_until_all(daemons: &[Daemon], holds: impl Fn(&status::Status) -> bool) {
     for daemon in daemons {
         while !status_of(daemon.bound_addresses().operators)
             .await
@@ -277,7 +281,7 @@
     }
 }
 
-async fn until_any(daemons: &[Daemon], generation: u64) {
+async fn wait_until_any(daemons: &[Daemon], generation: u64) {
     loop {
         for daemon in daemons {
             let status = status_of(daemon.bound_addresses().operators).await;
--- a/crates/kelpworks/examples/measure/table.rs
+++ b/crates/kelpworks/examples/measure/table.rs
@@ -18,7 +18,7 @@
             cells.chain([self.head[i].len()]).max().unwrap_or(0)
         };
         let widths: Vec<usize> = (0..self.head.len()).map(width).collect();
-        let line = |cells: &[String]| {
+        let print_row = |cells: &[String]| {
             let padded: Vec<String> = cells
                 .iter()
                 .zip(&widths)
@@ -27,7 +27,7 @@
             println!("{}", padded.join("  ").trim_end());
         };
         println!("{}", self.title);
-        line(
+        print_row(
             &self
                 .head
                 .iter()
@@ -35,7 +35,7 @@
                 .collect::<Vec<_>>(),
         );
         for row in &self.rows {
-            line(row);
+            print_row(row);
         }
     }
 
--- a/crates/kelpworks/examples/measure/throughput.rs
+++ b/crates/kelpworks/examples/measure/throughput.rs
@@ -39,7 +39,8 @@
     token: "t",
 };
 /// Layer rates of the kinds of accelerators, in layers of a position a second.
-const KINDS: [(&str, f64); 3] = [("large", 1_000.0), ("middle", 500.0), ("small", 250.0)];
+const ACCELERATOR_KINDS: [(&str, f64); 3] =
+    [("large", 1_000.0), ("middle", 500.0), ("small", 250.0)];
 /// Long batches overnight: throughput goes before the time between tokens.
 const SETTINGS: &str = "\n[limits]\ntoken_target = \"400 ms\"\n";
 
@@ -81,7 +82,7 @@
         title: format!(
             "throughput: positions of prompt and answer a second over the hardware bound, {STAGES} stages, 40 engines of \
              {} kinds, {DAEMONS} daemons, {RUNS} runs of {} s",
-            KINDS.len(),
+            ACCELERATOR_KINDS.len(),
             WINDOW.as_secs()
         ),
         head: vec![
@@ -106,7 +107,7 @@
     let mut busy = Vec::new();
     let mut bound = 0.0;
     for seed in 0..RUNS {
-        match one(deployment, sessions, seed, metrics).await {
+        match measure_once(deployment, sessions, seed, metrics).await {
             Ok(run) => {
                 shares.push(run.positions_per_second / run.bound);
                 bound = run.bound;
@@ -141,7 +142,7 @@
     wrong: AtomicU64,
 }
 
-async fn one(
+async fn measure_once(
     deployment: &Deployment,
     sessions: usize,
     seed: u64,
@@ -152,7 +153,7 @@
     let bound = bound(&cfg);
     let fakes = FakeFleet::spawn(cfg).await?;
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &[TEAM])?;
-    let daemons = support::daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
+    let daemons = support::start_daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
     let bases: Vec<String> = daemons
         .iter()
         .map(|d| format!("http://{}", d.bound_addresses().callers))
@@ -219,7 +220,7 @@
             })
             .await;
         match answer {
-            Ok(a) if a.whole && a.text == model.answer_text(&call.prompt, TOKENS) => {}
+            Ok(a) if a.complete && a.text == model.answer_text(&call.prompt, TOKENS) => {}
             Ok(_) => {
                 tally.wrong.fetch_add(1, Ordering::Relaxed);
             }
@@ -234,7 +235,7 @@
         let (first, end) = (stage * LAYERS / STAGES, (stage + 1) * LAYERS / STAGES);
         for (domain, kinds) in deployment.domains.iter().zip(deployment.kinds) {
             for (n, kind) in kinds.iter().enumerate() {
-                let (accelerator, rate) = KINDS[*kind];
+                let (accelerator, rate) = ACCELERATOR_KINDS[*kind];
                 let name = format!("{domain}-{stage}-{n}");
                 let mut cfg = EngineConfig::new(&name, vec![model.clone()]);
                 cfg.failure_domain = (*domain).to_owned();
--- a/crates/kelpworks/examples/support/client.rs
+++ b/crates/kelpworks/examples/support/client.rs
@@ -15,9 +15,9 @@
     /// Text of the tokens.
     pub(crate) text: String,
     /// When each token came.
-    pub(crate) at: Vec<Instant>,
+    pub(crate) token_times: Vec<Instant>,
     /// Whether the stream ended as it should.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
 }
 
 /// An answer that is not a success.
@@ -95,7 +95,7 @@
                     continue;
                 };
                 if data.trim() == "[DONE]" {
-                    answer.whole = true;
+                    answer.complete = true;
                     continue;
                 }
                 let chunk: kelpworks_wire::CompletionResponse = serde_json::from_str(data)?;
@@ -104,8 +104,8 @@
                     continue;
                 }
                 answer.text.push_str(text);
-                answer.at.push(Instant::now());
-                if !on_token(&id, answer.at.len()) {
+                answer.token_times.push(Instant::now());
+                if !on_token(&id, answer.token_times.len()) {
                     return Ok(answer);
                 }
             }
--- a/crates/kelpworks/examples/support/mod.rs
+++ b/crates/kelpworks/examples/support/mod.rs
@@ -34,9 +34,9 @@
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
 /// Any free loopback port.
-const FREE: &str = "127.0.0.1:0";
+const FREE_PORT: &str = "127.0.0.1:0";
 /// Longest wait for daemons to serve.
-const READY_WAIT: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A team with its token, for an example only.
 #[derive(Clone, Copy, Debug)]
@@ -112,16 +112,16 @@
     let addresses = DaemonAddresses {
         name: &name,
         failure_domain: "domain-0",
-        callers: FREE,
-        operators: FREE,
-        peers: FREE,
+        callers: FREE_PORT,
+        operators: FREE_PORT,
+        peers: FREE_PORT,
     };
     let text = config_files::settings(&fakes.view(), addresses, timing);
     Ok(Settings::parse("settings", &text)?)
 }
 
 /// Starts daemons beside the stand-ins and waits until each is ready.
-pub(crate) async fn daemons(
+pub(crate) async fn start_daemons(
     fakes: &FakeFleet,
     count: usize,
     timing: &str,
@@ -134,14 +134,14 @@
     }
     let wait = async {
         for daemon in &daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
     };
-    tokio::time::timeout(READY_WAIT, wait).await?;
+    tokio::time::timeout(READY_TIMEOUT, wait).await?;
     Ok(daemons)
 }
 
-pub(crate) async fn ready(daemon: &Daemon) {
+pub(crate) async fn wait_until_ready(daemon: &Daemon) {
     let url = format!("http://{}/readyz", daemon.bound_addresses().operators);
     loop {
         let answer = reqwest::get(&url).await;
@@ -153,6 +153,6 @@
 }
 
 /// A pipeline of stand-in engines over one model.
-pub(crate) async fn pipeline(model: &Model, stages: u32, replicas: u32) -> Result<FakeFleet> {
+pub(crate) async fn spawn_pipeline(model: &Model, stages: u32, replicas: u32) -> Result<FakeFleet> {
     Ok(FakeFleet::spawn(FleetConfig::pipeline(model, stages, replicas)).await?)
 }
--- a/crates/kelpworks/tests/contract/mod.rs
+++ b/crates/kelpworks/tests/contract/mod.rs
@@ -62,7 +62,7 @@
         redirect(&mut view).await;
         put_config(&view, &model).await;
         let timing = format!("{TIMING}\n{timing}");
-        let daemons = support::daemons(&fakes, 1, &timing, &metrics()).await;
+        let daemons = support::start_daemons(&fakes, 1, &timing, &metrics()).await;
         Setup {
             fakes,
             daemon: daemons.expect("a daemon").remove(0),
--- a/crates/kelpworks/tests/path/mod.rs
+++ b/crates/kelpworks/tests/path/mod.rs
@@ -76,7 +76,7 @@
         let fakes = FakeFleet::spawn(cfg).await.expect("stand-ins");
         support::put_config(&fakes, std::slice::from_ref(&model), 0.5, &[PAYING, TRIAL])
             .expect("a valid configuration");
-        let daemons = support::daemons(&fakes, daemons, timing, &metrics()).await;
+        let daemons = support::start_daemons(&fakes, daemons, timing, &metrics()).await;
         let bench = Bench {
             fakes,
             daemons: daemons.expect("daemons"),
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -120,8 +120,15 @@
         let watcher = net.watchers()[0];
         net.crash(watcher);
     }
-    let done = net.run_until(3 * SECOND, |net| net.in_force() == net.up());
-    assert!(done, "{} of {} have it", net.in_force(), net.up());
+    let done = net.run_until(3 * SECOND, |net| {
+        net.daemons_up_to_date() == net.daemons_up()
+    });
+    assert!(
+        done,
+        "{} of {} have it",
+        net.daemons_up_to_date(),
+        net.daemons_up()
+    );
 }
 
 #[rstest]
--- a/crates/kelpworks/tests/poison/mod.rs
+++ b/crates/kelpworks/tests/poison/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::support::ExampleTeam;
 use crate::support::put_config;
-use crate::support::ready;
 use crate::support::settings;
+use crate::support::wait_until_ready;
 use kelpworks::daemon::Daemon;
 use kelpworks::quarantine;
 use kelpworks::quarantine::Fact;
@@ -106,7 +106,7 @@
             daemons.push(daemon.await.expect("a daemon"));
         }
         for daemon in &daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
         let bench = Bench {
             model,
