--- a/crates/kelpworks/examples/demo.rs
+++ b/crates/kelpworks/examples/demo.rs
@@ -1,8 +1,9 @@
-//! The embedded default: stand-ins and three daemons in one process.
+//! A demo that runs three daemons and the fakes of all outside systems in one process.
 //!
-//! `cargo run --release --locked --example demo` prints how to call it and runs until Ctrl-C;
-//! with `-- --once` it sends requests of both kinds through all daemons, checks the answers
-//! against the model computed directly, and exits.
+//! `cargo run --release --locked --example demo` prints the addresses and an example
+//! request, and serves until Ctrl-C;
+//! with `-- --once` it sends completions, chats and a service call
+//! through every daemon, compares the answers with the model computed directly, and exits.
 
 use std::process::ExitCode;
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// Returns how many answers were wrong.
+/// Runs the demo and returns the number of wrong answers, 0 when it only serves.
 async fn run(once: bool) -> Result<u32> {
     let model = Model::new(MODEL, "1", 12);
     let fakes = support::spawn_pipeline(&model, 3, 2).await?;
@@ -77,12 +78,13 @@
     );
     println!("    -H 'authorization: Bearer {}' \\", TEAMS[0].token);
     println!("    -d '{{\"model\": \"{MODEL}\", \"prompt\": \"A red kettle\", \"stream\": true}}'");
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     tokio::signal::ctrl_c().await?;
     Ok(0)
 }
 
-/// Sends requests of both kinds through every daemon.
+/// Sends completions, chats and a service call through every daemon; returns the number of wrong
+/// answers.
 async fn check(model: &Model, daemons: &[Daemon]) -> Result<u32> {
     let client = reqwest::Client::new();
     let (mut requests, mut wrong_answers) = (0, 0);
--- a/crates/kelpworks/examples/measure/busy.rs
+++ b/crates/kelpworks/examples/measure/busy.rs
@@ -1,4 +1,7 @@
-//! `busy`: what an upstream's refusal for want of capacity should mean to the daemon.
+//! `busy`: simulates how a daemon should treat an upstream that refuses calls because it is full.
+//!
+//! Compares the cooldown with other reactions to a refusal and with upstreams that stay silent
+//! when full, by completed calls, latency and refusals per call.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -40,31 +43,32 @@
 
 const SEEDS: u64 = 5;
 const DAEMONS: usize = 7;
-/// Calls that each upstream runs at once; it refuses others.
+/// Concurrent calls that each upstream runs; it refuses further ones.
 const SLOTS: [u32; 12] = [2, 2, 3, 3, 4, 4, 5, 5, 6, 6, 8, 12];
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(200);
 const LINK_LATENCY: Duration = Duration::from_micros(500);
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const ARRIVALS_END: Duration = Duration::from_secs(60);
-/// The callers' deadline.
+/// Deadline of a caller's request; a later answer does not count as completed.
 const DEADLINE: Duration = Duration::from_secs(5);
-/// How long a penalty lasts.
+/// Time for which an upstream stays suspect after a refusal.
 const PENALTY_DURATION: Duration = Duration::from_secs(5);
-/// Part of the calls that may not run twice.
+/// Share of the calls that are not idempotent.
 const NON_IDEMPOTENT_SHARE: f64 = 0.2;
 
-/// What a refusal means.
+/// How a full upstream refuses and how the daemon reacts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RefusalPolicy {
-    /// Answered as busy; the upstream is put last for a while.
+    /// The upstream answers busy; the daemon ranks it last during a cooldown.
     Cooldown,
-    /// Answered as busy; another upstream is tried, and that is all.
+    /// The upstream answers busy; the daemon only tries another one.
     NoCooldown,
-    /// Answered as busy; the upstream counts as suspect.
+    /// The upstream answers busy; the daemon marks it suspect for [`PENALTY_DURATION`].
     MarkSuspect,
-    /// Not answered; the step deadline ends the attempt, and it may have run.
+    /// The upstream does not answer; the step deadline ends the attempt, which may have run.
     Timeout,
-    /// Not answered, and the upstream counts as suspect after the deadline.
+    /// As [`RefusalPolicy::Timeout`], and the daemon then marks the upstream suspect for
+    /// [`PENALTY_DURATION`].
     TimeoutMarkSuspect,
 }
 
@@ -84,7 +88,7 @@
     }
 }
 
-/// One daemon with its own view of the fleet.
+/// A daemon with its own view of the fleet.
 struct Daemon {
     fleet: Fleet,
     keys: Vec<UpstreamKey>,
@@ -93,7 +97,6 @@
     deadlines: Vec<StepDeadline>,
 }
 
-/// A caller's request.
 struct Call {
     daemon: usize,
     arrived_at: Duration,
@@ -106,7 +109,7 @@
 enum SimEvent {
     Arrival,
     Attempt(u64),
-    /// A call reaches an upstream.
+    /// A call reaches an upstream, given by its index.
     Reach(u64, usize),
     Served(u64, usize, Duration),
     Refused(u64, usize),
@@ -114,7 +117,7 @@
     Report,
 }
 
-/// What one run gave.
+/// Results of one simulation run.
 #[derive(Default)]
 struct Outcome {
     calls: u32,
--- a/crates/kelpworks/examples/measure/capacity.rs
+++ b/crates/kelpworks/examples/measure/capacity.rs
@@ -1,11 +1,11 @@
-//! `capacity`: what each role of a daemon costs at several sizes, and how that grows.
+//! `capacity`: cost of each role of a daemon at several sizes, and how it grows with the size.
 //!
-//! Each row is a least-squares line through the sizes. Processor time is that of threads, from the
-//! scheduler's own account, so that other work on the machine does not count; memory is the
-//! resident set of the process. Stand-ins, callers and daemon run on threads of their own, but in
-//! one process: processor time is of the daemon alone, memory has the stand-ins' side of a
-//! connection in it and is an upper bound where the row says so. The page `docs/CAPACITY.md` takes
-//! its slopes from here.
+//! Each row is a least-squares line through the measured sizes. Processor time is that of threads,
+//! read from the scheduler's statistics, so that other work on the machine does not count; memory
+//! is the resident set of the process. Fakes, callers and daemon run on separate threads of one
+//! process: processor time is that of the daemon alone, but memory includes the fakes' ends of the
+//! connections and is an upper bound where the row says so. `docs/CAPACITY.md` takes its slopes
+//! from here.
 
 mod clients;
 mod cost;
@@ -16,11 +16,11 @@
 
 use crate::table::Table;
 
-/// What was measured at several sizes.
+/// A quantity measured at several sizes.
 struct Series {
     /// Role of the daemon.
     role: &'static str,
-    /// What was measured, with its unit.
+    /// Measured quantity, with its unit.
     quantity: String,
     /// What the size counts.
     size_unit: &'static str,
@@ -33,7 +33,7 @@
 struct LinearFit {
     slope: f64,
     intercept: f64,
-    /// Greatest distance of a point from the line, as a share of the greatest value.
+    /// Largest distance of a point from the line, as a share of the largest absolute value.
     residual: f64,
 }
 
@@ -92,7 +92,8 @@
     }
 }
 
-/// Three significant digits for what is small, whole numbers for what is large.
+/// Formats a value with a precision that suits its size: whole numbers from 1,000, otherwise one to
+/// three decimals, scientific notation below 0.1, and `0` below 1e-9.
 fn number(value: f64) -> String {
     match value.abs() {
         v if v >= 1_000.0 => format!("{value:.0}"),
@@ -105,7 +106,7 @@
 
 /// Runs the measurement.
 pub(crate) fn run() -> Table {
-    // What is in memory only comes first, while the process is small.
+    // In-memory state is measured first, while the resident set of the process is small.
     let mut series = state::all();
     series.extend(traffic::all());
     match path::all() {
--- a/crates/kelpworks/examples/measure/capacity/clients.rs
+++ b/crates/kelpworks/examples/measure/capacity/clients.rs
@@ -1,4 +1,5 @@
-//! The daemon's borders alone: messages of steps, and reads of the host list.
+//! The daemon's clients of outside systems in isolation: step messages and state polls to engines,
+//! and reads of the host list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,15 +40,16 @@
 const POSITION_COUNTS: [u32; 3] = [1, 16, 64];
 const SESSION_ID: &str = "0123456789abcdef0123456789abcdef";
 const DEADLINE: Duration = Duration::from_secs(10);
-/// Hosts on the platform's list; the last is the target's, daemons and upstreams together.
+/// Hosts on the platform's list. The last is that of the target fleet: daemons and upstreams
+/// together.
 const HOST_COUNTS: [usize; 3] = [100, 400, 970];
 const LIST_READS: u32 = 200;
 
-/// Measures all of them.
+/// Measures step messages, state polls and reads of the host list.
 ///
 /// # Errors
 ///
-/// When a stand-in can't be started or refuses.
+/// When a fake can't be started or refuses a request.
 pub(super) fn all(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut series = step_messages(runtimes)?;
     series.extend(step_bytes(runtimes)?);
@@ -56,7 +58,7 @@
     Ok(series)
 }
 
-/// Processor time of one message of steps, by the steps in it.
+/// Processor time and bytes of one step message, by the number of steps in it.
 fn step_messages(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut time = Series::new("driver", "us a step message, border only", "steps in it");
     let mut bytes = Series::new("driver", "bytes a step message, both ways", "steps in it");
@@ -80,7 +82,8 @@
     Ok(vec![time, bytes])
 }
 
-/// Sends messages of so many steps, each of another session, from several senders at once.
+/// Sends `turns` messages from each of [`SENDERS`] concurrent senders; a message has `steps` steps,
+/// each of a different session.
 fn send(
     runtimes: &Runtimes,
     engine: &Arc<HttpEngine>,
@@ -123,7 +126,7 @@
     }
 }
 
-/// A step of the `stage`th of four stages.
+/// A step for the layers of the `stage`th of four stages.
 fn step(session: String, stage: u32, position: u32, input: StepInput, output: OutputForm) -> Step {
     let model = model();
     Step {
@@ -144,7 +147,7 @@
     }
 }
 
-/// Bytes of one step of a middle stage, by the positions in it and the form of its input.
+/// Bytes of one step of a middle stage, by the number of positions and the form of its input.
 fn step_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     let model = model();
@@ -192,7 +195,7 @@
     Ok(first.outcome)
 }
 
-/// Bytes of state polls.
+/// Bytes of state polls, by their number.
 fn poll_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let model = model();
     let mut bytes = Series::new("state polls", "bytes of polls, both ways", "polls");
@@ -211,7 +214,7 @@
     Ok(vec![bytes])
 }
 
-/// Reads of the platform's host list.
+/// Processor time and bytes of a read of the platform's host list, by the number of hosts.
 fn host_list(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut time = Series::new("host list", "us of processor a read", "hosts");
     let mut bytes = Series::new("host list", "bytes a read, both ways", "hosts");
--- a/crates/kelpworks/examples/measure/capacity/cost.rs
+++ b/crates/kelpworks/examples/measure/capacity/cost.rs
@@ -1,17 +1,16 @@
-//! Processor time of threads and memory of the process, as the system accounts for them.
+//! Processor time of threads and resident memory of the process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Bytes of a page of memory.
 const PAGE_BYTES: u64 = 4_096;
-/// Growth of the process that makes a figure of memory.
+/// Growth of the resident set that is enough to compute the size of a value.
 const MIN_GROWTH_BYTES: u64 = 24 << 20;
-/// Values made between two looks at the memory, and in all at most.
+/// Values created between two reads of the resident set, and the maximum in total.
 const VALUES_PER_SAMPLE: usize = 16;
 const MAX_VALUES: usize = 1 << 16;
 
-/// Processor time that all threads whose name starts so have had until now.
+/// Processor time so far of all threads whose name starts with `name`.
 pub(super) fn cpu_time_of_threads(name: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
@@ -25,12 +24,12 @@
         .sum()
 }
 
-/// Processor time of the calling thread until now.
+/// Processor time so far of the calling thread.
 pub(super) fn cpu_time_of_this_thread() -> Duration {
     schedstat_cpu_time("/proc/thread-self/schedstat".as_ref())
 }
 
-/// Seconds of processor time of one call, over as many calls as take at least `least`.
+/// Seconds of processor time per call, averaged over calls that take at least `min_time` in total.
 pub(super) fn cpu_seconds_per_call(min_time: Duration, mut call: impl FnMut()) -> f64 {
     let (start, mut calls) = (cpu_time_of_this_thread(), 0u32);
     loop {
@@ -52,9 +51,10 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Bytes of resident memory that a value takes, over as many as grow the process by [`GROWTH`].
+/// Bytes of resident memory per value, averaged over as many values as grow the process by
+/// [`MIN_GROWTH_BYTES`], or over [`MAX_VALUES`].
 ///
-/// They are never freed, as freed memory that is used again would not show in the next figure.
+/// The values are leaked: reuse of freed memory would not show in the next measurement.
 pub(super) fn resident_bytes_per_value<T>(mut make: impl FnMut() -> T) -> f64 {
     let before = resident_bytes();
     let mut values = 0;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Nanoseconds on a processor, the first field.
+/// Reads the first field of a `schedstat` file: nanoseconds spent on a processor.
 fn schedstat_cpu_time(path: &std::path::Path) -> Duration {
     let text = fs::read_to_string(path).unwrap_or_default();
     let ns = text.split(' ').next().and_then(|f| f.parse().ok());
--- a/crates/kelpworks/examples/measure/capacity/path.rs
+++ b/crates/kelpworks/examples/measure/capacity/path.rs
@@ -1,4 +1,4 @@
-//! The request path: a daemon between callers and stand-in engines, over loopback sockets.
+//! The request path: a daemon between callers and fake engines, over loopback sockets.
 
 use std::io::Read;
 use std::io::Write;
@@ -34,12 +34,13 @@
     token: "t",
 };
 const CALLERS: usize = 16;
-/// Length of an answer, and answers that each caller asks for.
+/// Tokens of an answer, and requests that each caller sends.
 const ANSWER_SIZES: [(u32, u32); 3] = [(8, 40), (32, 16), (128, 6)];
 const STAGE_COUNTS: [u32; 4] = [1, 2, 4, 8];
-/// Runs of which the cheapest counts: others on the machine make a step dearer, not cheaper.
+/// Runs, of which the cheapest counts: other load on the machine makes a step more expensive, never
+/// cheaper.
 const RUNS: usize = 3;
-/// Polls so rare that they do not count.
+/// Settings with state polls too rare to affect the measurement.
 const RARE_POLLS: &str = "state_poll = \"60 s\"";
 const ENGINE_COUNTS: [u32; 3] = [20, 60, 150];
 const IDLE_TIME: Duration = Duration::from_secs(5);
@@ -49,7 +50,7 @@
 const DEADLINE: Duration = Duration::from_secs(10);
 pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Threads of their own for daemon, stand-ins and callers, so that each one's time is known.
+/// Separate runtimes for daemon, fakes and callers, so that the processor time of each is known.
 pub(super) struct Runtimes {
     pub(super) daemon: Runtime,
     pub(super) fakes: Runtime,
@@ -91,14 +92,14 @@
     Model::new("captions", "1", LAYERS)
 }
 
-/// Measures the whole path.
+/// Measures the request path and the clients of outside systems.
 ///
 /// # Errors
 ///
-/// When daemon or stand-ins can't be started, or an answer is wrong.
+/// When the daemon or the fakes can't be started, or an answer is wrong.
 pub(super) fn all() -> Result<Vec<Series>> {
     let runtimes = Runtimes::new()?;
-    // Memory first, before freed memory of other runs is used again.
+    // Memory is measured first: later, reuse of freed memory would hide growth.
     let mut series = upstreams(&runtimes)?;
     series.extend(connections(&runtimes)?);
     series.extend(sessions(&runtimes)?);
@@ -108,7 +109,8 @@
     Ok(series)
 }
 
-/// Processor time of the daemon by length of the answer, and how that grows with the stages.
+/// Processor time of the daemon by answer length for each number of stages, and the cost per token
+/// and per request by number of stages.
 fn sessions(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     let mut token = Series::new("driver", "us a token (slopes above)", "stages");
@@ -142,7 +144,12 @@
     Ok(all)
 }
 
-/// Has every caller ask so many times; returns the tokens of all answers, each of which is right.
+/// Has every caller send `turns` requests and check each answer; returns the number of tokens
+/// received.
+///
+/// # Errors
+///
+/// When a request fails or an answer differs from the model computed directly.
 fn request_answers(runtimes: &Runtimes, base: &str, max_tokens: u32, turns: u32) -> Result<usize> {
     let client = reqwest::Client::builder().no_proxy().build()?;
     let callers: Vec<_> = (0..CALLERS)
@@ -160,7 +167,7 @@
                     };
                     let answer = call.stream(&client, |_, _| true).await?;
                     if answer.text != model().answer_text(&call.prompt, max_tokens) {
-                        return Err("an answer is wrong".into());
+                        return Err("answer text differs from the model computed directly".into());
                     }
                     received_tokens += answer.token_times.len();
                 }
@@ -175,7 +182,7 @@
     Ok(received_tokens)
 }
 
-/// Bytes between a caller and the daemon, HTTP's heads with them.
+/// Bytes from the daemon to a caller, HTTP headers included, by tokens of the answer.
 fn caller_bytes(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut bytes = Series::new("caller side", "bytes to the caller, streamed", "tokens");
     let fakes = runtimes.fakes(&model(), FleetConfig::pipeline(&model(), 2, 1))?;
@@ -191,7 +198,7 @@
     Ok(vec![bytes])
 }
 
-/// Asks for a streamed answer on a connection of its own.
+/// Opens a connection and sends a request for a streamed answer.
 fn send_request(daemon: SocketAddr, prompt: &str, max_tokens: u32) -> Result<TcpStream> {
     let model = model();
     let body = serde_json::json!({
@@ -210,7 +217,8 @@
     Ok(stream)
 }
 
-/// What upstreams take of a daemon's memory; no daemon ends before the last has been measured.
+/// Memory of a daemon by number of upstreams. All daemons run until the last has been measured, so
+/// that no freed memory is reused.
 fn upstreams(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let quantity = "bytes, with the stand-ins' ends";
     let mut memory = Series::new("upstream connections", quantity, "upstreams");
@@ -232,7 +240,7 @@
     Ok(vec![memory])
 }
 
-/// State polls of an idle daemon.
+/// Processor time of the state polls of an idle daemon, by number of upstreams.
 fn polls(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let role = "state polls";
     let mut time = Series::new(
@@ -259,7 +267,7 @@
     Ok(vec![time])
 }
 
-/// Memory of connections without a request, and of sessions under way.
+/// Memory of idle caller connections and of running sessions, by their number.
 fn connections(runtimes: &Runtimes) -> Result<Vec<Series>> {
     let mut idle_memory = Series::new("caller side", "bytes of idle connections", "connections");
     let mut session_memory = Series::new(
@@ -317,7 +325,7 @@
     Ok(vec![idle_memory, session_memory])
 }
 
-/// A connection that has had one small answer and is kept open.
+/// Opens a connection and leaves it open after one small response.
 fn idle_connection(daemon: SocketAddr) -> Result<TcpStream> {
     let mut stream = TcpStream::connect(daemon)?;
     stream.set_read_timeout(Some(DEADLINE))?;
--- a/crates/kelpworks/examples/measure/capacity/state.rs
+++ b/crates/kelpworks/examples/measure/capacity/state.rs
@@ -1,4 +1,5 @@
-//! Roles whose cost is that of their state: decisions, views, documents, tables and plans.
+//! Roles whose cost depends on their in-memory state: placement plans, fleet views, routing and
+//! admission decisions, register and rules, tables of facts and poison suspects.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -35,12 +36,12 @@
 const TEAM_COUNTS: [usize; 3] = [10, 500, 2_100];
 const HOST_COUNTS: [usize; 3] = [100, 300, 600];
 const ENTRY_COUNTS: [usize; 3] = [250, 1_000, 4_000];
-/// Processor time spent on each figure, at least.
+/// Minimum processor time of each measurement.
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 const MICROS_PER_SECOND: f64 = 1e6;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Measures all of them.
+/// Measures all roles of this module.
 pub(super) fn all() -> Vec<Series> {
     let mut series = plans();
     series.extend(views());
--- a/crates/kelpworks/examples/measure/capacity/tap.rs
+++ b/crates/kelpworks/examples/measure/capacity/tap.rs
@@ -1,4 +1,4 @@
-//! A relay that counts the bytes of the connections through it.
+//! A TCP proxy that counts the bytes of the connections through it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
 
 const BUFFER: usize = 16 * 1024;
 
-/// A relay to one address.
+/// A byte-counting proxy to one address.
 pub(super) struct Tap {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
 }
 
 impl Tap {
-    /// Starts a relay on a free loopback port.
+    /// Starts a proxy on a free loopback port.
     ///
     /// # Errors
     ///
@@ -47,12 +47,12 @@
         Ok(Tap { address, bytes })
     }
 
-    /// Base URL of the relay.
+    /// Base URL of the proxy.
     pub(super) fn url(&self) -> Arc<str> {
         format!("http://{}", self.address).into()
     }
 
-    /// Bytes until now, both ways.
+    /// Bytes forwarded so far, both ways.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -65,7 +65,7 @@
 ) {
     let mut buf = vec![0; BUFFER];
     while let Ok(n) = from.read(&mut buf).await {
-        // Before the write: who gets the last byte may look at the count at once.
+        // Counted before the write: the receiver of the last byte may read the count at once.
         counter.fetch_add(n as u64, Ordering::Relaxed);
         if n == 0 || to.write_all(&buf[..n]).await.is_err() {
             return;
--- a/crates/kelpworks/examples/measure/capacity/traffic.rs
+++ b/crates/kelpworks/examples/measure/capacity/traffic.rs
@@ -1,7 +1,7 @@
-//! Roles whose cost is their messages, by the state machines alone in virtual time.
+//! Roles whose cost is their messages, measured with the state machines alone in virtual time.
 //!
-//! Bytes are those of the messages' contents as JSON. What JSON-RPC, WebSocket, TCP and IP add is
-//! not in them.
+//! Bytes are those of the message contents as JSON, without the overhead of JSON-RPC, WebSocket,
+//! TCP and IP.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -37,12 +37,12 @@
 use kelpworks_coord::time::Instant;
 
 const DAEMON_COUNTS: [usize; 4] = [30, 100, 200, 370];
-/// Virtual time of a run of membership, and between two ticks.
+/// Virtual time of a membership run, and between two ticks.
 const RUN_MS: u64 = 60_000;
 const TICK_MS: u64 = 100;
-/// Reports that go with a message.
+/// Maximum number of membership updates in a message.
 const MAX_UPDATES: usize = 8;
-/// When one daemon falls silent, in the runs in which one does.
+/// Time from which the silent daemon, in the runs that have one, no longer sends or replies.
 const SILENT_FROM_MS: u64 = 10_000;
 const WATCHERS: usize = 2;
 const DOMAINS: u64 = 4;
@@ -50,7 +50,7 @@
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Measures all of them.
+/// Measures membership, dissemination of generations, and claims.
 pub(super) fn all() -> Vec<Series> {
     let mut series = membership();
     series.extend(generations());
@@ -88,7 +88,7 @@
     vec![quiet, messages, loss, time, memory]
 }
 
-/// What goes with a probe or its answer.
+/// Contents of a probe or of its reply.
 #[derive(Serialize)]
 struct Message<'a> {
     from: NodeId,
@@ -97,7 +97,7 @@
     updates: &'a [Update],
 }
 
-/// Daemons that reach each other at once; one may be silent.
+/// Membership state machines with instant message delivery; one of them may be silent.
 struct Net {
     nodes: Vec<Membership>,
     silent: Option<usize>,
@@ -152,7 +152,7 @@
         for action in actions {
             match action {
                 Action::Probe { target, view } => self.probe(now, n, target.0 as usize, view),
-                // The one that is asked probes in its turn, and tells.
+                // The intermediary probes the target and replies to the sender.
                 Action::IndirectProbe { via, target, view } => {
                     self.send(now, n, via.0 as usize, Some(view));
                     self.probe(now, via.0 as usize, target.0 as usize, view);
@@ -228,7 +228,7 @@
     vec![pushes, rounds, missed, watches]
 }
 
-/// What one change took, from the watchers on.
+/// Cost of disseminating one generation, starting from the daemons that watch the object API.
 struct GenerationChange {
     watchers: usize,
     pushes: usize,
@@ -299,7 +299,7 @@
     vec![writes, bytes, time]
 }
 
-/// What a first submission writes until its outcome is kept.
+/// Records that the first submission of a keyed call writes until its outcome is stored.
 fn claim(outcome_bytes: usize) -> Vec<Record> {
     let now = Instant::ZERO;
     let request = Request {
--- a/crates/kelpworks/examples/measure/control.rs
+++ b/crates/kelpworks/examples/measure/control.rs
@@ -1,4 +1,4 @@
-//! Bytes that daemons exchange for control, and how they grow with the fleet.
+//! `control`: bytes that daemons exchange with their peers, and how they grow with the fleet.
 
 use std::time::Duration;
 
@@ -14,28 +14,31 @@
 use kelpworks_coord::facts::Kind;
 use kelpworks_coord::time::Span;
 
-/// Sizes with real sockets.
+/// Numbers of daemons measured over real sockets.
 const SOCKET_FLEETS: [usize; 3] = [7, 30, 100];
-/// Sizes by the state machines alone.
+/// Numbers of daemons measured with the state machines alone, in virtual time.
 const VIRTUAL_FLEETS: [usize; 4] = [7, 30, 100, 370];
-/// Time to get to know each other, and time measured.
+/// Time for daemons to discover each other, and duration of the measurement.
 const WARM_UP: Duration = Duration::from_secs(10);
 const MEASURED_TIME: Duration = Duration::from_secs(30);
 const VIRTUAL_MS: u64 = 60_000;
-/// Steps of a run; a step holds what a 400th of a day brings.
+/// Steps of a run; in [`Load::Day`] each step has the events of a 400th of a day.
 const STEPS: u64 = 40;
-/// A tenth of a day: what the steps of a run stand for.
+/// A tenth of a day, whose events the steps of a [`Load::Day`] run cover.
 const TENTH_OF_DAY_MS: f64 = 8_640_000.0;
-/// Aim of the two-year target, in bytes a second a daemon.
+/// Two-year target for the bytes a second that a daemon sends.
 const TARGET_BYTES_PER_SECOND: f64 = 2_000.0;
-/// Rows of the fit.
+/// Number of daemons for which the fit is evaluated.
 const TARGET_DAEMONS: f64 = 370.0;
 
-/// What happens meanwhile.
+/// Load on the daemons during a run in virtual time.
 #[derive(Clone, Copy)]
 enum Load {
+    /// No changes.
     Quiet,
+    /// The trial demand of every daemon changes at every third step.
     Demand,
+    /// Restarts, crashes, new generations and facts of a tenth of a day.
     Day,
 }
 
@@ -54,7 +57,7 @@
     let what = format!("fit of real sockets, {slope:+.2} B/s for each daemon");
     rows.push(row(TARGET_DAEMONS as usize, &what, at_target, None));
     for daemons in VIRTUAL_FLEETS {
-        // Side by side: each has its own clock.
+        // The runs can go in parallel, as each has its own virtual clock.
         let [quiet, demand, packed] = std::thread::scope(|scope| {
             let started = [Load::Quiet, Load::Demand, Load::Day]
                 .map(|load| scope.spawn(move || virtual_rate(daemons, load)));
@@ -87,7 +90,7 @@
     }
 }
 
-/// `both` is what a daemon sends and receives a second.
+/// Formats a row; `both` is the bytes a second that a daemon sends and receives.
 fn row(daemons: usize, case: &str, both: f64, max_rate: Option<f64>) -> Vec<String> {
     vec![
         daemons.to_string(),
@@ -99,7 +102,7 @@
     ]
 }
 
-/// Slope and value at the target of the least-squares line.
+/// Slope of the least-squares line and its value at [`TARGET_DAEMONS`].
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
@@ -110,7 +113,7 @@
     (slope, mean_y + slope * (TARGET_DAEMONS - mean_x))
 }
 
-/// Bytes a second, sent and received, of each of so many daemons over loopback.
+/// Bytes a second that each of `daemons` daemons sends and receives over loopback sockets.
 fn socket_rates(daemons: usize) -> Vec<f64> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
@@ -145,8 +148,8 @@
     })
 }
 
-/// Bytes a second, sent and received, of a daemon by the state machines alone. A day has
-/// 80 restarts, 5 crashes, 400 generations and 40 facts.
+/// Bytes a second that a daemon sends and receives, measured with the state machines alone. A day
+/// has 80 restarts, 5 crashes, 400 generations and 40 facts.
 fn virtual_rate(daemons: usize, load: Load) -> f64 {
     let mut net = Net::new(NetConfig {
         daemons,
@@ -170,7 +173,7 @@
     2.0 * bytes / daemons as f64 / (VIRTUAL_MS as f64 / 1_000.0)
 }
 
-/// Changes what trials ask of each daemon by more than peers need not be told.
+/// Changes the trial demand of each daemon by enough that it has to be reported to peers.
 fn move_demand(net: &mut Net, step: u64, daemons: usize) {
     for at in 0..daemons {
         net.act(at, |node, _| {
@@ -180,7 +183,7 @@
     }
 }
 
-/// One of 400 parts of a day.
+/// Applies the events of a 400th of a day.
 fn day(net: &mut Net, step: u64, daemons: usize) {
     net.swap(None);
     let at = step as usize % daemons;
--- a/crates/kelpworks/examples/measure/decision.rs
+++ b/crates/kelpworks/examples/measure/decision.rs
@@ -1,7 +1,7 @@
-//! `decision`: how the time of one decision grows with upstreams and teams.
+//! `decision`: how the time of one decision grows with the number of upstreams and teams.
 //!
-//! Times are ratios, as the machine is shared. Allocations are not counted: that takes an
-//! allocator of our own, and those need unsafe code.
+//! Times are given as ratios, as the machine is shared. Allocations are not counted: that would
+//! take a custom allocator, which needs unsafe code.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -37,27 +37,27 @@
 
 const SEEDS: u64 = 7;
 const DECISIONS: u32 = 2_000;
-/// Batches of which the fastest counts: what is slower was disturbed by others on the machine.
+/// Batches, of which the fastest counts: slower ones were disturbed by other load on the machine.
 const BATCHES: usize = 9;
-/// Layers of the model.
 pub(crate) const LAYERS: u32 = 80;
 const SMALL_FLEET: usize = 40;
 const LARGE_FLEET: usize = 600;
 const FEW_TEAMS: usize = 10;
 const MANY_TEAMS: usize = 2_100;
 
-/// How the layers are cut.
+/// How the layers of the model are split into the ranges that upstreams have loaded.
 #[derive(Clone, Copy)]
 pub(crate) enum LayerSplit {
-    /// The same four ranges everywhere.
+    /// Four equal ranges.
     Four,
-    /// Ranges of many lengths that overlap, from ten starts.
+    /// Overlapping ranges of several lengths that start at one of ten layers.
     Mixed,
-    /// The same, from any layer: the number of cuts grows with the fleet too.
+    /// As [`LayerSplit::Mixed`], but from any layer, so that the number of distinct ranges grows
+    /// with the fleet.
     Any,
 }
 
-/// A fleet of three speeds over four failure domains.
+/// Builds a fleet with upstreams of three speeds in four failure domains.
 pub(crate) fn fleet(size: usize, split: LayerSplit, seed: u64) -> Fleet {
     let mut rng = StdRng::seed_from_u64(seed);
     let link = |from: usize, to: usize| LinkCost {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Time of one call, in seconds, in the fastest of several batches.
+/// Seconds per call in the fastest of [`BATCHES`] batches.
 fn time(mut call: impl FnMut()) -> f64 {
     let mut batches: Vec<f64> = (0..BATCHES)
         .map(|_| {
@@ -148,6 +148,7 @@
     quantile(&mut batches, 0.0)
 }
 
+/// Seconds to choose a path with the daemon's routing.
 pub(crate) fn sampled_path(fleet: &Fleet, seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     time(|| {
@@ -156,7 +157,7 @@
     })
 }
 
-/// Baseline: the least loaded holder of each layer range, by a look at all.
+/// Baseline: scans all upstreams for the least loaded one that has the next layer.
 fn least_loaded(fleet: &Fleet) -> f64 {
     time(|| {
         let mut at = 0;
@@ -175,7 +176,7 @@
     })
 }
 
-/// One request offered and one ended, while every team has some waiting.
+/// Seconds to offer one request and finish another, while every team has requests waiting.
 pub(crate) fn fair_admission(teams: usize, seed: u64) -> f64 {
     let names: Vec<String> = (0..teams).map(|t| format!("team-{t}")).collect();
     let mut queue = Queue::new(Config {
@@ -209,7 +210,7 @@
     })
 }
 
-/// Baseline: the team that was served least, by a look at all.
+/// Baseline: scans all teams for the one that was served least.
 fn scanning_admission(teams: usize) -> f64 {
     let mut served = vec![0u64; teams];
     time(|| {
--- a/crates/kelpworks/examples/measure/fairness.rs
+++ b/crates/kelpworks/examples/measure/fairness.rs
@@ -1,4 +1,4 @@
-//! `fairness`: one team offers twenty times its share; what the others get.
+//! `fairness`: simulates a team that offers twenty times its share, and what the others get.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -23,16 +23,16 @@
 const SEEDS: u64 = 7;
 const TEAMS: usize = 10;
 const GREEDY_TEAM: usize = 0;
-/// What the greedy team offers, over its share.
+/// Load that the greedy team offers, over its share.
 const GREEDY_LOAD_FACTOR: f64 = 20.0;
 const SLOTS: usize = 32;
-/// Positions a second that a slot runs.
+/// Speed of one slot.
 const POSITIONS_PER_SECOND: f64 = 1000.0;
 const WARM_UP: Duration = Duration::from_secs(10);
 const RUN_END: Duration = Duration::from_secs(130);
-/// Requests waiting, at most, under every policy.
+/// Maximum number of waiting requests in total, the same for every policy.
 const MAX_WAITING: usize = 1024;
-/// Mean positions of a request: the greedy team sends batches with long ones.
+/// Mean positions of a request. Those of the greedy team are longer, as in batch jobs.
 const MEAN_COST: u32 = 200;
 const GREEDY_MEAN_COST: u32 = 800;
 
@@ -47,15 +47,15 @@
     End(u64),
 }
 
-/// A policy under measurement.
+/// An admission policy under measurement.
 trait Policy {
     fn offer(&mut self, now: Duration, id: u64, job: Job);
     fn end(&mut self, now: Duration, id: u64);
-    /// The next request that starts now.
+    /// Returns the next request that starts now.
     fn start(&mut self) -> Option<u64>;
 }
 
-/// The daemon's admission.
+/// The daemon's admission queue with fair queueing.
 struct Fair {
     queue: Queue,
     weights: Vec<u32>,
@@ -114,7 +114,7 @@
     }
 }
 
-/// One queue for all, first in, first out.
+/// Baseline: one FIFO queue for all teams.
 #[derive(Default)]
 struct Fifo {
     waiting: VecDeque<u64>,
@@ -142,7 +142,7 @@
     }
 }
 
-/// A queue for each team; one request of each in turn.
+/// Baseline: a queue for each team, served one request at a time in turn.
 struct RoundRobin {
     waiting: Vec<VecDeque<u64>>,
     next: usize,
@@ -176,7 +176,8 @@
     }
 }
 
-/// What one run gave, by team: cost served over the lesser of its fair share and what it offered.
+/// Simulates a policy. Returns for each team the positions served, over the smaller of its fair
+/// share and the positions it offered.
 fn run<P: Policy>(policy: &mut P, weights: &[u32], seed: u64) -> Vec<f64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut event_queue = EventQueue::new();
@@ -265,7 +266,7 @@
 /// Runs the measurement.
 pub(crate) fn table() -> Table {
     let equal = vec![1; TEAMS];
-    // A few large teams.
+    // A few teams are large.
     let mixed = vec![2, 4, 4, 2, 1, 1, 1, 1, 1, 1];
     let mut rows = Vec::new();
     for (name, weights) in [("equal", &equal), ("mixed", &mixed)] {
--- a/crates/kelpworks/examples/measure/fleets.rs
+++ b/crates/kelpworks/examples/measure/fleets.rs
@@ -1,4 +1,4 @@
-//! Mixed fleets for the measurement of placement, drawn from a seed.
+//! Random mixed fleets for the measurement of placement, reproducible from a seed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,52 +16,48 @@
 use kelpworks::units::Rate;
 use kelpworks::units::Size;
 
-/// Bytes of a gigabyte.
 const GB: u64 = 1_000_000_000;
-/// Bytes a second of the weight store.
+/// Read rate of the weight store, in bytes a second.
 const WEIGHT_RATE: u64 = 20 * GB;
 
 /// A kind of accelerator.
 #[derive(Clone, Copy)]
 pub(crate) struct Kind {
-    /// Layers of one token a second.
+    /// Layers a second, each for one token.
     rate: f64,
     /// Memory, in gigabytes.
     memory: u64,
-    /// Weight in the draw of a host's kind.
+    /// Relative probability that a host has this kind.
     share: u32,
 }
 
-/// A model.
 #[derive(Clone, Copy)]
 pub(crate) struct ModelShape {
-    /// Layers.
     layers: u32,
     /// Megabytes a layer.
     layer_mb: u64,
-    /// Demand relative to the others.
+    /// Demand relative to the other models.
     demand: f64,
 }
 
-/// What to draw fleets from.
+/// Parameters from which a fleet is drawn.
 pub(crate) struct FleetShape {
-    /// Name of the row.
+    /// Name in the table of results.
     pub(crate) name: &'static str,
     /// Engine hosts.
     pub(crate) hosts: u32,
     /// Accelerators a host.
     accelerators: u32,
-    /// Failure domains of each region.
+    /// Number of failure domains in each region.
     regions: &'static [u16],
     /// One-way latency within a domain, between domains of a region, between regions; microseconds.
     latency_us: [u64; 3],
-    /// Kinds of accelerators.
     kinds: &'static [Kind],
-    /// Models.
     models: &'static [ModelShape],
-    /// Chance that a host may carry a model; each may carry one at least.
+    /// Probability that a host is allowed to load a model; each host is allowed at least one.
     allowed: f64,
-    /// Chance that a host stands in the first failure domain rather than in a uniformly drawn one.
+    /// Probability that a host is placed in the first failure domain; otherwise its domain is drawn
+    /// uniformly.
     skew: f64,
 }
 
@@ -148,7 +144,7 @@
     demand: 0.5,
 };
 
-/// The fleets, by row.
+/// Shapes of the measured fleets, one for each row of the table.
 pub(crate) const FLEETS: &[FleetShape] = &[
     FleetShape {
         name: "aralsky-40",
@@ -273,7 +269,7 @@
     },
 ];
 
-/// Draws a fleet; the same seed gives the same fleet.
+/// Draws a fleet; the same shape and seed give the same fleet.
 pub(crate) fn draw(shape: &FleetShape, seed: u64) -> Input {
     let mut rng = StdRng::seed_from_u64(seed);
     let domains: u16 = shape.regions.iter().sum();
--- a/crates/kelpworks/examples/measure/main.rs
+++ b/crates/kelpworks/examples/measure/main.rs
@@ -1,6 +1,6 @@
 //! Measurements: `cargo run --release --locked --example measure -- NAME [--json]`.
 //!
-//! Each prints a table, every row beside a named baseline of the same run.
+//! Each prints a table in which results stand beside named baselines of the same run.
 //! Timings are given as ratios. Nothing here runs in CI.
 
 use std::process::ExitCode;
@@ -29,11 +29,9 @@
 
 use crate::table::Table;
 
-/// A measurement by name.
 struct Measurement {
     /// Name on the command line.
     name: &'static str,
-    /// Runs it.
     run: fn() -> Table,
 }
 
--- a/crates/kelpworks/examples/measure/net.rs
+++ b/crates/kelpworks/examples/measure/net.rs
@@ -1,8 +1,9 @@
-//! Daemons' state machines on a virtual clock: messages take time, links and daemons fail.
+//! Simulated network of daemons on a virtual clock, with message latency and with failures of links
+//! and daemons.
 //!
-//! Drives the same [`Node`] that the daemon drives, so what is measured or tested here are its
-//! decisions. Only what surrounds it is modelled: latencies, the object API, and the time to fetch
-//! and read a configuration.
+//! Drives the same [`Node`] state machine as the daemon, so that its decisions are what is measured
+//! or tested. Only its surroundings are modelled: latencies, the object API, and the time to fetch
+//! and check a configuration.
 
 #![allow(dead_code, reason = "measurements and tests use parts of it")]
 
@@ -28,36 +29,37 @@
 
 /// Interval of ticks, as in the daemon.
 const TICK_MS: u64 = 100;
-/// One-way latency between daemons of one region, and of two.
+/// One-way latency between daemons of the same region, and of different regions.
 const SAME_REGION_LATENCY_MS: u64 = 1;
 const CROSS_REGION_LATENCY_MS: u64 = 15;
-/// The object API's answer.
+/// Response time of the object API.
 const API_LATENCY_MS: u64 = 4;
-/// Checking and reading a register and rules.
+/// Time to parse and check a register and rules.
 const CONFIG_CHECK_MS: u64 = 10;
-/// Wait for a text from a peer before another is asked.
+/// Timeout of a fetch of configuration texts from a peer, after which the last peer that reported
+/// the generation is queried.
 const TEXT_TIMEOUT_MS: u64 = 2_000;
-/// Pause before a failed fetch is made again.
+/// Delay before a failed fetch from the object API is retried.
 const RETRY_MS: u64 = 500;
-/// Failure domains of a region.
+/// Failure domains of a region, where there are two regions.
 const DOMAINS_PER_REGION: usize = 2;
-/// JSON of a head, for the count of bytes.
+/// Approximate size of a configuration head as JSON, for the byte counts.
 const HEAD_BYTES: usize = 260;
 
-/// What a daemon holds of the configuration.
+/// State of the configuration on a daemon.
 #[derive(Clone, Copy, Debug, Default)]
 struct Configuration {
     active_generation: u64,
-    /// Being fetched; above `in_force`.
+    /// Fetch in progress, of a generation above `active_generation`.
     pending: Option<Fetch>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     generation: u64,
-    /// Who told of it; `None` for the object API.
+    /// Daemon to fetch from, which reported the generation; `None` for the object API.
     holder: Option<usize>,
-    /// Rises with each attempt, so that an old timeout is told from a new one.
+    /// Increases with each attempt, so that the timeout of an earlier attempt is ignored.
     attempt: u64,
 }
 
@@ -65,11 +67,11 @@
     node: Node,
     up: bool,
     config: Configuration,
-    /// Incarnation of the slot; events of an earlier run are void.
+    /// Start time, which identifies the run; ticks of an earlier run are ignored.
     run: u64,
 }
 
-/// Something that happens at a time.
+/// Event of the simulation.
 enum Event {
     Tick {
         at: usize,
@@ -119,37 +121,37 @@
     },
 }
 
-/// Messages and bytes between daemons, and calls of the object API.
+/// Counts of messages and bytes between daemons, and of object API reads.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
-    /// Calls that carry the configuration: pushes, pulls and texts.
+    /// Calls that carry the configuration: pushes, pulls and fetches of texts.
     pub(crate) config_calls: u64,
-    /// Heartbeats, passed on ones too.
+    /// Heartbeats; one that is relayed counts twice.
     pub(crate) heartbeats: u64,
-    /// Exchanges of whole states.
+    /// Exchanges of full states.
     pub(crate) syncs: u64,
-    /// Bytes of heartbeats, states and heads with their answers; each is sent once and received
-    /// once.
+    /// Bytes of heartbeats, states and heads with their replies. Each message counts once, although
+    /// it is both sent and received.
     pub(crate) bytes: u64,
     /// Reads of the object API for the head and the texts.
     pub(crate) api_reads: u64,
 }
 
-/// What differs between runs.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetConfig {
     pub(crate) daemons: usize,
-    /// 1 or 2; a region has [`DOMAINS`] failure domains, or 3 where there is but one.
+    /// 1 or 2. A single region has 3 failure domains, two have [`DOMAINS_PER_REGION`] each.
     pub(crate) regions: usize,
     pub(crate) node: Config,
-    /// Every daemon watches the object API, whatever the node says.
+    /// Whether every daemon watches the object API, even if its node is not a watcher.
     pub(crate) all_watch: bool,
-    /// Whether [`Counts::bytes`] is worked out, which takes most of the time.
+    /// Whether heartbeats and states count in [`Counts::bytes`], which takes most of the run time.
     pub(crate) count_bytes: bool,
     pub(crate) seed: u64,
 }
 
-/// The daemons and what lies between them.
+/// The simulated daemons and the network between them.
 pub(crate) struct Net {
     cfg: NetConfig,
     now_ms: u64,
@@ -158,18 +160,19 @@
     serial: u64,
     daemons: Vec<Daemon>,
     index: BTreeMap<NodeId, usize>,
-    /// Links that let nothing through, from one daemon to another.
+    /// Links that drop all messages, as (sender, receiver).
     cut: BTreeSet<(usize, usize)>,
     /// Generation of the head in the object API.
     head: u64,
-    /// Reads of a generation that the object API still answers before it is out.
+    /// Configuration reads that the object API still answers before its outage; `None` without an
+    /// outage.
     api_reads_left: Option<u64>,
     pub(crate) counts: Counts,
     rng: StdRng,
 }
 
 impl Net {
-    /// Daemons that all know of each other, each at a random phase of its ticks.
+    /// Creates daemons that all have the full member list, each with a random tick phase.
     pub(crate) fn new(cfg: NetConfig) -> Net {
         let mut net = Net {
             cfg,
@@ -200,7 +203,7 @@
             name: format!("entry-{at}"),
             failure_domain: format!("domain-{}", self.domain(at)),
             address: format!("10.0.{}.{}:7070", at / 200, at % 200 + 10),
-            // The digits of a time in milliseconds, for the count of bytes.
+            // As many digits as a real time in milliseconds, so that the byte counts are realistic.
             started: 1_790_000_000_000 + started,
         };
         let node = Node::new(self.cfg.node, contact, self.now());
@@ -229,7 +232,7 @@
         at % domains
     }
 
-    /// Region that a daemon stands in.
+    /// Region of a daemon.
     pub(crate) fn region(&self, at: usize) -> usize {
         if self.cfg.regions == 1 {
             0
@@ -252,12 +255,13 @@
         Instant::from_millis(self.now_ms)
     }
 
-    /// A daemon's state machine, while it is up.
+    /// State machine of a daemon, or `None` while it is down.
     pub(crate) fn node(&self, at: usize) -> Option<&Node> {
         self.daemons.get(at).filter(|d| d.up).map(|d| &d.node)
     }
 
-    /// Lets a daemon's state machine do something.
+    /// Calls a daemon's state machine and performs the resulting actions; does nothing while it is
+    /// down.
     pub(crate) fn act(&mut self, at: usize, call: impl FnOnce(&mut Node, Instant) -> Vec<Action>) {
         let now = self.now();
         if !self.daemons[at].up {
@@ -269,12 +273,12 @@
         }
     }
 
-    /// Ends a daemon without a word.
+    /// Stops a daemon without notice to its peers.
     pub(crate) fn crash(&mut self, at: usize) {
         self.daemons[at].up = false;
     }
 
-    /// Starts a daemon anew; it finds the others by the object API's list.
+    /// Starts a daemon with a new incarnation and the member list of the object API.
     pub(crate) fn restart(&mut self, at: usize) {
         let started = 1_000 + self.now_ms;
         self.add(at, started);
@@ -282,7 +286,7 @@
         self.act(at, |node, now| node.on_member_list(now, &contacts));
     }
 
-    /// Cuts a link one way, or lets it through again.
+    /// Cuts or restores a link in one direction.
     pub(crate) fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         match cut {
             true => self.cut.insert((from, to)),
@@ -290,7 +294,7 @@
         };
     }
 
-    /// Cuts a share of all links, both ways.
+    /// Cuts each link, in both directions, with probability `share`.
     pub(crate) fn cut_share(&mut self, share: f64) {
         for a in 0..self.daemons.len() {
             for b in 0..a {
@@ -302,14 +306,15 @@
         }
     }
 
-    /// Daemons that watch the object API now.
+    /// Indices of the daemons that watch the object API now.
     pub(crate) fn watchers(&self) -> Vec<usize> {
         let watches = |d: &Daemon| d.up && (self.cfg.all_watch || d.node.is_watcher());
         let all = self.daemons.iter().enumerate();
         all.filter(|(_, d)| watches(d)).map(|(at, _)| at).collect()
     }
 
-    /// Swaps the head; the object API is out after so many daemons have read it all.
+    /// Publishes a new generation. With `readers_before_outage`, the object API fails after that
+    /// many daemons have read the configuration.
     pub(crate) fn swap(&mut self, readers_before_outage: Option<u64>) {
         self.head += 1;
         self.api_reads_left = readers_before_outage;
@@ -319,19 +324,19 @@
         }
     }
 
-    /// Daemons that are up and have the newest head in force.
+    /// Number of daemons that are up and have activated the newest generation.
     pub(crate) fn daemons_up_to_date(&self) -> usize {
         let up = self.daemons.iter().filter(|d| d.up);
         up.filter(|d| d.config.active_generation == self.head)
             .count()
     }
 
-    /// Daemons that are up.
+    /// Number of daemons that are up.
     pub(crate) fn daemons_up(&self) -> usize {
         self.daemons.iter().filter(|d| d.up).count()
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `ms` of virtual time.
     pub(crate) fn run_for(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while let Some(&Reverse((at, _))) = self.queue.peek() {
@@ -343,7 +348,7 @@
         self.now_ms = end;
     }
 
-    /// Lets time pass until a condition holds, at most `ms`; tells whether it did.
+    /// Runs the simulation until a condition holds, at most for `ms`; returns whether it held.
     pub(crate) fn run_until(&mut self, ms: u64, holds: impl Fn(&Net) -> bool) -> bool {
         let end = self.now_ms + ms;
         while !holds(self) {
@@ -372,7 +377,7 @@
         self.events.insert(self.serial, event);
     }
 
-    /// Sends over a link, unless it is cut.
+    /// Schedules the delivery of a message over a link, unless the link is cut.
     fn send(&mut self, from: usize, to: usize, event: Event) {
         if !self.cut.contains(&(from, to)) {
             let same_region = self.region(from) == self.region(to);
@@ -531,7 +536,7 @@
         self.send(to, from, Event::Answer { to: from, message });
     }
 
-    /// Passes a heartbeat on; the answer comes back the same way.
+    /// Relays a heartbeat to the target; the reply returns by the same route.
     fn via(&mut self, from: usize, via: usize, target: usize, message: &PeerMessage) {
         if !self.daemons[target].up {
             return;
@@ -570,7 +575,8 @@
         }
     }
 
-    /// A head was seen; as the daemon's follower, only a higher generation is fetched.
+    /// Handles a head reported by a peer (`holder`) or by the object API. As in the daemon, only a
+    /// generation above the active one and the pending one is fetched.
     fn on_head_seen(&mut self, at: usize, generation: u64, holder: Option<usize>) {
         let config = self.daemons[at].config;
         if !self.daemons[at].up || generation <= config.active_generation {
@@ -578,7 +584,7 @@
         }
         match config.pending {
             Some(pending) if pending.generation > generation => {}
-            // Whoever told of it last is asked at the next attempt.
+            // The next attempt fetches from the last peer that reported this generation.
             Some(pending) if pending.generation == generation => {
                 let holder = holder.or(pending.holder);
                 self.daemons[at].config.pending = Some(Fetch { holder, ..pending });
--- a/crates/kelpworks/examples/measure/overload.rs
+++ b/crates/kelpworks/examples/measure/overload.rs
@@ -1,10 +1,10 @@
-//! `overload`: paying callers at 80% of capacity while trials ask for ten times capacity, through
-//! real daemons before stand-in engines.
+//! `overload`: paying callers at 80% of capacity while trials request ten times capacity, through
+//! real daemons in front of fake engines.
 //!
-//! Capacity is the rate of the slowest stage. Paying callers come at random moments, whatever
-//! became of those before. Trials come from a bounded number of callers, which keep away for the
-//! time that a refusal names. What trials may take is the lesser of their share by the rules and
-//! of what paying callers leave.
+//! Capacity is the rate of the slowest stage. Paying requests arrive at random times, independent
+//! of the outcome of earlier ones (open loop). Trial requests come from a fixed number of callers,
+//! which honour the `retry-after` of a refusal. The allowance of trials is the smaller of their
+//! share by the rules and the capacity that paying callers leave.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -38,25 +38,25 @@
 const STAGES: u32 = 3;
 const REPLICAS: u32 = 4;
 const DAEMONS: usize = 3;
-/// Layers of a position that an engine runs a second: 10 ms a position.
+/// Layers a second that an engine runs, each for one position: 10 ms a position.
 const LAYER_RATE: f64 = 400.0;
 const TOKENS: u32 = 16;
-/// Bytes of a prompt, each a position.
+/// Length of a prompt; each byte is a token and takes a position.
 const PROMPT_TOKENS: u32 = 6;
-/// Positions of a request: the last token is not run.
+/// Positions of a request; the last token of an answer is not run.
 const REQUEST_POSITIONS: f64 = (PROMPT_TOKENS + TOKENS - 1) as f64;
 const PAYING_LOAD: f64 = 0.8;
 const TRIAL_LOAD: f64 = 10.0;
 const TRIAL_CALLERS: u32 = 400;
 const TRIAL_SHARE: f64 = 0.2;
-/// All ways of one run take 100 s.
+/// All scenarios of one run take 100 s.
 const RUNS: u64 = 1;
 const WARM_UP: Duration = Duration::from_secs(8);
 const WINDOW: Duration = Duration::from_secs(20);
-/// Longest wait for the answers under way at the end.
+/// Time limit for the answers in progress at the end of the window.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// The defaults; with a token target of 1 s trials get their share, and the first token is later:
-/// see docs/design/overload.md.
+/// Settings in addition to the defaults: none. With a token target of 1 s, trials would get their
+/// share, but the first token would come later: see docs/design/overload.md.
 const SETTINGS: &str = "";
 const PAYING: ExampleTeam = ExampleTeam {
     name: "merchandisers",
@@ -71,14 +71,14 @@
     token: "overload-trial",
 };
 
-/// Who asks beside the paying callers, and how they are taken.
+/// Load beside that of the paying callers, and how it is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scenario {
-    /// Nobody.
+    /// Reference: paying callers only.
     NoTrials,
-    /// Trials, as trials.
+    /// Trials, admitted as trials.
     Trials,
-    /// Baseline: trials as if they were paying.
+    /// Baseline: trials, admitted as paying.
     OneClass,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// What one way gave.
+/// Results of one scenario.
 struct Run {
     paying: Tally,
     trial: Tally,
@@ -110,14 +110,14 @@
     rates: [f64; 2],
 }
 
-/// What became of the requests of one class that came in the window.
+/// Outcomes of the requests of one class that were sent in the window.
 #[derive(Clone, Debug, Default)]
 struct Tally {
     requests: u64,
     complete: u64,
-    /// Refused with the verdict that nothing ran.
+    /// Refused with the verdict that nothing ran and a `retry-after`.
     refused: u64,
-    /// Refused otherwise, cut off or wrong.
+    /// Refused otherwise, truncated or with a wrong answer.
     failed: u64,
     /// Seconds to the first token, and between tokens.
     first: Vec<f64>,
@@ -260,7 +260,7 @@
     })
 }
 
-/// Paying callers, at random moments until the end of the window.
+/// Sends paying requests at random times until the end of the window.
 async fn arrivals(load: Arc<CallerGroup>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let rate = PAYING_LOAD * capacity() / REQUEST_POSITIONS;
@@ -278,7 +278,7 @@
     while answers.join_next().await.is_some() {}
 }
 
-/// One of the trial callers: asks at its pace, and keeps away when it is told to.
+/// Sends the requests of one trial caller at its rate; waits for the `retry-after` of a refusal.
 async fn trial_caller(load: Arc<CallerGroup>, seed: u64, caller: u32) {
     let mut rng = StdRng::seed_from_u64(seed ^ (u64::from(caller) << 32));
     let pace = f64::from(TRIAL_CALLERS) * REQUEST_POSITIONS / (TRIAL_LOAD * capacity());
@@ -295,7 +295,7 @@
 }
 
 impl CallerGroup {
-    /// Asks once and returns for how long to keep away.
+    /// Sends one request, counts its outcome, and returns how long the caller has to wait.
     async fn send(&self, n: usize, prompt: String) -> Duration {
         let call = Call {
             base: self.bases[n % self.bases.len()].clone(),
@@ -306,7 +306,7 @@
         };
         let sent_at = Instant::now();
         let on_token = |_: &str, n: usize| {
-            // The first token takes a run of the whole prompt.
+            // The first token takes a run of all positions of the prompt.
             let positions = if n == 1 { u64::from(PROMPT_TOKENS) } else { 1 };
             self.positions.fetch_add(positions, Ordering::Relaxed);
             true
@@ -347,7 +347,7 @@
     }
 }
 
-/// Positions a second that the engines of a stage allow.
+/// Positions a second that the engines of one stage can run.
 fn capacity() -> f64 {
     f64::from(REPLICAS) * LAYER_RATE / f64::from(LAYERS / STAGES)
 }
--- a/crates/kelpworks/examples/measure/overload_policy.rs
+++ b/crates/kelpworks/examples/measure/overload_policy.rs
@@ -1,5 +1,5 @@
-//! `overload-policy`: paying callers at 80% of capacity while trials offer ten times capacity, by
-//! admission alone, before engines that serve paying steps first and before such that do not.
+//! `overload-policy`: simulates admission with paying callers at 80% of capacity and trials at ten
+//! times capacity, in front of engines that run paying steps first and engines that do not.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -22,32 +22,33 @@
 use kelpworks_wire::Class;
 
 const SEEDS: u64 = 5;
-/// Tokens that the pipeline runs at once; others wait there.
+/// Tokens that the pipeline runs concurrently; further ones wait in its queues.
 const PIPELINE_WIDTH: usize = 32;
 const TOKEN_TIME: Duration = Duration::from_millis(20);
 const PAYING_LOAD: f64 = 0.8;
 const TRIAL_LOAD: f64 = 10.0;
-/// Tokens of an answer, evenly from the first to the second.
+/// Range of the tokens of an answer, uniformly distributed.
 const TOKENS: (u32, u32) = (20, 80);
 const WARM_UP: Duration = Duration::from_secs(10);
 const ARRIVALS_END: Duration = Duration::from_secs(70);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Who starts, and when.
+/// An admission policy under measurement.
 trait Policy {
-    /// Whether the request may wait or start.
+    /// Offers a request; returns whether it was accepted, to start now or to wait.
     fn offer(&mut self, now: Duration, id: u64, class: Class, tokens: u32) -> bool;
     fn end(&mut self, now: Duration, id: u64);
-    /// The next request that starts, or goes on, now.
+    /// Returns the next request that starts or resumes now.
     fn next(&mut self, now: Duration) -> Option<u64>;
-    /// How long a request must hold before its next token, at most.
+    /// Maximum time for which a request has to pause before its next token; `None` if it may run.
     fn max_pause(&self, id: u64) -> Option<Duration>;
     fn observe(&mut self, now: Duration, class: Class, token: Duration);
-    /// Whether the request gives up, having waited this long.
+    /// Called when the maximum wait of a request ends; returns whether the request was still
+    /// waiting and is refused.
     fn expire(&mut self, now: Duration, id: u64) -> bool;
 }
 
-/// The daemon's admission.
+/// The daemon's admission queue.
 struct Admission {
     queue: Queue,
     ids: HashMap<Ticket, u64>,
@@ -119,7 +120,8 @@
     }
 }
 
-/// A fixed number of slots; paying requests first, or all in the order that they came.
+/// Baseline: a fixed number of slots, given to paying requests first (`classes`) or in order of
+/// arrival.
 struct Slots {
     classes: bool,
     paying: VecDeque<u64>,
@@ -187,18 +189,18 @@
 enum SimEvent {
     Arrival(Class),
     Token(u64, Duration),
-    /// A held request goes on, if it still holds at this token.
+    /// Ends the pause of a request, if it still pauses before the same token.
     Release(u64, u32),
     Timeout(u64),
     Poll,
 }
 
-/// How an engine treats the classes.
+/// How engines order the steps of the classes.
 #[derive(Clone, Copy, Debug)]
 enum Engine {
     /// Paying steps first.
     Priorities,
-    /// All alike.
+    /// In order of arrival.
     Alike,
 }
 
@@ -216,14 +218,15 @@
     policy: P,
     engine: Engine,
     trials: bool,
-    /// One a class, so that paying requests are the same with trials and without.
+    /// One for each class, so that paying requests are the same with and without trials.
     rngs: [StdRng; 2],
     event_queue: EventQueue<SimEvent>,
     requests: HashMap<u64, Request>,
     next_id: u64,
-    /// Tokens that the pipeline runs.
+    /// Number of tokens that run in the pipeline.
     running: usize,
-    /// Tokens that wait there, with the time since when. Without priorities only the first is used.
+    /// Tokens that wait for the pipeline, with the start of their wait: paying, then trial. Without
+    /// priorities only the first queue is used.
     queues: [VecDeque<(Duration, u64)>; 2],
     outcome: Outcome,
     max_wait: (Duration, Duration),
--- a/crates/kelpworks/examples/measure/path_policy.rs
+++ b/crates/kelpworks/examples/measure/path_policy.rs
@@ -1,4 +1,4 @@
-//! `path-policy`: tokens a second over the bound of the slowest stage, by choice of paths alone.
+//! `path-policy`: simulates routing policies; tokens a second over the rate of the slowest stage.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 const SEEDS: u64 = 5;
 const UPSTREAMS: usize = 40;
 const DAEMONS: usize = 7;
-/// Tokens of a session, evenly from the first to the second.
+/// Range of the tokens of a session, uniformly distributed.
 const TOKENS: (u32, u32) = (20, 200);
 const WARM_UP: Duration = Duration::from_secs(2);
 const RUN_END: Duration = Duration::from_secs(12);
@@ -39,17 +39,17 @@
 /// How a session's path is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PathPolicy {
-    /// As the daemon does.
+    /// Shortest path over sampled upstreams, as in the daemon.
     Shortest,
-    /// For each stage, the holder with the least load as reported and sent since.
+    /// For each stage, the upstream with the least load: the last report plus steps sent since.
     LeastLoaded,
-    /// For each stage, the holder with the fewest sessions of the daemon.
+    /// For each stage, the upstream with the fewest of this daemon's sessions.
     FewestSessions,
-    /// For each stage, the holders in turn.
+    /// For each stage, its upstreams in turn.
     RoundRobin,
 }
 
-/// A session; another takes its place when it ends.
+/// A slot for sessions: a new session starts when one ends.
 struct Session {
     daemon: usize,
     hops: Vec<Hop>,
@@ -57,7 +57,7 @@
     /// Index of the hop that runs next.
     at: usize,
     tokens_left: u32,
-    /// When the step under way was sent, and the token begun.
+    /// When the step in progress was sent, and when its token was started.
     sent_at: Duration,
     token_started: Duration,
 }
@@ -65,9 +65,9 @@
 struct Simulation {
     policy: PathPolicy,
     rng: StdRng,
-    /// The view of each daemon; keys are the same in all.
+    /// Fleet view of each daemon; the upstream keys are the same in all.
     daemons: Vec<Fleet>,
-    /// When each upstream has run what it has; by the key's place in `keys`.
+    /// When each upstream will have run all steps it has received; same order as `keys`.
     idle_at: Vec<Duration>,
     keys: Vec<UpstreamKey>,
     sessions: Vec<Session>,
@@ -80,7 +80,7 @@
 enum SimEvent {
     /// A step reaches its upstream.
     Step(usize),
-    /// Its reply reaches the daemon.
+    /// The reply to a step reaches the daemon.
     Reply(usize),
 }
 
@@ -140,7 +140,7 @@
         self
     }
 
-    /// A new session in place of one that ended.
+    /// Starts a new session in a slot.
     fn begin(&mut self, id: usize, now: Duration) {
         let daemon = self.sessions[id].daemon;
         self.sessions[id].path_guard = None;
@@ -164,7 +164,7 @@
         counters.sent_since_report.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Runs a step in the order of arrival and returns when its reply arrives.
+    /// Queues a step on its upstream in order of arrival and returns when its reply arrives.
     fn step(&mut self, id: usize, now: Duration) -> Duration {
         let session = &self.sessions[id];
         let hop = &session.hops[session.at];
@@ -177,7 +177,8 @@
         end
     }
 
-    /// Takes a reply, with the load that rides on it; returns the latency of the next step.
+    /// Handles a reply and the load report in it, and sends the next step; returns the link latency
+    /// to the upstream of that step.
     fn reply(&mut self, id: usize, now: Duration) -> Duration {
         let session = &mut self.sessions[id];
         let daemon = session.daemon;
@@ -256,7 +257,7 @@
         self.next_holder += 1;
         let rng = &mut self.rng;
         let mut least = |load: fn(&Upstream) -> u32| {
-            // Ties are broken at random, or all would take the first.
+            // Ties are broken at random; otherwise all sessions would take the first upstream.
             let loads = holders.iter().map(|&key| {
                 let order = (load(&fleet.upstreams[key]), rng.random::<u32>());
                 (order, key)
@@ -301,7 +302,7 @@
         .iter()
         .map(|w| f64::from(w.tokens) / seconds / w.bound());
     let rates = format_min_median_max(rates.collect());
-    // With all queues even, a token takes this long by Little's law.
+    // By Little's law, the time of a token when the load is even on all upstreams.
     let even_load_time: Vec<f64> = runs.iter().map(|w| sessions as f64 / w.bound()).collect();
     let times = runs.iter_mut().zip(even_load_time);
     let times =
--- a/crates/kelpworks/examples/measure/placement.rs
+++ b/crates/kelpworks/examples/measure/placement.rs
@@ -1,11 +1,12 @@
-//! Placement on mixed fleets: rate over the hardware bound, survival, times and moves.
+//! `placement`: plans for mixed fleets; rate over the hardware bound, survived losses, times and
+//! moves.
 //!
-//! All figures are of the plans themselves, no engine runs. Survival is checked by taking away
-//! each host and each failure domain in turn. The least number of moves after a loss is a lower
+//! All figures are computed from the plans; no engine runs. Survival is checked by removing each
+//! host and each failure domain in turn. The least number of moves after a loss is a lower
 //! bound: a stage left in fewer than two failure domains needs one host for each that it lacks,
 //! and a host holds one stage, so no host helps two. Losses after which some stage still lacks a
-//! second domain are counted apart and left out of the moves. The link latency counts the links
-//! from stage to stage only; that of the greedy baseline has other cuts.
+//! second domain are counted separately and left out of the moves. The link latency covers only the
+//! links between stages; the greedy baseline splits the layers into other stages than the plan.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,13 +25,12 @@
 use kelpworks::placement::ModelPlan;
 use kelpworks::placement::Plan;
 
-/// Seeds of each row.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=7;
-/// Longest time for a plan.
+/// Time limit for a plan.
 const PLAN_LIMIT: Duration = Duration::from_secs(2);
-/// Longest time for a repair.
+/// Time limit for a repair.
 const REPAIR_LIMIT: Duration = Duration::from_millis(100);
-/// Failure domains that a stage should stand in.
+/// Failure domains over which the hosts of a stage should be spread.
 const MIN_STAGE_DOMAINS: usize = 2;
 
 /// Runs the measurement.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Losses survived, of those tried.
+/// Number of losses that a plan survives, of those tried.
 #[derive(Default)]
 struct Survived {
     survived: usize,
@@ -85,14 +85,14 @@
     }
 }
 
-/// Moves done and the least possible.
+/// Host moves after losses, and the lower bound for them.
 #[derive(Default)]
 struct Moves {
     done: usize,
     least: usize,
 }
 
-/// What the seeds of one fleet gave.
+/// Results over all seeds of one fleet shape.
 #[derive(Default)]
 struct Samples {
     planned: Vec<f64>,
@@ -147,7 +147,7 @@
     ]
 }
 
-/// `min/median/max`.
+/// Formats the values as `min/median/max`.
 fn format_min_median_max(values: &mut [f64]) -> String {
     values.sort_by(f64::total_cmp);
     let at = |i: usize| values.get(i).copied().unwrap_or(f64::NAN);
@@ -201,7 +201,7 @@
     plan.models.iter().map(of_model).sum()
 }
 
-/// Every host and every failure domain.
+/// The loss of each host and of each failure domain.
 fn losses(input: &Input) -> Vec<FailureScope> {
     let domains =
         (0..input.domains.len()).map(|d| FailureScope::FailureDomain(DomainKey(d as u16)));
@@ -244,8 +244,8 @@
     }
 }
 
-/// Whether no placement at all can stand: some failure domain holds so much of the fleet that the
-/// others together can't hold every model, while a host holds one model.
+/// Whether no placement can survive the loss of any failure domain: for some domain, the hosts of
+/// the others together can't load every model. A host loads one model only.
 fn is_impossible(left: &Input) -> bool {
     let models = || (0..left.models.len()).map(|m| ModelKey(m as u16));
     let share = |h: HostKey, m: ModelKey| {
@@ -262,7 +262,8 @@
     })
 }
 
-/// Hosts that stages lack for standing in two failure domains, or in as many as are left.
+/// Lower bound for the moves: hosts that the stages lack to be in [`MIN_STAGE_DOMAINS`] failure
+/// domains, or in all live ones if there are fewer.
 fn least_moves(left: &Input, plan: &Plan) -> usize {
     let required_domains = live_domains(left, left.host_keys()).min(MIN_STAGE_DOMAINS);
     let stages = plan.models.iter().flat_map(|m| &m.stages);
@@ -271,14 +272,14 @@
     lacks.sum()
 }
 
-/// Failure domains of those hosts that are live.
+/// Number of failure domains of the live ones among the hosts.
 fn live_domains(left: &Input, hosts: impl Iterator<Item = HostKey>) -> usize {
     let live = hosts.filter(|&h| left.host(h).live);
     let domains: BTreeSet<u16> = live.map(|h| left.host(h).domain.0).collect();
     domains.len()
 }
 
-/// Times a new version of the first model, and the orders to it.
+/// Measures the time to plan for a new version of the first model, and to derive the orders.
 fn measure_new_version(samples: &mut Samples, mut input: Input) {
     input.models[0].version = "v2".into();
     let next = timed(&mut samples.replan, || placement::plan(&input));
--- a/crates/kelpworks/examples/measure/placement_baselines.rs
+++ b/crates/kelpworks/examples/measure/placement_baselines.rs
@@ -1,4 +1,4 @@
-//! Baselines for placement: what one would do without a planner.
+//! Baselines for placement: simple assignments of hosts to stages of equal length.
 
 use kelpworks::fleet::ModelKey;
 use kelpworks::placement;
@@ -13,19 +13,19 @@
     hosts: Vec<HostKey>,
 }
 
-/// A placement without regard to failure domains.
+/// A placement that ignores failure domains.
 pub(crate) struct Baseline {
     stages: Vec<Stage>,
 }
 
 impl Baseline {
-    /// As `Plan::scale`.
+    /// The same measure as `Plan::scale`.
     pub(crate) fn scale(&self, input: &Input) -> f64 {
         let scales = self.stages.iter().map(|s| scale(input, s, s.rate));
         scales.fold(f64::INFINITY, f64::min)
     }
 
-    /// As `Plan::survives_loss_of`.
+    /// The same check as `Plan::survives_loss_of`.
     pub(crate) fn survives_loss_of(&self, lost: impl Fn(HostKey) -> bool) -> bool {
         self.stages
             .iter()
@@ -53,7 +53,8 @@
     rate / (f64::from(stage.length) * input.model(stage.model).demand)
 }
 
-/// Stages of equal length that every host can hold, no hosts on them yet.
+/// Splits each model into stages of equal length that every host allowed to load it has memory for;
+/// no hosts are assigned yet.
 fn equal_stages(input: &Input) -> Baseline {
     let mut stages = Vec::new();
     for m in 0..input.models.len() {
@@ -75,7 +76,7 @@
     Baseline { stages }
 }
 
-/// Equal layers: hosts dealt to the stages in turn, in the register's order.
+/// Assigns the hosts, in the register's order, to the stages in turn.
 pub(crate) fn equal_layers(input: &Input) -> Baseline {
     let mut base = equal_stages(input);
     let mut next = 0;
@@ -91,7 +92,8 @@
     base
 }
 
-/// Greedy: the same stages, each host, fastest first, to the slowest of them.
+/// Assigns the hosts, fastest first, each to the slowest stage that it fits; same stages as
+/// [`equal_layers`].
 pub(crate) fn greedy(input: &Input) -> Baseline {
     let mut base = equal_stages(input);
     let mut hosts: Vec<HostKey> = input.host_keys().collect();
--- a/crates/kelpworks/examples/measure/recovery.rs
+++ b/crates/kelpworks/examples/measure/recovery.rs
@@ -1,7 +1,7 @@
-//! `recovery`: the gap that a caller sees when a stage fails in the middle of an answer.
+//! `recovery`: the gap between tokens that a caller sees when a stage fails during an answer.
 //!
-//! Each row is one way to fail, with the greatest gap between two tokens after it, as a multiple
-//! of the usual time of a token in the same run.
+//! Each row is one kind of failure and one method of recovery, with the largest gap between two
+//! tokens after the failure as a multiple of the median token time before it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,10 +29,10 @@
 const STAGES: u32 = 3;
 const REPLICAS: u32 = 3;
 const TOKENS: u32 = 60;
-/// The failure comes after this token.
+/// Number of tokens after which the failure is injected.
 const FAIL_AFTER_TOKEN: usize = 20;
 const RUNS: u64 = 5;
-/// Time of an engine's iteration, and layers of a position that it runs a second.
+/// Base time of an engine's iteration, and layers a second that it runs, each for one position.
 const ITERATION: Duration = Duration::from_millis(4);
 const LAYER_RATE: f64 = 40_000.0;
 const TEAM: ExampleTeam = ExampleTeam {
@@ -47,15 +47,15 @@
 /// How a stage fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
-    /// Nothing fails.
+    /// Reference: nothing fails.
     None,
-    /// The engine's process ends: connections close, new ones are refused.
+    /// The engine's process crashes: connections close and new ones are refused.
     Reset,
-    /// The engine's host goes silent on all connections.
+    /// The engine's host stalls on all connections, new ones included.
     Silence,
-    /// Only the open connections go silent.
+    /// Only the open connections stall; new ones work.
     SilentConnections,
-    /// All engines of the stage's failure domain end.
+    /// All engines of the victim's failure domain crash.
     Domain,
     /// The host list shows the host as leaving.
     Leave,
@@ -105,14 +105,14 @@
     }
 }
 
-/// How the caller gets on.
+/// How the answer is completed after the failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecoveryMethod {
-    /// The daemon recovers.
+    /// The daemon recovers the session.
     Recover,
-    /// The daemon recovers, with a fixed timeout of 1 s.
+    /// Baseline: the daemon recovers the session, with a fixed step timeout of 1 s.
     FixedTimeout,
-    /// The caller knows of the failure at once and sends the whole request again.
+    /// Baseline: the caller detects the failure at once and sends the whole request again.
     Resubmit,
 }
 
@@ -166,7 +166,7 @@
     row
 }
 
-/// One run; the greatest gap over the usual time of a token.
+/// Runs one failure and returns the largest gap over the median token time.
 async fn measure_once(
     failure: Failure,
     method: RecoveryMethod,
@@ -190,7 +190,7 @@
     let daemons = support::start_daemons(&fakes, 1, timing, metrics).await?;
     let call = call(&daemons[0], seed);
     let client = reqwest::Client::new();
-    // Warm up: connections are open and step times observed.
+    // Warm-up: opens connections and lets the daemon observe step times.
     call.stream(&client, |_, _| true).await?;
     let result = match method {
         RecoveryMethod::Resubmit => measure_resubmission(&call, &client, &fakes, failure).await,
@@ -212,7 +212,7 @@
     }
 }
 
-/// The engine that runs the middle stage of a session.
+/// Returns the engine that runs the second stage of a session.
 fn victim<'a>(fakes: &'a FakeFleet, session: &str) -> Option<&'a Engine> {
     let middle = |e: &&Engine| {
         let runs = e.ledger().runs_of(session);
@@ -246,7 +246,8 @@
     Ok(after.iter().copied().fold(0.0, f64::max) / typical)
 }
 
-/// The time from the failure until the token after it has come by a new request.
+/// Time from the failure until a new request has delivered the token after it, over the median
+/// token time.
 async fn measure_resubmission(
     call: &Call,
     client: &reqwest::Client,
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -1,4 +1,4 @@
-//! What trials get of the whole fleet, while each daemon limits its own part.
+//! `share`: trial throughput of the fleet while each daemon enforces its own part of the limit.
 
 use std::time::Duration;
 
@@ -22,47 +22,49 @@
 
 const SEEDS: std::ops::Range<u64> = 1..8;
 const DAEMONS: usize = 7;
-/// What the rule lets trials take of the fleet, in positions a second.
+/// Limit for trials over the whole fleet, in positions a second.
 const TRIAL_RATE: f64 = 20_000.0;
-/// What trials ask for altogether, over the rule.
+/// Total load that trials offer, over the limit.
 const OFFERED_LOAD: f64 = 1.5;
-/// Positions of a request, at least and at most.
+/// Range of the positions of a request.
 const COST_RANGE: std::ops::Range<u32> = 50..150;
 /// Service time of a request.
 const SERVICE_TIME: Duration = Duration::from_secs(2);
-/// Requests arrive and rates are looked at in steps of this.
+/// Step of the simulation, in which requests arrive, start and end.
 const STEP_MS: u64 = 10;
-/// Time until the balancer sends a dead daemon's callers elsewhere.
+/// Time until the load balancer redirects the callers of a crashed daemon.
 const BALANCER_DELAY_MS: u64 = 2_000;
-/// Phases: to settle, steady, and after a death.
+/// Phases of a run: warm-up, steady state, and after the crash of a daemon.
 const WARM_UP_S: u64 = 30;
 const STEADY_S: u64 = 60;
 const DEATH_S: u64 = 60;
-/// Window for the worst case.
+/// Window over which the smallest and largest mean rates are taken.
 const WINDOW_S: usize = 10;
 
-/// How a daemon works out its part.
+/// How a daemon computes its part of the limit.
 #[derive(Clone, Copy, PartialEq)]
 enum SplitPolicy {
+    /// In proportion to the demand that the daemons report to each other, with a minimum weight.
     ByDemand,
+    /// Baseline: the same part for each daemon.
     Equal,
 }
 
-/// One daemon's callers and admission.
+/// Callers and admission queue of one daemon.
 struct Gate {
     queue: Queue,
     demand: Demand,
     offered: u64,
     offered_before: u64,
-    /// Part of all callers.
+    /// Share of all callers that use this daemon.
     skew: f64,
-    /// Positions of callers that are not a whole request yet.
+    /// Offered positions that do not make a request yet; negative after a larger request.
     pending: f64,
     running: Vec<(Duration, Ticket)>,
     costs: Vec<(Ticket, u32)>,
 }
 
-/// A run: positions started in each second, over the rule.
+/// Positions started in each second of a run, over the limit.
 struct Run {
     seconds: Vec<f64>,
 }
@@ -73,7 +75,7 @@
         part.iter().sum::<f64>() / part.len() as f64
     }
 
-    /// Least mean over a window.
+    /// Smallest mean over a window of [`WINDOW_S`].
     fn worst(&self, from: u64, to: u64) -> f64 {
         let part = &self.seconds[from as usize..to as usize];
         let means = part
@@ -82,7 +84,7 @@
         means.fold(f64::INFINITY, f64::min)
     }
 
-    /// Greatest mean over a window.
+    /// Largest mean over a window of [`WINDOW_S`].
     fn greatest(&self, from: u64, to: u64) -> f64 {
         let part = &self.seconds[from as usize..to as usize];
         let means = part
@@ -172,13 +174,14 @@
     Run { seconds }
 }
 
-/// Parts of callers from 1 to 5 over the daemons, adding up to 1.
+/// Share of the callers that use a daemon: weights rise from 1 to 5 over the daemons, and the
+/// shares add up to 1.
 fn skew(at: usize) -> f64 {
     let weight = |at: usize| 1.0 + 4.0 * at as f64 / (DAEMONS - 1) as f64;
     weight(at) / (0..DAEMONS).map(weight).sum::<f64>()
 }
 
-/// Lets callers come for one step; returns the positions that started.
+/// Simulates one step of arrivals and admission; returns the positions that started.
 fn step(gates: &mut [Gate], net: &Net, moved: bool, rng: &mut StdRng) -> u64 {
     let now = Duration::from_millis(net.now_ms());
     let up = |at: usize| net.node(at).is_some();
@@ -191,7 +194,7 @@
         if !up(at) {
             continue;
         }
-        // Callers of a dead daemon get no answer until the balancer sends them elsewhere.
+        // Callers of a crashed daemon get no answer until the balancer redirects them.
         let skew = if moved {
             gate.skew / (1.0 - lost)
         } else {
@@ -206,7 +209,7 @@
 impl Gate {
     fn new(skew: f64, seed: u64) -> Gate {
         let cfg = admission::Config {
-            // Only the trial rate is to bound them here.
+            // High enough that only the trial rate limits the requests.
             initial_limit: 100_000,
             max_limit: 100_000,
             seed: Some(seed),
@@ -224,7 +227,7 @@
         }
     }
 
-    /// What the daemon does once a second.
+    /// Updates the demand and the trial rate, as the daemon does once a second.
     fn set_rate(&mut self, policy: SplitPolicy, net: &mut Net, at: usize) {
         let own = self.demand.observe(self.offered - self.offered_before);
         self.offered_before = self.offered;
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Starts what may start and ends what is done; returns the positions that started.
+    /// Starts admitted requests and finishes completed ones; returns the positions that started.
     fn serve(&mut self, now: Duration) -> u64 {
         let mut started = 0;
         self.queue.poll(now);
--- a/crates/kelpworks/examples/measure/sim.rs
+++ b/crates/kelpworks/examples/measure/sim.rs
@@ -1,4 +1,4 @@
-//! Virtual time and statistics for measurements of policies.
+//! Discrete-event queue and statistics for the measurements that simulate policies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::RngExt;
 
-/// Events in the order of their virtual time; those of one moment in the order they were put in.
+/// Event queue ordered by virtual time; events of the same time come out in insertion order.
 pub(crate) struct EventQueue<E> {
     events: BTreeMap<(Duration, u64), E>,
     next_sequence: u64,
@@ -31,13 +31,13 @@
     }
 }
 
-/// A time drawn from the exponential distribution of this mean.
+/// Draws a duration from the exponential distribution with the given mean.
 pub(crate) fn exponential<R: Rng>(mean: Duration, rng: &mut R) -> Duration {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     mean.mul_f64(-uniform.ln())
 }
 
-/// The value that this part of the values, 0 to 1, does not exceed; 0 without values.
+/// Sorts the values and returns their `q` quantile (0 to 1), or 0 if there are none.
 pub(crate) fn quantile(values: &mut [f64], q: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1) as f64;
@@ -52,7 +52,7 @@
     sum * sum / (values.len() as f64 * squares)
 }
 
-/// Least, median and greatest of the values of several seeds.
+/// Formats minimum, median and maximum of the values of several seeds.
 pub(crate) fn format_min_median_max(mut values: Vec<f64>) -> String {
     let median = quantile(&mut values, 0.5);
     let (min, max) = (values[0], values[values.len() - 1]);
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -1,4 +1,4 @@
-//! Time and messages until a generation is in force on every daemon.
+//! `spread`: time and messages until every daemon has activated a new configuration generation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,20 +28,20 @@
 use kelpworks_fakes::Model;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
-/// Time for daemons to get to know each other.
+/// Time for daemons to discover each other.
 const WARM_UP_MS: u64 = 5_000;
-/// Longest wait for a generation.
+/// Time limit for a generation to be active on all daemons.
 const TIMEOUT_MS: u64 = 60_000;
-/// Generations on real daemons.
+/// Generations published to real daemons.
 const REAL_SWAPS: u64 = 7;
 const REAL_DAEMONS: usize = 7;
 
-/// What goes wrong around the swap.
+/// Failures around the publication of a generation.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     watcher_dies: bool,
-    /// Daemons that read the new configuration before the object API is out.
+    /// Daemons that read the new configuration before the object API fails; `None` if it does not.
     readers: Option<u64>,
     links_cut: f64,
 }
@@ -78,19 +78,22 @@
     },
 ];
 
-/// Ways to spread a generation.
+/// How daemons propagate a generation.
 #[derive(Clone, Copy)]
 enum Propagation {
+    /// As in the daemon: pushes to peers chosen by hash and to ring successors.
     Push,
-    /// Push to peers drawn by hash alone.
+    /// Baseline: pushes to peers chosen by hash, without ring successors.
     PushOnly,
+    /// Baseline: no pushes; peers see the generation in heartbeats.
     HeartbeatsOnly,
+    /// Baseline: every daemon watches the object API.
     AllWatch,
 }
 
-/// What one run showed.
+/// Results of one run.
 struct Run {
-    /// `None` when it was not in force everywhere within the bound.
+    /// `None` if some daemon had not activated the generation within [`TIMEOUT_MS`].
     ms: Option<f64>,
     calls: f64,
     reads: f64,
@@ -129,7 +132,7 @@
 }
 
 fn row(daemons: usize, case: &Case) -> Vec<String> {
-    // Seeds side by side: each run has its own clock.
+    // The seeds can run in parallel, as each run has its own virtual clock.
     let runs = |propagation| {
         std::thread::scope(|scope| {
             let started: Vec<_> = SEEDS
@@ -158,7 +161,7 @@
     ]
 }
 
-/// Least, middle and greatest; `-` for what did not end.
+/// Formats minimum, median and maximum, with `-` for runs that timed out.
 fn show(values: impl Iterator<Item = f64>, decimals: usize) -> String {
     let values: Vec<f64> = values.collect();
     min_median_max(&values, decimals)
@@ -194,7 +197,7 @@
         net.daemons_up_to_date() == net.daemons_up()
     });
     let ms = (net.now_ms() - start) as f64;
-    // What is still on its way counts too.
+    // Calls still in flight count too.
     net.run_for(1_000);
     Run {
         ms: done.then_some(ms),
@@ -210,7 +213,8 @@
     token: "measure",
 }];
 
-/// Real daemons over loopback; with an outage, the object API is out once one daemon is there.
+/// Measures real daemons over loopback; with an outage, the object API fails once one daemon has
+/// activated the generation.
 fn measure_daemons(outage: Option<()>) -> Vec<String> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let times = runtime.block_on(async {
@@ -249,7 +253,7 @@
     row
 }
 
-/// Swaps the head to another generation of the same texts.
+/// Publishes a new generation whose rules differ by a trailing comment only.
 fn swap(fakes: &FakeFleet, generation: u64) {
     let object = fakes.object_api.get(HEAD_KIND, HEAD_NAME).expect("a head");
     let mut head = parse(&object.body).expect("a head");
--- a/crates/kelpworks/examples/measure/stats.rs
+++ b/crates/kelpworks/examples/measure/stats.rs
@@ -1,4 +1,4 @@
-//! Small statistics for the tables.
+//! Statistics for the tables of results.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
         .collect()
 }
 
-/// The value below which `q` (0 to 1) of the values lie; NaN without values.
+/// Returns the `q` quantile (0 to 1) of the values, or NaN if there are none.
 pub(crate) fn quantile(values: &[f64], q: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -20,12 +20,12 @@
         .unwrap_or(f64::NAN)
 }
 
-/// The middle value; NaN without values.
+/// Returns the median of the values, or NaN if there are none.
 pub(crate) fn median(values: &[f64]) -> f64 {
     quantile(values, 0.5)
 }
 
-/// Least, middle and greatest value as text with so many decimals.
+/// Formats minimum, median and maximum with the given number of decimals.
 pub(crate) fn min_median_max(values: &[f64], decimals: usize) -> [String; 3] {
     [0.0, 0.5, 1.0].map(|q| format!("{:.decimals$}", quantile(values, q)))
 }
--- a/crates/kelpworks/examples/measure/table.rs
+++ b/crates/kelpworks/examples/measure/table.rs
@@ -1,17 +1,16 @@
-//! Tables of results, for people and as JSON.
+//! Tables of results, printed as aligned columns or as JSON.
 
-/// A table of results.
 pub(crate) struct Table {
-    /// What was measured, with the command's bounds and seeds.
+    /// What was measured, with its parameters and seeds.
     pub(crate) title: String,
-    /// Heads of the columns.
+    /// Column titles.
     pub(crate) head: Vec<&'static str>,
-    /// Rows, each as long as the head.
+    /// Rows, each with one cell per column title.
     pub(crate) rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Prints the table in columns.
+    /// Prints the table with padded columns.
     pub(crate) fn print(&self) {
         let width = |i: usize| {
             let cells = self.rows.iter().map(|r| r[i].len());
--- a/crates/kelpworks/examples/measure/throughput.rs
+++ b/crates/kelpworks/examples/measure/throughput.rs
@@ -1,4 +1,4 @@
-//! `throughput`: positions (of prompt and answer) a second over the bound that the stand-in fleet allows.
+//! `throughput`: positions (of prompt and answer) a second over the hardware bound of a fake fleet.
 //!
 //! The bound is the rate of the slowest stage: the sum of its engines' layer rates over its
 //! layers. Engines are of mixed speeds. Enough sessions run at once to keep every engine busy;
@@ -38,13 +38,13 @@
     weight: 1,
     token: "t",
 };
-/// Layer rates of the kinds of accelerators, in layers of a position a second.
+/// Kinds of accelerators with their layer rates: layers a second, each for one position.
 const ACCELERATOR_KINDS: [(&str, f64); 3] =
     [("large", 1_000.0), ("middle", 500.0), ("small", 250.0)];
-/// Long batches overnight: throughput goes before the time between tokens.
+/// Settings for overnight batch jobs, which favour throughput over the time between tokens.
 const SETTINGS: &str = "\n[limits]\ntoken_target = \"400 ms\"\n";
 
-/// A deployment's model and shape.
+/// Model and fleet shape of a deployment.
 struct Deployment {
     name: &'static str,
     model: &'static str,
@@ -132,7 +132,7 @@
     positions_per_second: f64,
     bound: f64,
     wrong: u64,
-    /// Part of the window that each engine was busy.
+    /// Fraction of the window for which each engine was busy.
     busy: Vec<f64>,
 }
 
@@ -199,12 +199,12 @@
     })
 }
 
-/// Layers times positions that an engine has run.
+/// Number of layers that an engine has run, summed over positions.
 fn work(engine: &Engine) -> u64 {
     engine.ledger().totals().layer_positions
 }
 
-/// Asks again and again.
+/// Sends requests one after another and counts positions and wrong answers.
 async fn caller(call: Call, client: reqwest::Client, model: Model, tally: Arc<Tally>) {
     for turn in 0.. {
         let call = Call {
@@ -213,7 +213,7 @@
         };
         let answer = call
             .stream(&client, |_, n| {
-                // The first token takes a run of the whole prompt.
+                // The first token takes a run of all positions of the prompt.
                 let positions = if n == 1 { call.prompt.len() as u64 } else { 1 };
                 tally.positions.fetch_add(positions, Ordering::Relaxed);
                 true
@@ -249,7 +249,7 @@
     fleet
 }
 
-/// Positions a second that the slowest stage allows.
+/// Positions a second that the slowest stage can run.
 fn bound(fleet: &FleetConfig) -> f64 {
     let stage_rate = |stage: u32| {
         let first = stage * LAYERS / STAGES;
--- a/crates/kelpworks/examples/support/client.rs
+++ b/crates/kelpworks/examples/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller: streams answers and notes when each token came.
+//! A caller that streams answers and records the arrival time of each token.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,22 +14,22 @@
 pub(crate) struct Streamed {
     /// Text of the tokens.
     pub(crate) text: String,
-    /// When each token came.
+    /// Arrival time of each token.
     pub(crate) token_times: Vec<Instant>,
-    /// Whether the stream ended as it should.
+    /// Whether the stream ended with the `[DONE]` event.
     pub(crate) complete: bool,
 }
 
-/// An answer that is not a success.
+/// A response with a status other than 2xx.
 #[derive(Clone, Debug)]
 #[derive(Error)]
 #[error("{status}: {body}")]
 pub(crate) struct Refused {
     pub(crate) status: u16,
     pub(crate) body: String,
-    /// Whether the daemon says that nothing of the request ran.
+    /// Whether the verdict header says that no part of the request ran.
     pub(crate) not_run: bool,
-    /// When to come back.
+    /// Value of the `retry-after` header, if any.
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl Call {
-    /// Sends the request; `on_token` is called with the session id and the count of tokens after
-    /// each token, and ends the reading early by returning false.
+    /// Sends the request and reads the stream. Calls `on_token` after each token with the session
+    /// id and the number of tokens so far; stops reading when it returns false.
     pub(crate) async fn stream(
         &self,
         client: &reqwest::Client,
--- a/crates/kelpworks/examples/support/mod.rs
+++ b/crates/kelpworks/examples/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons in one process, for the examples.
+//! Starts fakes and daemons in one process; shared by the examples and the integration tests.
 
 #![allow(dead_code, reason = "each example uses a part")]
 
@@ -30,15 +30,14 @@
 
 pub(crate) mod client;
 
-/// The result of the examples.
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Any free loopback port.
+/// Loopback address at which the system picks a free port.
 const FREE_PORT: &str = "127.0.0.1:0";
-/// Longest wait for daemons to serve.
+/// Time limit for all daemons to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A team with its token, for an example only.
+/// A team and its token in plain text, which the rules hold as a digest only.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExampleTeam {
     pub(crate) name: &'static str,
@@ -47,11 +46,11 @@
     pub(crate) token: &'static str,
 }
 
-/// Puts a register and rules in force on the object API stand-in, as generation 1.
+/// Stores a register and rules in the fake object API and publishes them as generation 1.
 ///
 /// # Errors
 ///
-/// When the pair is not valid; daemons would never take it.
+/// When the register or the rules are invalid; daemons would reject them.
 pub(crate) fn put_config(
     fakes: &FakeFleet,
     models: &[Model],
@@ -106,7 +105,7 @@
     Ok(())
 }
 
-/// Settings of the `n`th daemon beside the stand-ins.
+/// Settings of the `n`th daemon, with the addresses of the fakes.
 pub(crate) fn settings(fakes: &FakeFleet, n: usize, timing: &str) -> Result<Settings> {
     let name = format!("daemon-{n}");
     let addresses = DaemonAddresses {
@@ -120,7 +119,7 @@
     Ok(Settings::parse("settings", &text)?)
 }
 
-/// Starts daemons beside the stand-ins and waits until each is ready.
+/// Starts daemons that use the fakes and waits until each is ready.
 pub(crate) async fn start_daemons(
     fakes: &FakeFleet,
     count: usize,
@@ -152,7 +151,7 @@
     }
 }
 
-/// A pipeline of stand-in engines over one model.
+/// Starts fake engines for one model: `replicas` engines for each of `stages` layer ranges.
 pub(crate) async fn spawn_pipeline(model: &Model, stages: u32, replicas: u32) -> Result<FakeFleet> {
     Ok(FakeFleet::spawn(FleetConfig::pipeline(model, stages, replicas)).await?)
 }
