--- a/crates/kelpworks/examples/demo.rs
+++ b/crates/kelpworks/examples/demo.rs
@@ -1,8 +1,9 @@
-//! The embedded default: stand-ins and three daemons in one process.
+//! A demo that runs three daemons and the fakes of all outside systems in one process.
 //!
-//! `cargo run --release --locked --example demo` prints how to call it and runs until Ctrl-C;
-//! with `-- --once` it sends requests of both kinds through all daemons, checks the answers
-//! against the model computed directly, and exits.
+//! `cargo run --release --locked --example demo` prints the addresses and an example
+//! request, and serves until Ctrl-C;
+//! with `-- --once` it sends completions, chats and a service call
+//! through every daemon, compares the answers with the model computed directly, and exits.
 
 use std::process::ExitCode;
 
@@ -37,8 +38,8 @@
     let once = std::env::args().any(|a| a == "--once");
     match run(once).await {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(wrong) => {
-            eprintln!("demo: {wrong} answers differ from the model computed directly");
+        Ok(wrong_answers) => {
+            eprintln!("demo: {wrong_answers} answers differ from the model computed directly");
             ExitCode::FAILURE
         }
         Err(e) => {
@@ -48,14 +49,14 @@
     }
 }
 
-/// Returns how many answers were wrong.
+/// Runs the demo and returns the number of wrong answers, 0 when it only serves.
 async fn run(once: bool) -> Result<u32> {
     let model = Model::new(MODEL, "1", 12);
-    let fakes = support::pipeline(&model, 3, 2).await?;
+    let fakes = support::spawn_pipeline(&model, 3, 2).await?;
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &TEAMS)?;
     let metrics = daemon::install_metrics()?;
-    let daemons = support::daemons(&fakes, 3, "balancer_notice = \"1 ms\"", &metrics).await?;
-    let wrong = if once {
+    let daemons = support::start_daemons(&fakes, 3, "balancer_notice = \"1 ms\"", &metrics).await?;
+    let wrong_answers = if once {
         check(&model, &daemons).await?
     } else {
         serve(&daemons).await?
@@ -63,7 +64,7 @@
     for daemon in daemons {
         daemon.stop().await;
     }
-    Ok(wrong)
+    Ok(wrong_answers)
 }
 
 async fn serve(daemons: &[Daemon]) -> Result<u32> {
@@ -77,36 +78,37 @@
     );
     println!("    -H 'authorization: Bearer {}' \\", TEAMS[0].token);
     println!("    -d '{{\"model\": \"{MODEL}\", \"prompt\": \"A red kettle\", \"stream\": true}}'");
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     tokio::signal::ctrl_c().await?;
     Ok(0)
 }
 
-/// Sends requests of both kinds through every daemon.
+/// Sends completions, chats and a service call through every daemon; returns the number of wrong
+/// answers.
 async fn check(model: &Model, daemons: &[Daemon]) -> Result<u32> {
     let client = reqwest::Client::new();
-    let (mut asked, mut wrong) = (0, 0);
+    let (mut requests, mut wrong_answers) = (0, 0);
     for (n, daemon) in daemons.iter().enumerate() {
         let base = format!("http://{}", daemon.bound_addresses().callers);
         for team in &TEAMS {
             let prompt = format!("shot {n} of {}", team.name);
-            asked += 2;
+            requests += 2;
             let text = complete(&client, &base, team.token, &prompt).await?;
-            wrong += u32::from(text != model.answer_text(&prompt, MAX_TOKENS));
+            wrong_answers += u32::from(text != model.answer_text(&prompt, MAX_TOKENS));
             let text = chat(&client, &base, team.token, &prompt).await?;
-            let whole = format!("user: {prompt}\nassistant:");
-            wrong += u32::from(text != model.answer_text(&whole, MAX_TOKENS));
+            let chat_prompt = format!("user: {prompt}\nassistant:");
+            wrong_answers += u32::from(text != model.answer_text(&chat_prompt, MAX_TOKENS));
         }
-        asked += 1;
+        requests += 1;
         let url = format!("{base}/services/jobs/jobs/7");
         let res = client.get(url).bearer_auth(TEAMS[0].token).send().await?;
-        wrong += u32::from(!res.status().is_success());
+        wrong_answers += u32::from(!res.status().is_success());
     }
     println!(
-        "{asked} requests through {} daemons, {wrong} wrong answers",
+        "{requests} requests through {} daemons, {wrong_answers} wrong answers",
         daemons.len()
     );
-    Ok(wrong)
+    Ok(wrong_answers)
 }
 
 async fn complete(
--- a/crates/kelpworks/examples/measure/capacity.rs
+++ b/crates/kelpworks/examples/measure/capacity.rs
@@ -1,13 +1,13 @@
-//! `capacity`: what each role of a daemon costs at several sizes, and how that grows.
+//! `capacity`: cost of each role of a daemon at several sizes, and how it grows with the size.
 //!
-//! Each row is a least-squares line through the sizes. Processor time is that of threads, from the
-//! scheduler's own account, so that other work on the machine does not count; memory is the
-//! resident set of the process. Stand-ins, callers and daemon run on threads of their own, but in
-//! one process: processor time is of the daemon alone, memory has the stand-ins' side of a
-//! connection in it and is an upper bound where the row says so. The page `docs/CAPACITY.md` takes
-//! its slopes from here.
+//! Each row is a least-squares line through the measured sizes. Processor time is that of threads,
+//! read from the scheduler's statistics, so that other work on the machine does not count; memory
+//! is the resident set of the process. Fakes, callers and daemon run on separate threads of one
+//! process: processor time is that of the daemon alone, but memory includes the fakes' ends of the
+//! connections and is an upper bound where the row says so. `docs/CAPACITY.md` takes its slopes
+//! from here.
 
-mod border;
+mod clients;
 mod cost;
 mod path;
 mod state;
@@ -16,33 +16,33 @@
 
 use crate::table::Table;
 
-/// What was measured at several sizes.
+/// A quantity measured at several sizes.
 struct Series {
     /// Role of the daemon.
     role: &'static str,
-    /// What was measured, with its unit.
-    what: String,
+    /// Measured quantity, with its unit.
+    quantity: String,
     /// What the size counts.
-    by: &'static str,
+    size_unit: &'static str,
     /// Size and measured value; at least two different sizes.
     points: Vec<(f64, f64)>,
 }
 
 /// A least-squares line.
 #[derive(Clone, Copy, Debug)]
-struct Line {
+struct LinearFit {
     slope: f64,
     intercept: f64,
-    /// Greatest distance of a point from the line, as a share of the greatest value.
+    /// Largest distance of a point from the line, as a share of the largest absolute value.
     residual: f64,
 }
 
 impl Series {
-    fn new(role: &'static str, what: impl Into<String>, by: &'static str) -> Series {
+    fn new(role: &'static str, quantity: impl Into<String>, size_unit: &'static str) -> Series {
         Series {
             role,
-            what: what.into(),
-            by,
+            quantity: quantity.into(),
+            size_unit,
             points: Vec::new(),
         }
     }
@@ -51,7 +51,7 @@
         self.points.push((size, value));
     }
 
-    fn line(&self) -> Line {
+    fn fit(&self) -> LinearFit {
         let n = self.points.len() as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| self.points.iter().map(f).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
@@ -60,10 +60,14 @@
         let slope = covariance / variance;
         let intercept = y - slope * x;
         let distance = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
-        let far = self.points.iter().map(distance).fold(0.0, f64::max);
-        let most = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-        let residual = if most > 0.0 { far / most } else { 0.0 };
-        Line {
+        let max_distance = self.points.iter().map(distance).fold(0.0, f64::max);
+        let max_value = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
+        let residual = if max_value > 0.0 {
+            max_distance / max_value
+        } else {
+            0.0
+        };
+        LinearFit {
             slope,
             intercept,
             residual,
@@ -71,24 +75,25 @@
     }
 
     fn row(&self) -> Vec<String> {
-        let line = self.line();
+        let fit = self.fit();
         let points = self.points.iter();
         let points: Vec<String> = points
             .map(|p| format!("{:.0}: {}", p.0, number(p.1)))
             .collect();
         vec![
             self.role.to_owned(),
-            self.what.clone(),
-            self.by.to_owned(),
+            self.quantity.clone(),
+            self.size_unit.to_owned(),
             points.join(", "),
-            number(line.slope),
-            number(line.intercept),
-            format!("{:.1}%", 100.0 * line.residual),
+            number(fit.slope),
+            number(fit.intercept),
+            format!("{:.1}%", 100.0 * fit.residual),
         ]
     }
 }
 
-/// Three significant digits for what is small, whole numbers for what is large.
+/// Formats a value with a precision that suits its size: whole numbers from 1,000, otherwise one to
+/// three decimals, scientific notation below 0.1, and `0` below 1e-9.
 fn number(value: f64) -> String {
     match value.abs() {
         v if v >= 1_000.0 => format!("{value:.0}"),
@@ -101,7 +106,7 @@
 
 /// Runs the measurement.
 pub(crate) fn run() -> Table {
-    // What is in memory only comes first, while the process is small.
+    // In-memory state is measured first, while the resident set of the process is small.
     let mut series = state::all();
     series.extend(traffic::all());
     match path::all() {
--- a/crates/kelpworks/examples/measure/share.rs
+++ b/crates/kelpworks/examples/measure/share.rs
@@ -1,4 +1,4 @@
-//! What trials get of the whole fleet, while each daemon limits its own part.
+//! `share`: trial throughput of the fleet while each daemon enforces its own part of the limit.
 
 use std::time::Duration;
 
@@ -22,47 +22,49 @@
 
 const SEEDS: std::ops::Range<u64> = 1..8;
 const DAEMONS: usize = 7;
-/// What the rule lets trials take of the fleet, in positions a second.
-const RULE: f64 = 20_000.0;
-/// What trials ask for altogether, over the rule.
-const OFFERED: f64 = 1.5;
-/// Positions of a request, at least and at most.
-const COST: std::ops::Range<u32> = 50..150;
+/// Limit for trials over the whole fleet, in positions a second.
+const TRIAL_RATE: f64 = 20_000.0;
+/// Total load that trials offer, over the limit.
+const OFFERED_LOAD: f64 = 1.5;
+/// Range of the positions of a request.
+const COST_RANGE: std::ops::Range<u32> = 50..150;
 /// Service time of a request.
-const SERVICE: Duration = Duration::from_secs(2);
-/// Requests arrive and rates are looked at in steps of this.
+const SERVICE_TIME: Duration = Duration::from_secs(2);
+/// Step of the simulation, in which requests arrive, start and end.
 const STEP_MS: u64 = 10;
-/// Time until the balancer sends a dead daemon's callers elsewhere.
-const BALANCER_MS: u64 = 2_000;
-/// Phases: to settle, steady, and after a death.
-const SETTLE_S: u64 = 30;
+/// Time until the load balancer redirects the callers of a crashed daemon.
+const BALANCER_DELAY_MS: u64 = 2_000;
+/// Phases of a run: warm-up, steady state, and after the crash of a daemon.
+const WARM_UP_S: u64 = 30;
 const STEADY_S: u64 = 60;
 const DEATH_S: u64 = 60;
-/// Window for the worst case.
+/// Window over which the smallest and largest mean rates are taken.
 const WINDOW_S: usize = 10;
 
-/// How a daemon works out its part.
+/// How a daemon computes its part of the limit.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum SplitPolicy {
+    /// In proportion to the demand that the daemons report to each other, with a minimum weight.
     ByDemand,
+    /// Baseline: the same part for each daemon.
     Equal,
 }
 
-/// One daemon's callers and admission.
+/// Callers and admission queue of one daemon.
 struct Gate {
     queue: Queue,
     demand: Demand,
-    asked: u64,
-    asked_before: u64,
-    /// Part of all callers.
+    offered: u64,
+    offered_before: u64,
+    /// Share of all callers that use this daemon.
     skew: f64,
-    /// Positions of callers that are not a whole request yet.
+    /// Offered positions that do not make a request yet; negative after a larger request.
     pending: f64,
     running: Vec<(Duration, Ticket)>,
     costs: Vec<(Ticket, u32)>,
 }
 
-/// A run: positions started in each second, over the rule.
+/// Positions started in each second of a run, over the limit.
 struct Run {
     seconds: Vec<f64>,
 }
@@ -73,7 +75,7 @@
         part.iter().sum::<f64>() / part.len() as f64
     }
 
-    /// Least mean over a window.
+    /// Smallest mean over a window of [`WINDOW_S`].
     fn worst(&self, from: u64, to: u64) -> f64 {
         let part = &self.seconds[from as usize..to as usize];
         let means = part
@@ -82,8 +84,8 @@
         means.fold(f64::INFINITY, f64::min)
     }
 
-    /// Greatest mean over a window.
-    fn most(&self, from: u64, to: u64) -> f64 {
+    /// Largest mean over a window of [`WINDOW_S`].
+    fn greatest(&self, from: u64, to: u64) -> f64 {
         let part = &self.seconds[from as usize..to as usize];
         let means = part
             .windows(WINDOW_S)
@@ -95,16 +97,19 @@
 /// Runs the measurement.
 pub(crate) fn run() -> Table {
     let mut rows = Vec::new();
-    for (dies, name) in [(0, "least loaded dies"), (DAEMONS - 1, "most loaded dies")] {
-        for (way, baseline) in [(Way::ByDemand, "by demand"), (Way::Equal, "equal split")] {
-            let runs: Vec<Run> = SEEDS.map(|seed| one(way, dies, seed)).collect();
+    for (crashed, name) in [(0, "least loaded dies"), (DAEMONS - 1, "most loaded dies")] {
+        for (policy, baseline) in [
+            (SplitPolicy::ByDemand, "by demand"),
+            (SplitPolicy::Equal, "equal split"),
+        ] {
+            let runs: Vec<Run> = SEEDS.map(|seed| simulate(policy, crashed, seed)).collect();
             rows.push(row(name, baseline, &runs));
         }
     }
     Table {
         title: format!(
             "share: positions that trials started over the rule, {DAEMONS} daemons, balancer skew \
-             1:5, offered {OFFERED} times the rule (min/median/max of {} seeds, virtual clock)",
+             1:5, offered {OFFERED_LOAD} times the rule (min/median/max of {} seeds, virtual clock)",
             SEEDS.end - SEEDS.start
         ),
         head: vec![
@@ -119,8 +124,8 @@
     }
 }
 
-fn row(name: &str, way: &str, runs: &[Run]) -> Vec<String> {
-    let death = SETTLE_S + STEADY_S;
+fn row(name: &str, policy: &str, runs: &[Run]) -> Vec<String> {
+    let death = WARM_UP_S + STEADY_S;
     let end = death + DEATH_S;
     let show = |of: &dyn Fn(&Run) -> f64| {
         let values: Vec<f64> = runs.iter().map(of).collect();
@@ -128,15 +133,15 @@
     };
     vec![
         name.to_owned(),
-        way.to_owned(),
-        show(&|r| r.mean(SETTLE_S, death)),
+        policy.to_owned(),
+        show(&|r| r.mean(WARM_UP_S, death)),
         show(&|r| r.mean(death, end)),
-        show(&|r| r.worst(SETTLE_S, end)),
-        show(&|r| r.most(SETTLE_S, end)),
+        show(&|r| r.worst(WARM_UP_S, end)),
+        show(&|r| r.greatest(WARM_UP_S, end)),
     ]
 }
 
-fn one(way: Way, dies: usize, seed: u64) -> Run {
+fn simulate(policy: SplitPolicy, crashed: usize, seed: u64) -> Run {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut net = Net::new(NetConfig {
         daemons: DAEMONS,
@@ -147,35 +152,36 @@
         seed,
     });
     let mut gates: Vec<Gate> = (0..DAEMONS).map(|at| Gate::new(skew(at), seed)).collect();
-    let death = SETTLE_S + STEADY_S;
+    let death = WARM_UP_S + STEADY_S;
     let mut seconds = Vec::new();
     for second in 0..death + DEATH_S {
         if second == death {
-            net.crash(dies);
+            net.crash(crashed);
         }
         for (at, gate) in gates.iter_mut().enumerate() {
             if net.node(at).is_some() {
-                gate.set_rate(way, &mut net, at);
+                gate.set_rate(policy, &mut net, at);
             }
         }
         let mut started = 0;
         for _ in 0..1_000 / STEP_MS {
             net.run_for(STEP_MS);
-            let moved = net.now_ms() >= death * 1_000 + BALANCER_MS;
+            let moved = net.now_ms() >= death * 1_000 + BALANCER_DELAY_MS;
             started += step(&mut gates, &net, moved, &mut rng);
         }
-        seconds.push(started as f64 / RULE);
+        seconds.push(started as f64 / TRIAL_RATE);
     }
     Run { seconds }
 }
 
-/// Parts of callers from 1 to 5 over the daemons, adding up to 1.
+/// Share of the callers that use a daemon: weights rise from 1 to 5 over the daemons, and the
+/// shares add up to 1.
 fn skew(at: usize) -> f64 {
     let weight = |at: usize| 1.0 + 4.0 * at as f64 / (DAEMONS - 1) as f64;
     weight(at) / (0..DAEMONS).map(weight).sum::<f64>()
 }
 
-/// Lets callers come for one step; returns the positions that started.
+/// Simulates one step of arrivals and admission; returns the positions that started.
 fn step(gates: &mut [Gate], net: &Net, moved: bool, rng: &mut StdRng) -> u64 {
     let now = Duration::from_millis(net.now_ms());
     let up = |at: usize| net.node(at).is_some();
@@ -188,7 +194,7 @@
         if !up(at) {
             continue;
         }
-        // Callers of a dead daemon get no answer until the balancer sends them elsewhere.
+        // Callers of a crashed daemon get no answer until the balancer redirects them.
         let skew = if moved {
             gate.skew / (1.0 - lost)
         } else {
@@ -203,7 +209,7 @@
 impl Gate {
     fn new(skew: f64, seed: u64) -> Gate {
         let cfg = admission::Config {
-            // Only the trial rate is to bound them here.
+            // High enough that only the trial rate limits the requests.
             initial_limit: 100_000,
             max_limit: 100_000,
             seed: Some(seed),
@@ -212,8 +218,8 @@
         Gate {
             queue: Queue::new(cfg),
             demand: Demand::default(),
-            asked: 0,
-            asked_before: 0,
+            offered: 0,
+            offered_before: 0,
             skew,
             pending: 0.0,
             running: Vec::new(),
@@ -221,44 +227,44 @@
         }
     }
 
-    /// What the daemon does once a second.
-    fn set_rate(&mut self, way: Way, net: &mut Net, at: usize) {
-        let own = self.demand.observe(self.asked - self.asked_before);
-        self.asked_before = self.asked;
+    /// Updates the demand and the trial rate, as the daemon does once a second.
+    fn set_rate(&mut self, policy: SplitPolicy, net: &mut Net, at: usize) {
+        let own = self.demand.observe(self.offered - self.offered_before);
+        self.offered_before = self.offered;
         let mut others = Vec::new();
         net.act(at, |node, _| {
             node.set_trial_demand(own);
             others = node.trial_demands();
             Vec::new()
         });
-        let rate = match way {
-            Way::ByDemand => fair_share(RULE, own, &others),
-            Way::Equal => RULE / (others.len() as f64 + 1.0),
+        let rate = match policy {
+            SplitPolicy::ByDemand => fair_share(TRIAL_RATE, own, &others),
+            SplitPolicy::Equal => TRIAL_RATE / (others.len() as f64 + 1.0),
         };
         let now = Duration::from_millis(net.now_ms());
         self.queue.set_trial_rate(now, rate);
     }
 
     fn arrive(&mut self, now: Duration, skew: f64, rng: &mut StdRng) {
-        let mean = RULE * OFFERED * skew * STEP_MS as f64 / 1_000.0;
+        let mean = TRIAL_RATE * OFFERED_LOAD * skew * STEP_MS as f64 / 1_000.0;
         self.pending += mean * rng.random_range(0.0..2.0);
         while self.pending > 0.0 {
-            let cost = rng.random_range(COST);
+            let cost = rng.random_range(COST_RANGE);
             self.pending -= f64::from(cost);
-            self.asked += u64::from(cost);
-            let ask = AdmissionRequest {
+            self.offered += u64::from(cost);
+            let request = AdmissionRequest {
                 team: "trial",
                 class: Class::Trial,
                 weight: 1,
                 cost,
             };
-            if let Ok(ticket) = self.queue.offer(now, &ask) {
+            if let Ok(ticket) = self.queue.offer(now, &request) {
                 self.costs.push((ticket, cost));
             }
         }
     }
 
-    /// Starts what may start and ends what is done; returns the positions that started.
+    /// Starts admitted requests and finishes completed ones; returns the positions that started.
     fn serve(&mut self, now: Duration) -> u64 {
         let mut started = 0;
         self.queue.poll(now);
@@ -269,7 +275,7 @@
             let at = self.costs.iter().position(|c| c.0 == ticket);
             let (_, cost) = self.costs.swap_remove(at.expect("an offered request"));
             started += u64::from(cost);
-            self.running.push((now + SERVICE, ticket));
+            self.running.push((now + SERVICE_TIME, ticket));
         }
         let (done, running) = self.running.iter().partition(|r| r.0 <= now);
         self.running = running;
--- a/crates/kelpworks/examples/measure/spread.rs
+++ b/crates/kelpworks/examples/measure/spread.rs
@@ -1,4 +1,4 @@
-//! Time and messages until a generation is in force on every daemon.
+//! `spread`: time and messages until every daemon has activated a new configuration generation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,20 +28,20 @@
 use kelpworks_fakes::Model;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
-/// Time for daemons to get to know each other.
+/// Time for daemons to discover each other.
 const WARM_UP_MS: u64 = 5_000;
-/// Longest wait for a generation.
-const BOUND_MS: u64 = 60_000;
-/// Generations on real daemons.
-const SWAPS: u64 = 7;
-const REAL: usize = 7;
+/// Time limit for a generation to be active on all daemons.
+const TIMEOUT_MS: u64 = 60_000;
+/// Generations published to real daemons.
+const REAL_SWAPS: u64 = 7;
+const REAL_DAEMONS: usize = 7;
 
-/// What goes wrong around the swap.
+/// Failures around the publication of a generation.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     watcher_dies: bool,
-    /// Daemons that read the new configuration before the object API is out.
+    /// Daemons that read the new configuration before the object API fails; `None` if it does not.
     readers: Option<u64>,
     links_cut: f64,
 }
@@ -78,19 +78,22 @@
     },
 ];
 
-/// Ways to spread a generation.
+/// How daemons propagate a generation.
 #[derive(Clone, Copy)]
-enum Way {
+enum Propagation {
+    /// As in the daemon: pushes to peers chosen by hash and to ring successors.
     Push,
-    /// Push to peers drawn by hash alone.
+    /// Baseline: pushes to peers chosen by hash, without ring successors.
     PushOnly,
+    /// Baseline: no pushes; peers see the generation in heartbeats.
     HeartbeatsOnly,
+    /// Baseline: every daemon watches the object API.
     AllWatch,
 }
 
-/// What one run showed.
+/// Results of one run.
 struct Run {
-    /// `None` when it was not in force everywhere within the bound.
+    /// `None` if some daemon had not activated the generation within [`TIMEOUT_MS`].
     ms: Option<f64>,
     calls: f64,
     reads: f64,
@@ -104,13 +107,13 @@
             rows.push(row(daemons, case));
         }
     }
-    rows.push(real(None));
-    rows.push(real(Some(())));
+    rows.push(measure_daemons(None));
+    rows.push(measure_daemons(Some(())));
     Table {
         title: format!(
             "spread: ms until a generation is in force everywhere (min/median/max of {} seeds, \
-             virtual clock; last rows: real daemons, wall clock, {SWAPS} swaps); `-` is longer \
-             than {BOUND_MS}",
+             virtual clock; last rows: real daemons, wall clock, {REAL_SWAPS} swaps); `-` is longer \
+             than {TIMEOUT_MS}",
             SEEDS.end - SEEDS.start
         ),
         head: vec![
@@ -129,20 +132,20 @@
 }
 
 fn row(daemons: usize, case: &Case) -> Vec<String> {
-    // Seeds side by side: each run has its own clock.
-    let runs = |way| {
+    // The seeds can run in parallel, as each run has its own virtual clock.
+    let runs = |propagation| {
         std::thread::scope(|scope| {
             let started: Vec<_> = SEEDS
-                .map(|seed| scope.spawn(move || one(daemons, case, way, seed)))
+                .map(|seed| scope.spawn(move || simulate(daemons, case, propagation, seed)))
                 .collect();
             let done = started.into_iter().map(|t| t.join().expect("a run"));
             done.collect::<Vec<Run>>()
         })
     };
-    let push: Vec<Run> = runs(Way::Push);
-    let hash: Vec<Run> = runs(Way::PushOnly);
-    let beats: Vec<Run> = runs(Way::HeartbeatsOnly);
-    let watch: Vec<Run> = runs(Way::AllWatch);
+    let push: Vec<Run> = runs(Propagation::Push);
+    let push_only: Vec<Run> = runs(Propagation::PushOnly);
+    let heartbeats: Vec<Run> = runs(Propagation::HeartbeatsOnly);
+    let watch: Vec<Run> = runs(Propagation::AllWatch);
     let times = |runs: &[Run]| show(runs.iter().map(|r| r.ms.unwrap_or(f64::INFINITY)), 0);
     let reads = |runs: &[Run]| show(runs.iter().map(|r| r.reads), 0);
     vec![
@@ -151,14 +154,14 @@
         times(&push),
         show(push.iter().map(|r| r.calls), 1),
         reads(&push),
-        times(&hash),
-        times(&beats),
+        times(&push_only),
+        times(&heartbeats),
         times(&watch),
         reads(&watch),
     ]
 }
 
-/// Least, middle and greatest; `-` for what did not end.
+/// Formats minimum, median and maximum, with `-` for runs that timed out.
 fn show(values: impl Iterator<Item = f64>, decimals: usize) -> String {
     let values: Vec<f64> = values.collect();
     min_median_max(&values, decimals)
@@ -166,20 +169,20 @@
         .replace("inf", "-")
 }
 
-fn one(daemons: usize, case: &Case, way: Way, seed: u64) -> Run {
+fn simulate(daemons: usize, case: &Case, propagation: Propagation, seed: u64) -> Run {
     let mut node = Config::default();
-    if matches!(way, Way::HeartbeatsOnly) {
+    if matches!(propagation, Propagation::HeartbeatsOnly) {
         node.dissemination = dissemination::Config { fanout: 0 };
         node.ring_successors = 0;
     }
-    if matches!(way, Way::PushOnly) {
+    if matches!(propagation, Propagation::PushOnly) {
         node.ring_successors = 0;
     }
     let mut net = Net::new(NetConfig {
         daemons,
         regions: if daemons > 100 { 2 } else { 1 },
         node,
-        all_watch: matches!(way, Way::AllWatch),
+        all_watch: matches!(propagation, Propagation::AllWatch),
         count_bytes: false,
         seed,
     });
@@ -190,9 +193,11 @@
     if case.watcher_dies {
         net.crash(watchers[seed as usize % watchers.len()]);
     }
-    let done = net.run_until(BOUND_MS, |net| net.in_force() == net.up());
+    let done = net.run_until(TIMEOUT_MS, |net| {
+        net.daemons_up_to_date() == net.daemons_up()
+    });
     let ms = (net.now_ms() - start) as f64;
-    // What is still on its way counts too.
+    // Calls still in flight count too.
     net.run_for(1_000);
     Run {
         ms: done.then_some(ms),
@@ -208,29 +213,32 @@
     token: "measure",
 }];
 
-/// Real daemons over loopback; with an outage, the object API is out once one daemon is there.
-fn real(outage: Option<()>) -> Vec<String> {
+/// Measures real daemons over loopback; with an outage, the object API fails once one daemon has
+/// activated the generation.
+fn measure_daemons(outage: Option<()>) -> Vec<String> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let times = runtime.block_on(async {
         let model = Model::new("caption", "1", 4);
-        let fakes = support::pipeline(&model, 1, 1).await.expect("stand-ins");
+        let fakes = support::spawn_pipeline(&model, 1, 1)
+            .await
+            .expect("stand-ins");
         support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &TEAMS)
             .expect("a valid configuration");
         let metrics = daemon::build_metrics();
-        let daemons = support::daemons(&fakes, REAL, "", &metrics).await;
+        let daemons = support::start_daemons(&fakes, REAL_DAEMONS, "", &metrics).await;
         let daemons = daemons.expect("daemons");
-        until(&daemons, |s| s.members.len() == REAL - 1).await;
+        wait_until_all(&daemons, |s| s.members.len() == REAL_DAEMONS - 1).await;
         let mut times = Vec::new();
-        for generation in 2..2 + SWAPS {
+        for generation in 2..2 + REAL_SWAPS {
             fakes.object_api.set_mode(ApiMode::Up);
             tokio::time::sleep(Duration::from_millis(2_500)).await;
             let start = Instant::now();
             swap(&fakes, generation);
             if outage.is_some() {
-                until_any(&daemons, generation).await;
+                wait_until_any(&daemons, generation).await;
                 fakes.object_api.set_mode(ApiMode::Unavailable);
             }
-            until(&daemons, |s| s.generation == generation).await;
+            wait_until_all(&daemons, |s| s.generation == generation).await;
             times.push(start.elapsed().as_secs_f64() * 1_000.0);
         }
         times
@@ -239,13 +247,13 @@
         None => "real daemons, nothing fails",
         Some(()) => "real daemons, API out after 1",
     };
-    let mut row = vec![REAL.to_string(), case.to_owned()];
+    let mut row = vec![REAL_DAEMONS.to_string(), case.to_owned()];
     row.push(show(times.into_iter(), 0));
     row.resize(9, String::new());
     row
 }
 
-/// Swaps the head to another generation of the same texts.
+/// Publishes a new generation whose rules differ by a trailing comment only.
 fn swap(fakes: &FakeFleet, generation: u64) {
     let object = fakes.object_api.get(HEAD_KIND, HEAD_NAME).expect("a head");
     let mut head = parse(&object.body).expect("a head");
@@ -266,7 +274,7 @@
     fakes.object_api.put(HEAD_KIND, HEAD_NAME, &body);
 }
 
-async fn until(daemons: &[Daemon], holds: impl Fn(&status::Status) -> bool) {
+async fn wait_until_all(daemons: &[Daemon], holds: impl Fn(&status::Status) -> bool) {
     for daemon in daemons {
         while !status_of(daemon.bound_addresses().operators)
             .await
@@ -277,7 +285,7 @@
     }
 }
 
-async fn until_any(daemons: &[Daemon], generation: u64) {
+async fn wait_until_any(daemons: &[Daemon], generation: u64) {
     loop {
         for daemon in daemons {
             let status = status_of(daemon.bound_addresses().operators).await;
--- a/crates/kelpworks/examples/measure/table.rs
+++ b/crates/kelpworks/examples/measure/table.rs
@@ -1,24 +1,23 @@
-//! Tables of results, for people and as JSON.
+//! Tables of results, printed as aligned columns or as JSON.
 
-/// A table of results.
 pub(crate) struct Table {
-    /// What was measured, with the command's bounds and seeds.
+    /// What was measured, with its parameters and seeds.
     pub(crate) title: String,
-    /// Heads of the columns.
+    /// Column titles.
     pub(crate) head: Vec<&'static str>,
-    /// Rows, each as long as the head.
+    /// Rows, each with one cell per column title.
     pub(crate) rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Prints the table in columns.
+    /// Prints the table with padded columns.
     pub(crate) fn print(&self) {
         let width = |i: usize| {
             let cells = self.rows.iter().map(|r| r[i].len());
             cells.chain([self.head[i].len()]).max().unwrap_or(0)
         };
         let widths: Vec<usize> = (0..self.head.len()).map(width).collect();
-        let line = |cells: &[String]| {
+        let print_row = |cells: &[String]| {
             let padded: Vec<String> = cells
                 .iter()
                 .zip(&widths)
@@ -27,7 +26,7 @@
             println!("{}", padded.join("  ").trim_end());
         };
         println!("{}", self.title);
-        line(
+        print_row(
             &self
                 .head
                 .iter()
@@ -35,7 +34,7 @@
                 .collect::<Vec<_>>(),
         );
         for row in &self.rows {
-            line(row);
+            print_row(row);
         }
     }
 
--- a/crates/kelpworks/examples/measure/throughput.rs
+++ b/crates/kelpworks/examples/measure/throughput.rs
@@ -1,4 +1,4 @@
-//! `throughput`: positions (of prompt and answer) a second over the bound that the stand-in fleet allows.
+//! `throughput`: positions (of prompt and answer) a second over the hardware bound of a fake fleet.
 //!
 //! The bound is the rate of the slowest stage: the sum of its engines' layer rates over its
 //! layers. Engines are of mixed speeds. Enough sessions run at once to keep every engine busy;
@@ -38,12 +38,13 @@
     weight: 1,
     token: "t",
 };
-/// Layer rates of the kinds of accelerators, in layers of a position a second.
-const KINDS: [(&str, f64); 3] = [("large", 1_000.0), ("middle", 500.0), ("small", 250.0)];
-/// Long batches overnight: throughput goes before the time between tokens.
+/// Kinds of accelerators with their layer rates: layers a second, each for one position.
+const ACCELERATOR_KINDS: [(&str, f64); 3] =
+    [("large", 1_000.0), ("middle", 500.0), ("small", 250.0)];
+/// Settings for overnight batch jobs, which favour throughput over the time between tokens.
 const SETTINGS: &str = "\n[limits]\ntoken_target = \"400 ms\"\n";
 
-/// A deployment's model and shape.
+/// Model and fleet shape of a deployment.
 struct Deployment {
     name: &'static str,
     model: &'static str,
@@ -81,7 +82,7 @@
         title: format!(
             "throughput: positions of prompt and answer a second over the hardware bound, {STAGES} stages, 40 engines of \
              {} kinds, {DAEMONS} daemons, {RUNS} runs of {} s",
-            KINDS.len(),
+            ACCELERATOR_KINDS.len(),
             WINDOW.as_secs()
         ),
         head: vec![
@@ -106,7 +107,7 @@
     let mut busy = Vec::new();
     let mut bound = 0.0;
     for seed in 0..RUNS {
-        match one(deployment, sessions, seed, metrics).await {
+        match measure_once(deployment, sessions, seed, metrics).await {
             Ok(run) => {
                 shares.push(run.positions_per_second / run.bound);
                 bound = run.bound;
@@ -131,7 +132,7 @@
     positions_per_second: f64,
     bound: f64,
     wrong: u64,
-    /// Part of the window that each engine was busy.
+    /// Fraction of the window for which each engine was busy.
     busy: Vec<f64>,
 }
 
@@ -141,7 +142,7 @@
     wrong: AtomicU64,
 }
 
-async fn one(
+async fn measure_once(
     deployment: &Deployment,
     sessions: usize,
     seed: u64,
@@ -152,7 +153,7 @@
     let bound = bound(&cfg);
     let fakes = FakeFleet::spawn(cfg).await?;
     support::put_config(&fakes, std::slice::from_ref(&model), 0.2, &[TEAM])?;
-    let daemons = support::daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
+    let daemons = support::start_daemons(&fakes, DAEMONS, SETTINGS, metrics).await?;
     let bases: Vec<String> = daemons
         .iter()
         .map(|d| format!("http://{}", d.bound_addresses().callers))
@@ -198,12 +199,12 @@
     })
 }
 
-/// Layers times positions that an engine has run.
+/// Number of layers that an engine has run, summed over positions.
 fn work(engine: &Engine) -> u64 {
     engine.ledger().totals().layer_positions
 }
 
-/// Asks again and again.
+/// Sends requests one after another and counts positions and wrong answers.
 async fn caller(call: Call, client: reqwest::Client, model: Model, tally: Arc<Tally>) {
     for turn in 0.. {
         let call = Call {
@@ -212,14 +213,14 @@
         };
         let answer = call
             .stream(&client, |_, n| {
-                // The first token takes a run of the whole prompt.
+                // The first token takes a run of all positions of the prompt.
                 let positions = if n == 1 { call.prompt.len() as u64 } else { 1 };
                 tally.positions.fetch_add(positions, Ordering::Relaxed);
                 true
             })
             .await;
         match answer {
-            Ok(a) if a.whole && a.text == model.answer_text(&call.prompt, TOKENS) => {}
+            Ok(a) if a.complete && a.text == model.answer_text(&call.prompt, TOKENS) => {}
             Ok(_) => {
                 tally.wrong.fetch_add(1, Ordering::Relaxed);
             }
@@ -234,7 +235,7 @@
         let (first, end) = (stage * LAYERS / STAGES, (stage + 1) * LAYERS / STAGES);
         for (domain, kinds) in deployment.domains.iter().zip(deployment.kinds) {
             for (n, kind) in kinds.iter().enumerate() {
-                let (accelerator, rate) = KINDS[*kind];
+                let (accelerator, rate) = ACCELERATOR_KINDS[*kind];
                 let name = format!("{domain}-{stage}-{n}");
                 let mut cfg = EngineConfig::new(&name, vec![model.clone()]);
                 cfg.failure_domain = (*domain).to_owned();
@@ -248,7 +249,7 @@
     fleet
 }
 
-/// Positions a second that the slowest stage allows.
+/// Positions a second that the slowest stage can run.
 fn bound(fleet: &FleetConfig) -> f64 {
     let stage_rate = |stage: u32| {
         let first = stage * LAYERS / STAGES;
--- a/crates/kelpworks/tests/peers_nodes.rs
+++ b/crates/kelpworks/tests/peers_nodes.rs
@@ -121,12 +121,14 @@
         let watcher = net.watchers()[0];
         net.crash(watcher);
     }
-    let done = net.run_until(3 * SECOND, |net| net.in_force() == net.up());
+    let done = net.run_until(3 * SECOND, |net| {
+        net.daemons_up_to_date() == net.daemons_up()
+    });
     assert!(
         done,
         "{} of {} daemons have activated it",
-        net.in_force(),
-        net.up()
+        net.daemons_up_to_date(),
+        net.daemons_up()
     );
 }
 
