--- a/crates/kelpworks/src/entry/at_most_once.rs
+++ b/crates/kelpworks/src/entry/at_most_once.rs
@@ -53,7 +53,7 @@
 /// Returns the failure of a call whose task ended without a result, because the daemon stopped.
 pub(super) fn daemon_stopped() -> Failure {
     let status = StatusCode::BAD_GATEWAY;
-    let message = "the daemon stopped during the call";
+    let message = "the daemon stopped under the call";
     Failure::failed(status, "stopped", message, Verdict::MayHaveRun)
 }
 
--- a/crates/kelpworks/src/entry/completions.rs
+++ b/crates/kelpworks/src/entry/completions.rs
@@ -328,7 +328,7 @@
         return Err(Failure::rejected(
             StatusCode::REQUEST_TIMEOUT,
             "body_timeout",
-            "the request body was not received in time",
+            "the body did not come in time",
         ));
     };
     payload.map(|b| &b[..]).map_err(|e| match e {
